--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -6,7 +6,7 @@
 use wheelpier_decisions::settings::{self, micros, Reading};
 use wheelpier_decisions::{
     Action, Event, HostEntry, HostId, HostState, ListKind, Outcome, Position, Reply, Report, Request,
-    RequestId, Role, Router, SessionId, Time,
+    RequestId, Role, Router, SessionId, TimeDelta, Timestamp,
 };
 
 const MAX_LISTS: u64 = 16;
@@ -88,8 +88,8 @@
         }
     }
 
-    fn seconds(&mut self, field: &str) -> Result<Time, String> {
-        self.number(field).map(|s| Time(micros(s)))
+    fn seconds(&mut self, field: &str) -> Result<TimeDelta, String> {
+        self.number(field).map(|s| TimeDelta(micros(s)))
     }
 
     fn flag(&mut self, field: &str) -> Result<bool, String> {
@@ -170,7 +170,7 @@
 /// The state of the conversation.
 #[derive(Default)]
 pub struct Wire {
-    now: Time,
+    now: Timestamp,
     batch: Option<String>,
     instances: HashMap<String, Instance>,
     lists: BTreeMap<u64, Vec<Row>>,
@@ -231,7 +231,7 @@
             if self.batch.is_some() {
                 return Err("clock: the batch before it has not ended".to_owned());
             }
-            self.now = f.seconds("clock")?;
+            self.now = Timestamp(f.seconds("clock")?.0);
             let seq = f.text("seq")?;
             seq.parse::<u64>().map_err(|_| f.wrong("seq", &format!("`{seq}` is not a whole number")))?;
             f.done()?;
@@ -278,7 +278,8 @@
 
     fn row(&self, f: &mut Fields) -> Result<Row, String> {
         let weight = f.maybe_number("nominal")?.unwrap_or(1.0);
-        let online_since = f.maybe_number("onlineSince")?.filter(|at| *at > 0.0).map(|at| Time(micros(at)));
+        let online_since =
+            f.maybe_number("onlineSince")?.filter(|at| *at > 0.0).map(|at| Timestamp(micros(at)));
         let _kind = f.maybe("kind")?;
         let zone = f.count("regionPart")?;
         let leader = f.maybe_number("leader")?.is_some_and(|x| x >= 0.5);
@@ -388,7 +389,7 @@
     instance.next += 1;
     instance.requests.insert(handle.to_owned(), id);
     instance.names.insert(id, Name { text: handle.to_owned(), over: false, out: 0 });
-    let since_write = since.filter(|ms| *ms > 0.0).map(|ms| Time((ms * 1e3).floor() as i64));
+    let since_write = since.filter(|ms| *ms > 0.0).map(|ms| TimeDelta((ms * 1e3).floor() as i64));
     Ok(Event::Arrival(Request { id, class, group, tenant, since_write, again, ttl, session }))
 }
 
@@ -398,7 +399,7 @@
     let host = f.text("host")?;
     let code = f.whole("outcome")?;
     let outcome = outcome(code, f)?;
-    let latency = Time(micros(f.maybe_number("lag")?.unwrap_or(0.0)));
+    let latency = TimeDelta(micros(f.maybe_number("lag")?.unwrap_or(0.0)));
     let closed = f.flag("closed")?;
     let stamp = f.maybe_number("progress")?.unwrap_or(0.0) as i64;
     let stats = f.maybe("serverStats")?;
@@ -423,7 +424,7 @@
     let host = f.text("host")?;
     let code = f.whole("outcome")?;
     let outcome = outcome(code, f)?;
-    let latency = Time(micros(f.maybe_number("lag")?.unwrap_or(0.0)));
+    let latency = TimeDelta(micros(f.maybe_number("lag")?.unwrap_or(0.0)));
     let stats = f.maybe("serverStats")?;
     let report = instance.report(stats, f)?;
     Ok(Event::Probed { host: instance.host(host), outcome, latency, report })
@@ -456,13 +457,13 @@
 }
 
 fn write_action(out: &mut String, router: &str, instance: &mut Instance, action: Action) {
-    let seconds = |t: Time| t.0 as f64 / 1e6;
+    let seconds = |micros: i64| micros as f64 / 1e6;
     let host = |id: HostId| instance.host_names.get(id.0 as usize).map_or("", String::as_str);
     let name = |id: RequestId| instance.names.get(&id).map_or("", |name| name.text.as_str());
     let mut over = None;
     let _ = match action {
         Action::Send { id, host: to, timeout, .. } => {
-            let timeout = timeout.map_or("0".to_owned(), |t| seconds(t).to_string());
+            let timeout = timeout.map_or("0".to_owned(), |delta| seconds(delta.0).to_string());
             let done = writeln!(out, "attempt\t{router}\t{}\t{}\t{timeout}", name(id), host(to));
             if let Some(name) = instance.names.get_mut(&id) {
                 name.out += 1;
@@ -471,7 +472,7 @@
         }
         Action::Refuse { id, retry_after } => {
             over = Some(id);
-            let wait = retry_after.map_or(0.0, seconds);
+            let wait = retry_after.map_or(0.0, |delta| seconds(delta.0));
             writeln!(out, "say_no\t{router}\t{}\t{wait}", name(id))
         }
         Action::Fail { id } => {
@@ -481,7 +482,7 @@
         Action::Cancel { id, attempt } => writeln!(out, "drop_attempt\t{router}\t{}\t{attempt}", name(id)),
         Action::Probe { host: to } => writeln!(out, "check\t{router}\t{}", host(to)),
         Action::LetGo { host: to } => writeln!(out, "let_go\t{router}\t{}", host(to)),
-        Action::Timer { at, token } => writeln!(out, "wake_at\t{router}\t{}\t{token}", seconds(at)),
+        Action::Timer { at, token } => writeln!(out, "wake_at\t{router}\t{}\t{token}", seconds(at.0)),
         Action::Watch(on) => writeln!(out, "listen\t{router}\t{}", u8::from(on)),
         Action::FetchList => writeln!(out, "query_all\t{router}"),
         Action::Log(line) => writeln!(out, "print\t{router}\t{line}"),
--- a/crates/decisions/src/budget/mod.rs
+++ b/crates/decisions/src/budget/mod.rs
@@ -8,7 +8,7 @@
 pub use fair::{allocate, Claim};
 pub use pool::{AccountId, Pool, PoolError, Reason, Recall, Refusal, Terms, RECALL};
 
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -102,7 +102,7 @@
     /// Bytes.
     pub bytes: u64,
     /// By when.
-    pub by: Time,
+    pub by: Timestamp,
 }
 
 #[derive(Debug)]
@@ -162,7 +162,7 @@
         purpose: Purpose,
         account: AccountId,
         bytes: u64,
-        now: Time,
+        now: Timestamp,
     ) -> Result<Ticket, Refused> {
         self.tree().take(purpose, account, bytes, now)?;
         Ok(Ticket { budget: self.clone(), purpose, account, bytes })
@@ -190,7 +190,7 @@
     }
 
     /// When the next recall is overdue.
-    pub fn next_due(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Timestamp> {
         let tree = self.tree();
         tree.pools.iter().chain([&tree.whole]).filter_map(Pool::next_due).min()
     }
@@ -202,11 +202,11 @@
 
     /// What has to be given back, by whatever time.
     pub fn recalls(&self) -> Vec<Due> {
-        self.overdue(Time(i64::MAX))
+        self.overdue(Timestamp(i64::MAX))
     }
 
     /// What was to be given back by now and was not: it may be taken.
-    pub fn overdue(&self, now: Time) -> Vec<Due> {
+    pub fn overdue(&self, now: Timestamp) -> Vec<Due> {
         let tree = self.tree();
         let top = tree.whole.overdue(now).into_iter().map(|recall| {
             let purpose = PURPOSES[recall.account.0];
@@ -228,7 +228,7 @@
     ///
     /// # Errors
     /// When its reserves do not fit; the cap then stays.
-    pub fn resize(&self, purpose: Purpose, cap: u64, now: Time) -> Result<(), BudgetError> {
+    pub fn resize(&self, purpose: Purpose, cap: u64, now: Timestamp) -> Result<(), BudgetError> {
         let mut recalls = Vec::new();
         let mut tree = self.tree();
         let resized = tree.pools[purpose as usize].resize(cap, now, &mut recalls);
@@ -237,7 +237,7 @@
 }
 
 impl Tree {
-    fn take(&mut self, purpose: Purpose, of: AccountId, bytes: u64, now: Time) -> Result<(), Refused> {
+    fn take(&mut self, purpose: Purpose, of: AccountId, bytes: u64, now: Timestamp) -> Result<(), Refused> {
         let mut recalls = Vec::new();
         let pool = &mut self.pools[purpose as usize];
         if let Err(refusal) = pool.take(of, bytes, now, &mut recalls) {
@@ -274,7 +274,7 @@
     ///
     /// # Errors
     /// When there is no room for more; it then stays as it is.
-    pub fn resize(&mut self, bytes: u64, now: Time) -> Result<(), Refused> {
+    pub fn resize(&mut self, bytes: u64, now: Timestamp) -> Result<(), Refused> {
         let mut tree = self.budget.tree();
         match bytes.checked_sub(self.bytes) {
             Some(more) => tree.take(self.purpose, self.account, more, now)?,
@@ -288,7 +288,7 @@
     ///
     /// # Errors
     /// When that account has no room for it; it then stays where it is.
-    pub fn assign(&mut self, account: AccountId, now: Time) -> Result<(), Refused> {
+    pub fn assign(&mut self, account: AccountId, now: Timestamp) -> Result<(), Refused> {
         if account == self.account {
             return Ok(());
         }
--- a/crates/decisions/src/budget/pool.rs
+++ b/crates/decisions/src/budget/pool.rs
@@ -1,7 +1,7 @@
 //! One pool: a cap, and the accounts that share it. See the design note 002 for the rules.
 
 use super::fair::{allocate, Claim};
-use crate::interface::Time;
+use crate::interface::{TimeDelta, Timestamp};
 
 /// An account of a pool, by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -21,7 +21,7 @@
     terms: Terms,
     used: u64,
     /// Bytes that it has been told to give back, and by when.
-    recalled: Option<(u64, Time)>,
+    recalled: Option<(u64, Timestamp)>,
 }
 
 /// Why a reservation is refused.
@@ -41,7 +41,7 @@
     /// Why.
     pub reason: Reason,
     /// When to come again, counted from now; none where that is of no use.
-    pub retry_after: Option<Time>,
+    pub retry_after: Option<TimeDelta>,
 }
 
 /// An account that has to give back.
@@ -52,7 +52,7 @@
     /// Bytes.
     pub bytes: u64,
     /// By when; from then on they may be taken.
-    pub by: Time,
+    pub by: Timestamp,
 }
 
 /// Settings of a pool that cannot work.
@@ -66,9 +66,9 @@
 }
 
 /// How long borrowers have to give back.
-pub const RECALL: Time = Time(250_000);
+pub const RECALL: TimeDelta = TimeDelta(250_000);
 /// What a pool that is full tells to stay away.
-const AWAY: Time = Time(500_000);
+const AWAY: TimeDelta = TimeDelta(500_000);
 
 /// A pool of bytes.
 #[derive(Clone, Debug)]
@@ -139,7 +139,7 @@
         &mut self,
         account: AccountId,
         bytes: u64,
-        now: Time,
+        now: Timestamp,
         recalls: &mut Vec<Recall>,
     ) -> Result<(), Refusal> {
         if bytes <= self.room(account) {
@@ -159,12 +159,18 @@
         }
         let lacking = bytes - self.room(account);
         let by = self.recall(&shares, lacking, now, recalls);
-        let retry_after = Some(Time((by.0 - now.0).max(1)));
+        let retry_after = Some(TimeDelta((by.0 - now.0).max(1)));
         Err(Refusal { reason: Reason::Recalled, retry_after })
     }
 
     /// Tells those over their shares to give back so much in all, the furthest over first; by when all is back.
-    fn recall(&mut self, shares: &[u64], lacking: u64, now: Time, recalls: &mut Vec<Recall>) -> Time {
+    fn recall(
+        &mut self,
+        shares: &[u64],
+        lacking: u64,
+        now: Timestamp,
+        recalls: &mut Vec<Recall>,
+    ) -> Timestamp {
         let mut over: Vec<(u64, usize)> = (self.accounts.iter().zip(shares).enumerate())
             .filter_map(|(n, (a, share))| {
                 Some((a.used.checked_sub(*share)?, n)).filter(|(over, _)| *over > 0)
@@ -177,7 +183,7 @@
             left -= wanted;
             let account = &mut self.accounts[n];
             let asked = account.recalled.map_or(0, |(bytes, _)| bytes);
-            let by = account.recalled.map_or(Time(now.0 + RECALL.0), |(_, by)| by);
+            let by = account.recalled.map_or(Timestamp(now.0 + RECALL.0), |(_, by)| by);
             if wanted > asked {
                 // The time that was given first holds: asking again must not put it off.
                 account.recalled = Some((wanted, by));
@@ -212,7 +218,7 @@
     }
 
     /// Recalls whose time is over: these bytes may be taken from their accounts.
-    pub fn overdue(&self, now: Time) -> Vec<Recall> {
+    pub fn overdue(&self, now: Timestamp) -> Vec<Recall> {
         let due = |(n, a): (usize, &Account)| {
             let (bytes, by) = a.recalled.filter(|(_, by)| *by <= now)?;
             Some(Recall { account: AccountId(n), bytes: bytes.min(a.used), by })
@@ -221,7 +227,7 @@
     }
 
     /// When the next recall is overdue.
-    pub fn next_due(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Timestamp> {
         self.accounts.iter().filter_map(|a| a.recalled.map(|(_, by)| by)).min()
     }
 
@@ -230,7 +236,7 @@
     ///
     /// # Errors
     /// When the reserves do not fit into it; the cap then stays.
-    pub fn resize(&mut self, cap: u64, now: Time, recalls: &mut Vec<Recall>) -> Result<(), PoolError> {
+    pub fn resize(&mut self, cap: u64, now: Timestamp, recalls: &mut Vec<Recall>) -> Result<(), PoolError> {
         let reserves = self.accounts.iter().map(|a| a.terms.reserve).fold(0, u64::saturating_add);
         if reserves > cap {
             return Err(PoolError { reserves, cap });
--- a/crates/decisions/src/check.rs
+++ b/crates/decisions/src/check.rs
@@ -1,6 +1,6 @@
 //! Whether settings are sensible; the values themselves are judged nowhere else.
 
-use crate::interface::{Freshness, Settings, SettingsError, Time, WhenBehind};
+use crate::interface::{Freshness, Settings, SettingsError, TimeDelta, WhenBehind};
 
 /// Names the first setting that no router could work with.
 ///
@@ -17,10 +17,10 @@
     }
     for (n, class) in s.classes.iter().enumerate() {
         let key = |field: &str| format!("classes[{n}].{field}");
-        if class.aim <= Time(0) {
+        if class.aim <= TimeDelta(0) {
             return wrong(&key("aim"), "must be above zero");
         }
-        if class.deadline <= Time(0) {
+        if class.deadline <= TimeDelta(0) {
             return wrong(&key("deadline"), "must be above zero");
         }
         if !(class.worth.is_finite() && class.worth >= 0.0) {
@@ -29,10 +29,10 @@
         if !(class.late_worth.is_finite() && class.late_worth >= 0.0) {
             return wrong(&key("late_worth"), "must be a number not below zero");
         }
-        if class.key_window < Time(0) {
+        if class.key_window < TimeDelta(0) {
             return wrong(&key("key_window"), "must not be negative");
         }
-        if matches!(class.freshness, Freshness::Bounded(bound) if bound < Time(0)) {
+        if matches!(class.freshness, Freshness::Bounded(bound) if bound < TimeDelta(0)) {
             return wrong(&key("bound"), "must not be negative");
         }
     }
@@ -44,10 +44,10 @@
         ("fall", s.fall),
         ("max_retry_after", s.max_retry_after),
     ];
-    if let Some((key, _)) = spans.iter().find(|(_, span)| *span < Time(0)) {
+    if let Some((key, _)) = spans.iter().find(|(_, span)| *span < TimeDelta(0)) {
         return wrong(key, "must not be negative");
     }
-    if matches!(s.when_behind, WhenBehind::Wait(wait) if wait < Time(0)) {
+    if matches!(s.when_behind, WhenBehind::Wait(wait) if wait < TimeDelta(0)) {
         return wrong("when_behind", "the wait must not be negative");
     }
     if !(0.0..=1.0).contains(&s.cold_from) {
@@ -69,18 +69,18 @@
     /// One class of harmless reads at a single router: a start for examples and tests.
     pub fn example() -> Self {
         use crate::interface::{Class, ListRole, Repeat, Reports};
-        let second = Time(1_000_000);
+        let second = TimeDelta(1_000_000);
         Self {
             routers: 1,
             zone: 0,
-            tick: Time(5_000),
+            tick: TimeDelta(5_000),
             classes: vec![Class {
-                aim: Time(500_000),
+                aim: TimeDelta(500_000),
                 deadline: second,
                 worth: 1.0,
                 late_worth: 0.0,
                 repeat: Repeat::Safe,
-                key_window: Time(0),
+                key_window: TimeDelta(0),
                 freshness: Freshness::Any,
             }],
             quotas: Vec::new(),
@@ -94,9 +94,9 @@
             reports: Reports::Inline,
             on_request: false,
             removal_not_binding: false,
-            answer_slack: Time(20_000),
-            ask_within: Time(0),
-            cold: Time(10_000_000),
+            answer_slack: TimeDelta(20_000),
+            ask_within: TimeDelta(0),
+            cold: TimeDelta(10_000_000),
             cold_from: 0.25,
             fall: second,
             fall_multiple: 2.0,
--- a/crates/decisions/src/drain/connection.rs
+++ b/crates/decisions/src/drain/connection.rs
@@ -7,7 +7,7 @@
 //! let go whatever its client does, also where it never leaves a gap between its requests.
 
 use super::Drain;
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use std::time::Duration;
 
 /// After a call to drain the operators wait so long until no connection may be held.
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ActiveDrain {
     /// When it began.
-    pub since: Time,
+    pub since: Timestamp,
     /// Its moments.
     pub spans: ConnectionSpans,
     /// Whether the process ends with it: then also those who have asked for nothing yet are closed at `stops`.
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionState {
     /// When bytes were last read, or an answer last written.
-    pub quiet: Time,
+    pub quiet: Timestamp,
     /// Whether it has asked for anything since it was opened.
     pub asked: bool,
     /// Whether part of a message is there.
@@ -94,9 +94,9 @@
     /// What it may do.
     pub permission: Permission,
     /// When it is to be closed if nothing is owed to it by then and nothing more comes.
-    pub closes: Option<Time>,
+    pub closes: Option<Timestamp>,
     /// When to ask again, if nothing else happens before.
-    pub until: Option<Time>,
+    pub until: Option<Timestamp>,
 }
 
 impl Verdict {
@@ -105,7 +105,7 @@
 
     /// The stricter of two.
     fn and(self, other: Self) -> Self {
-        let earlier = |a: Option<Time>, b: Option<Time>| a.into_iter().chain(b).min();
+        let earlier = |a: Option<Timestamp>, b: Option<Timestamp>| a.into_iter().chain(b).min();
         Self {
             permission: self.permission.max(other.permission),
             closes: earlier(self.closes, other.closes),
@@ -116,16 +116,16 @@
 
 impl ActiveDrain {
     /// The moment that comes so long after its beginning.
-    fn at(&self, span: Duration) -> Time {
-        Time(self.since.0.saturating_add(span.as_micros() as i64))
+    fn at(&self, span: Duration) -> Timestamp {
+        Timestamp(self.since.0.saturating_add(span.as_micros() as i64))
     }
 
     /// What this drain means for a connection.
-    fn verdict(&self, state: ConnectionState, now: Time) -> Verdict {
+    fn verdict(&self, state: ConnectionState, now: Timestamp) -> Verdict {
         let ConnectionSpans { closes, stops, ends, .. } = self.spans;
         let (closes, stops, ends) = (self.at(closes), self.at(stops), self.at(ends));
         let patience = if state.asked && !state.begun { 0 } else { self.spans.first.as_micros() as i64 };
-        let idle_until = Time(closes.0.max(state.quiet.0.saturating_add(patience)));
+        let idle_until = Timestamp(closes.0.max(state.quiet.0.saturating_add(patience)));
         let is_bounded = state.asked || self.is_final;
         let permission = match state.asked {
             true if now >= ends => Permission::Overdue,
@@ -141,7 +141,11 @@
 }
 
 /// What the drains that have begun mean for a connection.
-pub fn verdict(drains: impl IntoIterator<Item = ActiveDrain>, state: ConnectionState, now: Time) -> Verdict {
+pub fn verdict(
+    drains: impl IntoIterator<Item = ActiveDrain>,
+    state: ConnectionState,
+    now: Timestamp,
+) -> Verdict {
     let verdicts = drains.into_iter().map(|drain| drain.verdict(state, now));
     verdicts.fold(Verdict::OPEN, Verdict::and)
 }
@@ -150,10 +154,10 @@
 /// something, and the drain is past its end; at the latest when connections are cut. None without a drain.
 pub fn write_ends(
     drains: impl IntoIterator<Item = ActiveDrain>,
-    last_taken: Time,
+    last_taken: Timestamp,
     stalled: Duration,
-) -> Option<Time> {
-    let stalled = Time(last_taken.0.saturating_add(stalled.as_micros() as i64));
+) -> Option<Timestamp> {
+    let stalled = Timestamp(last_taken.0.saturating_add(stalled.as_micros() as i64));
     let end = |drain: ActiveDrain| {
         let patient = drain.at(drain.spans.ends).max(stalled);
         drain.spans.cuts.map_or(patient, |cuts| patient.min(drain.at(cuts)))
@@ -162,6 +166,6 @@
 }
 
 /// When connections are cut, whatever they wait for: where the process ends.
-pub fn cuts(drains: impl IntoIterator<Item = ActiveDrain>) -> Option<Time> {
+pub fn cuts(drains: impl IntoIterator<Item = ActiveDrain>) -> Option<Timestamp> {
     drains.into_iter().filter_map(|drain| Some(drain.at(drain.spans.cuts?))).min()
 }
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -1,14 +1,9 @@
-//! What the router is told and what it answers. Types, and what follows from the settings alone; every
-//! decision is in `policy.rs`.
+//! The router's input and output: settings, events and actions. Types, and what follows from the settings alone;
+//! decisions are made elsewhere.
 
+pub use crate::time::{TimeDelta, Timestamp};
 use std::fmt;
 
-/// A moment or a span, in microseconds.
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
-)]
-pub struct Time(pub i64);
-
 /// A log position: the moment, in microseconds, up to which every commit is applied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position(pub i64);
@@ -43,7 +38,7 @@
     /// Sees the writes of its session.
     Session,
     /// No older than this at the send.
-    Bounded(Time),
+    Bounded(TimeDelta),
     /// Any member will do.
     Any,
 }
@@ -112,7 +107,7 @@
     /// All up to that position.
     From(Position),
     /// All up to so long before the request's last byte was written.
-    Within(Time),
+    Within(TimeDelta),
 }
 
 impl Recent {
@@ -126,7 +121,7 @@
     }
 
     /// The position that is needed by a request written at that moment; the least of all where anything will do.
-    pub fn need(self, written: Time) -> Position {
+    pub fn need(self, written: Timestamp) -> Position {
         match self {
             Self::Any => Position(i64::MIN),
             Self::From(position) => position,
@@ -136,15 +131,15 @@
 
     /// Whether an answer that tells this position is recent enough for a request written at that moment. One that tells
     /// none is not, but where anything will do.
-    pub fn met(self, told: Option<Position>, written: Time) -> bool {
+    pub fn met(self, told: Option<Position>, written: Timestamp) -> bool {
         self == Self::Any || told.is_some_and(|told| told >= self.need(written))
     }
 
     /// Until when a request may be written to a host that is known to stand at that position; for good where nothing is
     /// said.
-    pub fn until(self, known: Position) -> Option<Time> {
+    pub fn until(self, known: Position) -> Option<Timestamp> {
         match self {
-            Self::Within(bound) => Some(Time(known.0.saturating_add(bound.0))),
+            Self::Within(bound) => Some(Timestamp(known.0.saturating_add(bound.0))),
             _ => None,
         }
     }
@@ -158,7 +153,7 @@
     /// Turns it away at once.
     Refuse,
     /// Waits this long for the log, then turns it away.
-    Wait(Time),
+    Wait(TimeDelta),
 }
 
 /// Where load reports arrive.
@@ -183,12 +178,12 @@
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub struct Class {
-    pub aim: Time,
-    pub deadline: Time,
+    pub aim: TimeDelta,
+    pub deadline: TimeDelta,
     pub worth: f64,
     pub late_worth: f64,
     pub repeat: Repeat,
-    pub key_window: Time,
+    pub key_window: TimeDelta,
     pub freshness: Freshness,
 }
 
@@ -198,7 +193,7 @@
 pub struct Settings {
     pub routers: u32,
     pub zone: u32,
-    pub tick: Time,
+    pub tick: TimeDelta,
     pub classes: Vec<Class>,
     pub quotas: Vec<f64>,
     pub over_share_worth: f64,
@@ -212,14 +207,14 @@
     pub reports: Reports,
     pub on_request: bool,
     pub removal_not_binding: bool,
-    pub answer_slack: Time,
-    pub ask_within: Time,
-    pub cold: Time,
+    pub answer_slack: TimeDelta,
+    pub ask_within: TimeDelta,
+    pub cold: TimeDelta,
     pub cold_from: f64,
-    pub fall: Time,
+    pub fall: TimeDelta,
     pub fall_multiple: f64,
     pub max_attempts: u32,
-    pub max_retry_after: Time,
+    pub max_retry_after: TimeDelta,
     pub may_cancel: bool,
     pub may_probe: bool,
     pub second_copies: bool,
@@ -245,7 +240,7 @@
     }
 
     /// Part of its capacity, between 0 and 1, that a host has at the least so long after its start.
-    pub fn warmth(&self, age: Time) -> f64 {
+    pub fn warmth(&self, age: TimeDelta) -> f64 {
         let age = age.0 as f64 / self.cold.0.max(1) as f64;
         self.cold_from + (1.0 - self.cold_from) * age.clamp(0.0, 1.0)
     }
@@ -311,7 +306,7 @@
     pub weight: f64,
     pub leader: bool,
     pub state: HostState,
-    pub online_since: Option<Time>,
+    pub online_since: Option<Timestamp>,
 }
 
 impl HostEntry {
@@ -342,16 +337,16 @@
     pub class: usize,
     pub group: u32,
     pub tenant: usize,
-    pub since_write: Option<Time>,
+    pub since_write: Option<TimeDelta>,
     pub again: bool,
-    pub ttl: Time,
+    pub ttl: TimeDelta,
     pub session: Option<SessionId>,
 }
 
 impl Request {
     /// A request of a class to a group, with the time its client waits in microseconds.
     pub fn new(id: RequestId, class: usize, group: u32, ttl: i64) -> Self {
-        let ttl = Time(ttl);
+        let ttl = TimeDelta(ttl);
         Self { id, class, group, tenant: 0, since_write: None, again: false, ttl, session: None }
     }
 }
@@ -372,7 +367,7 @@
     pub attempt: u32,
     pub host: HostId,
     pub outcome: Outcome,
-    pub latency: Time,
+    pub latency: TimeDelta,
     pub closed: bool,
     pub position: Option<Position>,
     pub role: Option<Role>,
@@ -386,7 +381,7 @@
     Hosts(ListKind, Vec<HostEntry>),
     Arrival(Request),
     Reply(Reply),
-    Probed { host: HostId, outcome: Outcome, latency: Time, report: Option<Report> },
+    Probed { host: HostId, outcome: Outcome, latency: TimeDelta, report: Option<Report> },
     ClientLeft(RequestId),
     Begun { id: RequestId, attempt: u32 },
     Timer(u64),
@@ -400,15 +395,15 @@
     Send {
         id: RequestId,
         host: HostId,
-        timeout: Option<Time>,
+        timeout: Option<TimeDelta>,
         /// What its answer must be from, where answers are checked.
         recent: Recent,
         /// It must be written by then or not at all: later nothing shows its host to be recent enough.
-        until: Option<Time>,
+        until: Option<Timestamp>,
     },
     Refuse {
         id: RequestId,
-        retry_after: Option<Time>,
+        retry_after: Option<TimeDelta>,
     },
     Fail {
         id: RequestId,
@@ -421,7 +416,7 @@
         host: HostId,
     },
     Timer {
-        at: Time,
+        at: Timestamp,
         token: u64,
     },
     /// Closes idle connections to a host.
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -15,6 +15,7 @@
 mod policy;
 pub mod settings;
 pub mod state;
+pub mod time;
 
 pub use interface::*;
 pub use policy::Router;
--- a/crates/decisions/src/load/crowd.rs
+++ b/crates/decisions/src/load/crowd.rs
@@ -3,7 +3,7 @@
 //! of all groups stands beside that. What follows from lateness is the module's to decide.
 
 use super::Faded;
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use std::collections::BTreeMap;
 
 /// What is heard of all groups counts as much as so many answers of the one.
@@ -14,15 +14,15 @@
 struct Heard {
     late: Faded,
     number: f64,
-    at: Time,
+    at: Timestamp,
 }
 
 impl Heard {
-    fn number(&self, now: Time, span: f64) -> f64 {
+    fn number(&self, now: Timestamp, span: f64) -> f64 {
         self.number * (-((now.0 - self.at.0).max(0) as f64) / span).exp()
     }
 
-    fn learn(&mut self, now: Time, sample: f64, least: f64, span: f64) {
+    fn learn(&mut self, now: Timestamp, sample: f64, least: f64, span: f64) {
         (self.number, self.at) = (self.number(now, span) + 1.0, now);
         self.late.learn(now, sample, least, span);
     }
@@ -45,13 +45,13 @@
     }
 
     /// An answer of a group's primary, or of a replica, that took so many parts of its aim.
-    pub fn learn(&mut self, group: u32, primary: bool, now: Time, sample: f64) {
+    pub fn learn(&mut self, group: u32, primary: bool, now: Timestamp, sample: f64) {
         self.groups.entry((group, primary)).or_default().learn(now, sample, self.least, self.span);
         self.all[usize::from(primary)].learn(now, sample, self.least, self.span);
     }
 
     /// How late answers are there; what is heard of other groups weighs the more the less is heard of this one.
-    pub fn late(&self, group: u32, primary: bool, now: Time) -> f64 {
+    pub fn late(&self, group: u32, primary: bool, now: Timestamp) -> f64 {
         let own = self.groups.get(&(group, primary)).copied().unwrap_or_default();
         let own_number = own.number(now, self.span);
         let all = self.all[usize::from(primary)].read(now, self.span);
@@ -62,7 +62,7 @@
     }
 
     /// Part of what is known of a group that is still fresh, between 0 and 1.
-    pub fn known(&self, group: u32, primary: bool, now: Time) -> f64 {
+    pub fn known(&self, group: u32, primary: bool, now: Timestamp) -> f64 {
         self.groups.get(&(group, primary)).map_or(0.0, |heard| heard.late.kept(now, self.span))
     }
 }
@@ -73,8 +73,8 @@
 
     const SPAN: f64 = 6e6;
 
-    fn at(ms: i64) -> Time {
-        Time(1_000_000_000 + ms * 1_000)
+    fn at(ms: i64) -> Timestamp {
+        Timestamp(1_000_000_000 + ms * 1_000)
     }
 
     /// Twenty groups, each heard once in two seconds, all of them well.
--- a/crates/decisions/src/load/group.rs
+++ b/crates/decisions/src/load/group.rs
@@ -2,7 +2,7 @@
 //! hosts serve. What hosts serve is what they can do; what clients ask may be many times that, since whoever is turned
 //! away comes again. Which host gets what is the module's to decide.
 
-use crate::interface::Time;
+use crate::interface::{TimeDelta, Timestamp};
 
 /// So many requests are presumed to have been asked and served: the first few tell nothing.
 const PRESUMED: f64 = 2.0;
@@ -12,11 +12,11 @@
 struct Offer {
     asked: f64,
     served: f64,
-    at: Time,
+    at: Timestamp,
 }
 
 impl Offer {
-    fn fade(&mut self, now: Time, span: Time) {
+    fn fade(&mut self, now: Timestamp, span: TimeDelta) {
         let kept = (-((now.0 - self.at.0).max(0) as f64) / span.0.max(1) as f64).exp();
         (self.asked, self.served, self.at) = (self.asked * kept, self.served * kept, now);
     }
@@ -42,14 +42,14 @@
     }
 
     /// A request has come for it: a write, or a read. What is older than `span` is all but forgotten.
-    pub fn asked(&mut self, write: bool, now: Time, span: Time) {
+    pub fn asked(&mut self, write: bool, now: Timestamp, span: TimeDelta) {
         let offer = self.offer(write);
         offer.fade(now, span);
         offer.asked += 1.0;
     }
 
     /// A host has served one.
-    pub fn served(&mut self, write: bool, now: Time, span: Time) {
+    pub fn served(&mut self, write: bool, now: Timestamp, span: TimeDelta) {
         let offer = self.offer(write);
         offer.fade(now, span);
         offer.served += 1.0;
@@ -81,13 +81,13 @@
 mod tests {
     use super::*;
 
-    const SPAN: Time = Time(3_000_000);
+    const SPAN: TimeDelta = TimeDelta(3_000_000);
 
     #[test]
     fn what_comes_again_after_refusals_lowers_the_part_that_is_served() {
         let mut group = Group::default();
         let ask = |group: &mut Group, n: i64, each: i64| {
-            for at in (0..n).map(|n| Time(1_000_000_000 + n * 100_000)) {
+            for at in (0..n).map(|n| Timestamp(1_000_000_000 + n * 100_000)) {
                 (0..each).for_each(|_| group.asked(false, at, SPAN));
                 group.served(false, at, SPAN);
             }
--- a/crates/decisions/src/load/rest.rs
+++ b/crates/decisions/src/load/rest.rs
@@ -1,13 +1,13 @@
 //! When a host that failed is left alone, and for how long: longer with each further failure, and forgotten with its
 //! first answer. Who may be asked all the same is the module's to decide.
 
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 /// The rests of one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Rest {
     failures: u32,
-    until: Time,
+    until: Timestamp,
 }
 
 /// A rest is doubled this often at the most.
@@ -27,7 +27,7 @@
     }
 
     /// Whether it is to be left alone.
-    pub fn rests(&self, now: Time) -> bool {
+    pub fn rests(&self, now: Timestamp) -> bool {
         self.failing() && now < self.until
     }
 
@@ -38,16 +38,16 @@
 
     /// It has failed: it rests for `first` microseconds, doubled with each failure since its last answer, and for
     /// `longest` at the most. A rest that is longer already stands.
-    pub fn failed(&mut self, now: Time, first: i64, longest: i64) {
+    pub fn failed(&mut self, now: Timestamp, first: i64, longest: i64) {
         self.failures += 1;
         let rest = (first << (self.failures - 1).min(DOUBLINGS)).min(longest);
-        self.until = self.until.max(Time(now.0 + rest));
+        self.until = self.until.max(Timestamp(now.0 + rest));
     }
 
     /// It is asked: one that failed gets one trial at a time, so it rests for so many microseconds anew.
-    pub fn tried(&mut self, now: Time, span: i64) {
+    pub fn tried(&mut self, now: Timestamp, span: i64) {
         if self.failing() {
-            self.until = Time(now.0 + span);
+            self.until = Timestamp(now.0 + span);
         }
     }
 }
@@ -61,15 +61,15 @@
 
     fn failed(times: i64) -> Rest {
         let mut rest = Rest::default();
-        (0..times).for_each(|_| rest.failed(Time(0), FIRST, LONGEST));
+        (0..times).for_each(|_| rest.failed(Timestamp(0), FIRST, LONGEST));
         rest
     }
 
     #[test]
     fn each_failure_doubles_the_rest_up_to_the_longest() {
         for (times, until) in [(1, 300), (2, 600), (3, 1_200), (5, 3_000), (100, 3_000)] {
-            assert!(failed(times).rests(Time(until - 1)), "{times}");
-            assert!(!failed(times).rests(Time(until)), "{times}");
+            assert!(failed(times).rests(Timestamp(until - 1)), "{times}");
+            assert!(!failed(times).rests(Timestamp(until)), "{times}");
         }
     }
 
@@ -79,7 +79,7 @@
         let mut rest = failed(3);
         rest.answered();
         assert!(!rest.refuses());
-        rest.failed(Time(0), FIRST, LONGEST);
+        rest.failed(Timestamp(0), FIRST, LONGEST);
         assert!(!rest.refuses(), "an answer came between");
     }
 
@@ -87,18 +87,18 @@
     fn an_answer_ends_it_and_the_next_failure_counts_from_the_first() {
         let mut rest = failed(1);
         rest.answered();
-        assert!(!rest.failing() && !rest.rests(Time(1)));
-        rest.failed(Time(1_000), FIRST, LONGEST);
-        assert!(rest.rests(Time(1_299)) && !rest.rests(Time(1_300)));
+        assert!(!rest.failing() && !rest.rests(Timestamp(1)));
+        rest.failed(Timestamp(1_000), FIRST, LONGEST);
+        assert!(rest.rests(Timestamp(1_299)) && !rest.rests(Timestamp(1_300)));
     }
 
     #[test]
     fn a_trial_makes_the_others_wait_only_where_it_has_failed() {
         let mut rest = failed(1);
-        rest.tried(Time(400), FIRST);
-        assert!(rest.rests(Time(699)));
+        rest.tried(Timestamp(400), FIRST);
+        assert!(rest.rests(Timestamp(699)));
         let mut well = Rest::default();
-        well.tried(Time(400), FIRST);
-        assert!(!well.rests(Time(401)));
+        well.tried(Timestamp(400), FIRST);
+        assert!(!well.rests(Timestamp(401)));
     }
 }
--- a/crates/decisions/src/membership/advice.rs
+++ b/crates/decisions/src/membership/advice.rs
@@ -6,7 +6,7 @@
 //! happen once needs [`super::agreement`], which has another type for who is in and who is out.
 
 use super::view::{Identity, Name};
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
@@ -132,19 +132,19 @@
 struct Known {
     opinion: Opinion,
     refuted: u32,
-    since: Time,
+    since: Timestamp,
     /// When it was last heard itself.
-    heard: Option<Time>,
+    heard: Option<Timestamp>,
     /// Who suspects it, and from when on it is gone.
     accusers: BTreeSet<Name>,
-    gone_at: Time,
+    gone_at: Timestamp,
 }
 
 struct Probing {
     whom: Identity,
     number: u32,
     /// When others are asked to help; none once they were.
-    help_at: Option<Time>,
+    help_at: Option<Timestamp>,
     /// Helpers that have said nothing at all: if all are silent it is the prober that is unwell.
     silent: usize,
     answered: bool,
@@ -160,22 +160,23 @@
     turns: Vec<Identity>,
     probing: Option<Probing>,
     /// Probes for others: their number there, who asked, and until when they are waited for.
-    errands: BTreeMap<u32, (Identity, u32, Time)>,
+    errands: BTreeMap<u32, (Identity, u32, Timestamp)>,
     number: u32,
     refuted: u32,
     unwell: u32,
     /// News and how often each was passed on.
     news: Vec<(News, u32)>,
-    probe_at: Time,
-    sync_at: Time,
+    probe_at: Timestamp,
+    sync_at: Timestamp,
     leaving: bool,
 }
 
 impl Advice {
     /// Of a member that knows nobody yet.
-    pub fn new(me: Identity, tempo: Tempo, seed: u64, now: Time) -> Self {
+    pub fn new(me: Identity, tempo: Tempo, seed: u64, now: Timestamp) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let first = |span: i64, random: &mut ChaCha8Rng| Time(now.0 + random.random_range(0..span.max(1)));
+        let first =
+            |span: i64, random: &mut ChaCha8Rng| Timestamp(now.0 + random.random_range(0..span.max(1)));
         let (probe_at, sync_at) = (first(tempo.probe, &mut random), first(tempo.sync, &mut random));
         Self {
             me,
@@ -208,7 +209,7 @@
     }
 
     /// When a member was last heard itself, not through others.
-    pub fn heard_at(&self, who: &Identity) -> Option<Time> {
+    pub fn heard_at(&self, who: &Identity) -> Option<Timestamp> {
         self.known.get(who).and_then(|known| known.heard)
     }
 
@@ -225,13 +226,13 @@
     // ---- What it is told -------------------------------------------------------------------------------
 
     /// Somebody is there of whom nothing was known.
-    pub fn met(&mut self, now: Time, who: &Identity, out: &mut Vec<Output>) {
+    pub fn met(&mut self, now: Timestamp, who: &Identity, out: &mut Vec<Output>) {
         let news = News { who: who.clone(), opinion: Opinion::Alive, refuted: 0, by: self.me.name.clone() };
         self.learn(now, news, out);
     }
 
     /// Anything at all has come from a member itself, whatever its kind.
-    pub fn heard_from(&mut self, now: Time, from: &Identity, out: &mut Vec<Output>) {
+    pub fn heard_from(&mut self, now: Timestamp, from: &Identity, out: &mut Vec<Output>) {
         self.met(now, from, out);
         if let Some(known) = self.known.get_mut(from) {
             known.heard = Some(now);
@@ -239,7 +240,7 @@
     }
 
     /// A message has come.
-    pub fn heard(&mut self, now: Time, from: &Identity, message: Message, out: &mut Vec<Output>) {
+    pub fn heard(&mut self, now: Timestamp, from: &Identity, message: Message, out: &mut Vec<Output>) {
         self.heard_from(now, from, out);
         match message {
             Message::Probe { number, news } => {
@@ -254,7 +255,8 @@
             Message::ProbeFor { number, whom, news } => {
                 self.learn_all(now, news, out);
                 self.number += 1;
-                self.errands.insert(self.number, (from.clone(), number, Time(now.0 + self.tempo.answer)));
+                self.errands
+                    .insert(self.number, (from.clone(), number, Timestamp(now.0 + self.tempo.answer)));
                 let probe = Message::Probe { number: self.number, news: self.pick_news(Some(&whom)) };
                 out.push(Output::Send(whom, probe));
             }
@@ -274,16 +276,16 @@
     }
 
     /// When [`Self::timer`] has to be called at the latest.
-    pub fn next_timer(&self) -> Time {
+    pub fn next_timer(&self) -> Timestamp {
         let help = self.probing.as_ref().and_then(|probing| probing.help_at);
         let errand = self.errands.values().map(|(.., until)| *until).min();
         let suspects = self.known.values().filter(|k| k.opinion == Opinion::Suspect).map(|k| k.gone_at).min();
         let all = [help, errand, suspects].into_iter().flatten();
-        all.fold(self.probe_at.min(self.sync_at), Time::min)
+        all.fold(self.probe_at.min(self.sync_at), Timestamp::min)
     }
 
-    /// Time has passed.
-    pub fn timer(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Timestamp has passed.
+    pub fn timer(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let late = now.0 - self.next_timer().0;
         if late > self.tempo.stood {
             self.stood(now, late, out);
@@ -300,7 +302,7 @@
         if now >= self.sync_at {
             // The state is as long as there are members: what it costs each of them is to stay the same.
             let size = (self.count() as i64 / SYNC_MEMBERS).max(1);
-            self.sync_at = Time(now.0 + self.tempo.sync * size);
+            self.sync_at = Timestamp(now.0 + self.tempo.sync * size);
             if let Some(with) = self.pick(1, None).pop() {
                 let state = Message::State { known: self.state(), wanted: true };
                 out.push(Output::Send(with, state));
@@ -325,12 +327,12 @@
     }
 
     /// After a stand-still all that was to be heard meanwhile may still lie there: nobody is accused for it.
-    fn stood(&mut self, now: Time, span: i64, out: &mut Vec<Output>) {
+    fn stood(&mut self, now: Timestamp, span: i64, out: &mut Vec<Output>) {
         self.probing = None;
         self.errands.clear();
         self.unwell = UNWELL;
         for known in self.known.values_mut() {
-            known.gone_at = Time(known.gone_at.0 + span);
+            known.gone_at = Timestamp(known.gone_at.0 + span);
             known.heard = known.heard.map(|_| now);
         }
         // Others may have suspected this process: a later word goes before theirs.
@@ -347,9 +349,9 @@
     // ---- Probes ----------------------------------------------------------------------------------------
 
     /// Each member once in a random order, then in another: nobody waits longer than two rounds.
-    fn probe_next(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn probe_next(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let unwell = i64::from(self.unwell) + 1;
-        self.probe_at = Time(now.0 + self.tempo.probe * unwell);
+        self.probe_at = Timestamp(now.0 + self.tempo.probe * unwell);
         let whom = loop {
             let Some(whom) = self.turns.pop() else {
                 self.turns = self.pick(usize::MAX, None);
@@ -363,7 +365,7 @@
             }
         };
         self.number += 1;
-        let help_at = Some(Time(now.0 + self.tempo.answer * unwell));
+        let help_at = Some(Timestamp(now.0 + self.tempo.answer * unwell));
         let number = self.number;
         self.probing = Some(Probing { whom: whom.clone(), number, help_at, silent: 0, answered: false });
         let news = self.pick_news(Some(&whom));
@@ -397,7 +399,7 @@
     }
 
     /// Those who asked hear that there was no answer: they know then that at least this one is there.
-    fn errands_over(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn errands_over(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let over: Vec<u32> =
             self.errands.iter().filter(|(_, (.., until))| *until <= now).map(|(n, _)| *n).collect();
         for number in over {
@@ -407,7 +409,7 @@
         }
     }
 
-    fn probe_ends(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn probe_ends(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let Some(probing) = self.probing.take().filter(|p| !p.answered) else { return };
         // Where helpers that should have answered did not, this process may be the one that is cut off.
         if probing.silent > 0 {
@@ -432,7 +434,7 @@
         (least * (LONGEST - (LONGEST - 1.0) * part)) as i64
     }
 
-    fn suspicions_over(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn suspicions_over(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let over = |known: &Known| known.opinion == Opinion::Suspect && now >= known.gone_at;
         let gone: Vec<(Identity, u32)> =
             self.known.iter().filter(|(_, k)| over(k)).map(|(who, k)| (who.clone(), k.refuted)).collect();
@@ -448,12 +450,12 @@
 
     // ---- News ------------------------------------------------------------------------------------------
 
-    fn learn_all(&mut self, now: Time, all: Vec<News>, out: &mut Vec<Output>) {
+    fn learn_all(&mut self, now: Timestamp, all: Vec<News>, out: &mut Vec<Output>) {
         all.into_iter().for_each(|news| self.learn(now, news, out));
     }
 
     /// Takes a piece of news in and passes on what is new.
-    fn learn(&mut self, now: Time, news: News, out: &mut Vec<Output>) {
+    fn learn(&mut self, now: Timestamp, news: News, out: &mut Vec<Output>) {
         if news.who == self.me {
             return self.refute(&news);
         }
@@ -461,7 +463,7 @@
             // Whoever was never heard of is not first heard of as gone.
             if matches!(news.opinion, Opinion::Alive | Opinion::Suspect) {
                 let accusers = BTreeSet::new();
-                let gone_at = Time(now.0 + self.suspicion(0));
+                let gone_at = Timestamp(now.0 + self.suspicion(0));
                 let known = Known {
                     opinion: Opinion::Alive,
                     refuted: news.refuted,
@@ -502,7 +504,7 @@
         }
         (known.opinion, known.refuted, known.since) = (news.opinion, news.refuted, now);
         known.accusers = [news.by.clone()].into();
-        let gone_at = Time(now.0 + self.suspicion(0));
+        let gone_at = Timestamp(now.0 + self.suspicion(0));
         if let Some(known) = self.known.get_mut(&news.who) {
             known.gone_at = gone_at;
         }
@@ -511,13 +513,13 @@
     }
 
     /// One more accuser: the suspicion is the shorter, and is passed on as long as that makes a difference.
-    fn confirm(&mut self, now: Time, news: News) {
+    fn confirm(&mut self, now: Timestamp, news: News) {
         let shortest = [0, 1, 2, 3].map(|confirmations| self.suspicion(confirmations));
         let Some(known) = self.known.get_mut(&news.who).filter(|k| news.refuted >= k.refuted) else { return };
         known.refuted = news.refuted;
         if known.accusers.len() <= CONFIRMATIONS && known.accusers.insert(news.by.clone()) {
             let span = shortest[(known.accusers.len() - 1).min(CONFIRMATIONS)];
-            known.gone_at = known.gone_at.min(Time(known.since.0 + span)).max(now);
+            known.gone_at = known.gone_at.min(Timestamp(known.since.0 + span)).max(now);
             self.spread(news);
         }
     }
--- a/crates/decisions/src/membership/agreement.rs
+++ b/crates/decisions/src/membership/agreement.rs
@@ -15,7 +15,7 @@
 
 use super::lease::Terms;
 use super::view::{Change, Identity, Name, View};
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -46,14 +46,14 @@
         /// Under this view.
         epoch: u64,
         /// When it asked, by its own clock: it gets this back.
-        sent: Time,
+        sent: Timestamp,
     },
     /// A voter grants it.
     Granted {
         /// Under this view.
         epoch: u64,
         /// As it was asked.
-        sent: Time,
+        sent: Timestamp,
     },
     /// A ballot for the view after this one is opened.
     Prepare {
@@ -139,7 +139,7 @@
     /// What is asked for, once enough have promised.
     value: Option<View>,
     accepted: BTreeSet<Identity>,
-    over: Time,
+    over: Timestamp,
 }
 
 /// Those that were seen to go are remembered up to this number: of older ones nobody may say that they are free.
@@ -157,23 +157,23 @@
     accepted: Option<(Ballot, View)>,
     round: Option<Round>,
     /// Whoever was let in while this process did not look, or stands in another life's place, gets no lease before.
-    not_before: BTreeMap<Identity, Time>,
+    not_before: BTreeMap<Identity, Timestamp>,
     /// From when on each of those that were seen to go may be replaced.
-    gone: BTreeMap<Identity, Time>,
+    gone: BTreeMap<Identity, Timestamp>,
     /// What was granted before this process began has run out by then.
-    quiet: Time,
+    quiet: Timestamp,
     /// Until when the lease is believed in.
-    lease: Option<Time>,
+    lease: Option<Timestamp>,
     /// When it was asked for, and who has granted it since.
-    asked: BTreeMap<Time, BTreeSet<Identity>>,
-    renew_at: Time,
+    asked: BTreeMap<Timestamp, BTreeSet<Identity>>,
+    renew_at: Timestamp,
     /// What was told last.
     told_fenced: bool,
 }
 
 impl Agreement {
     /// A life that begins now. `kept` is what a disk has of it; without any, the life must be a new one.
-    pub fn new(me: Identity, terms: Terms, seeds: &[Name], kept: Durable, now: Time) -> Self {
+    pub fn new(me: Identity, terms: Terms, seeds: &[Name], kept: Durable, now: Timestamp) -> Self {
         let view = kept.view.unwrap_or_else(|| View::genesis(seeds));
         Self {
             me,
@@ -212,12 +212,12 @@
 
     /// Whether this process must not act as a member at that moment of its clock. It is to be asked right before each
     /// act: a process may have stood still since it was told anything.
-    pub fn fenced(&self, now: Time) -> bool {
+    pub fn fenced(&self, now: Timestamp) -> bool {
         !self.view.contains(&self.me) || self.lease.is_none_or(|until| now >= until)
     }
 
     /// How long the lease still lasts, in microseconds; 0 where there is none.
-    pub fn lease_left(&self, now: Time) -> i64 {
+    pub fn lease_left(&self, now: Timestamp) -> i64 {
         if self.fenced(now) {
             return 0;
         }
@@ -225,13 +225,13 @@
     }
 
     /// Until when the last lease is, or was, believed in by this process's own clock.
-    pub fn lease_until(&self) -> Option<Time> {
+    pub fn lease_until(&self) -> Option<Timestamp> {
         self.lease
     }
 
     /// Whether that life is out by agreement and knows it: somebody else may act in its place. Only of a life that
     /// this process has seen as a member: one that it has never seen may have been let in meanwhile.
-    pub fn free(&self, who: &Identity, now: Time) -> bool {
+    pub fn free(&self, who: &Identity, now: Timestamp) -> bool {
         self.gone.get(who).is_some_and(|at| now >= *at)
     }
 
@@ -249,14 +249,14 @@
     // ---- What it is told -------------------------------------------------------------------------------
 
     /// When [`Self::timer`] has to be called at the latest.
-    pub fn next_timer(&self) -> Option<Time> {
+    pub fn next_timer(&self) -> Option<Timestamp> {
         let renews = self.view.contains(&self.me).then_some(self.renew_at);
         let lapses = self.lease.filter(|_| !self.told_fenced);
         [renews, lapses, self.round.as_ref().map(|round| round.over)].into_iter().flatten().min()
     }
 
-    /// Time has passed.
-    pub fn timer(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Timestamp has passed.
+    pub fn timer(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.tell_fence(now, out);
         if self.round.as_ref().is_some_and(|round| now >= round.over) {
             self.round = None;
@@ -268,21 +268,21 @@
 
     /// A change of the view is wished for. Only a voter's wish comes to anything, and only if no other ballot goes
     /// before; whoever wishes has to look at what came of it and to wish again.
-    pub fn propose(&mut self, now: Time, wish: Change, out: &mut Vec<Output>) {
+    pub fn propose(&mut self, now: Timestamp, wish: Change, out: &mut Vec<Output>) {
         let moot = !self.undecided() && self.view.epoch > 0 && self.view.next(&wish).is_none();
         if !self.view.elects(&self.me) || moot {
             return;
         }
         let round = self.promised.as_ref().map_or(0, |ballot| ballot.round) + 1;
         let ballot = Ballot { round, by: self.me.clone() };
-        let over = Time(now.0 + self.terms.ballot);
+        let over = Timestamp(now.0 + self.terms.ballot);
         let (promises, accepted) = (BTreeMap::new(), BTreeSet::new());
         self.round = Some(Round { ballot: ballot.clone(), wish, promises, value: None, accepted, over });
         self.tell_voters(now, &Message::Prepare { epoch: self.view.epoch, ballot }, out);
     }
 
     /// A message has come from a member, or from whoever wants to be one.
-    pub fn heard(&mut self, now: Time, from: &Identity, message: Message, out: &mut Vec<Output>) {
+    pub fn heard(&mut self, now: Timestamp, from: &Identity, message: Message, out: &mut Vec<Output>) {
         match message {
             Message::Ask { epoch } => _ = self.same_view(from, epoch, out),
             Message::Decided { view } => self.adopt(now, view, out),
@@ -347,7 +347,7 @@
         ballot.by == *from && self.view.elects(from) && self.view.elects(&self.me)
     }
 
-    fn prepare(&mut self, now: Time, from: &Identity, ballot: Ballot, out: &mut Vec<Output>) {
+    fn prepare(&mut self, now: Timestamp, from: &Identity, ballot: Ballot, out: &mut Vec<Output>) {
         let epoch = self.view.epoch;
         if let Some(later) = self.promised.clone().filter(|own| *own > ballot) {
             return self.send(now, from, Message::Reject { epoch, ballot: later }, out);
@@ -360,7 +360,7 @@
 
     fn promise(
         &mut self,
-        now: Time,
+        now: Timestamp,
         from: &Identity,
         ballot: &Ballot,
         accepted: Option<(Ballot, View)>,
@@ -392,7 +392,7 @@
         }
     }
 
-    fn accept(&mut self, now: Time, from: &Identity, ballot: Ballot, view: View, out: &mut Vec<Output>) {
+    fn accept(&mut self, now: Timestamp, from: &Identity, ballot: Ballot, view: View, out: &mut Vec<Output>) {
         let epoch = self.view.epoch;
         if let Some(later) = self.promised.clone().filter(|own| *own > ballot) {
             return self.send(now, from, Message::Reject { epoch, ballot: later }, out);
@@ -403,7 +403,7 @@
         self.send(now, from, Message::Accepted { epoch, ballot }, out);
     }
 
-    fn accepted(&mut self, now: Time, from: &Identity, ballot: &Ballot, out: &mut Vec<Output>) {
+    fn accepted(&mut self, now: Timestamp, from: &Identity, ballot: &Ballot, out: &mut Vec<Output>) {
         let quorum = self.view.quorum();
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == *ballot) else { return };
         round.accepted.insert(from.clone());
@@ -419,7 +419,7 @@
     }
 
     /// Takes a view that has been decided.
-    fn adopt(&mut self, now: Time, view: View, out: &mut Vec<Output>) {
+    fn adopt(&mut self, now: Timestamp, view: View, out: &mut Vec<Output>) {
         if view.epoch <= self.view.epoch {
             if view.epoch == self.view.epoch && view != self.view && view.epoch > 0 {
                 out.push(Output::Event(Event::Forked(view)));
@@ -456,10 +456,10 @@
 
     // ---- Leases ----------------------------------------------------------------------------------------
 
-    fn renew(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn renew(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         // Where answers get lost it asks oftener, before the lease runs out and after.
         let late = self.lease.is_none_or(|until| until.0 - now.0 < self.terms.lease / 2);
-        self.renew_at = Time(now.0 + if late { self.terms.renew / 4 } else { self.terms.renew });
+        self.renew_at = Timestamp(now.0 + if late { self.terms.renew / 4 } else { self.terms.renew });
         // What was asked so long ago would give nothing any more.
         let terms = self.terms;
         self.asked.retain(|sent, _| terms.held(*sent) > now);
@@ -469,7 +469,7 @@
 
     /// Whether a lease may be granted: to a member, by a voter that has accepted nothing since this view began, and
     /// not while another life of its name may hold one.
-    fn grants(&self, now: Time, to: &Identity) -> bool {
+    fn grants(&self, now: Timestamp, to: &Identity) -> bool {
         self.view.contains(to)
             && self.view.elects(&self.me)
             && self.accepted.is_none()
@@ -477,7 +477,7 @@
             && self.not_before.get(to).is_none_or(|at| now >= *at)
     }
 
-    fn granted(&mut self, now: Time, from: &Identity, sent: Time, out: &mut Vec<Output>) {
+    fn granted(&mut self, now: Timestamp, from: &Identity, sent: Timestamp, out: &mut Vec<Output>) {
         let (elects, quorum) = (self.view.elects(from), self.view.quorum());
         let Some(by) = self.asked.get_mut(&sent).filter(|_| elects) else { return };
         by.insert(from.clone());
@@ -490,7 +490,7 @@
     }
 
     /// Tells once when it changes whether this process may act.
-    fn tell_fence(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn tell_fence(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let fenced = self.fenced(now);
         if fenced != self.told_fenced {
             self.told_fenced = fenced;
@@ -509,14 +509,14 @@
         }));
     }
 
-    fn tell_voters(&mut self, now: Time, message: &Message, out: &mut Vec<Output>) {
+    fn tell_voters(&mut self, now: Timestamp, message: &Message, out: &mut Vec<Output>) {
         for voter in self.view.electors().to_vec() {
             self.send(now, &voter, message.clone(), out);
         }
     }
 
     /// What it says to itself it hears at once. Before the first view voters are known by their names alone.
-    fn send(&mut self, now: Time, to: &Identity, message: Message, out: &mut Vec<Output>) {
+    fn send(&mut self, now: Timestamp, to: &Identity, message: Message, out: &mut Vec<Output>) {
         if *to == self.me || (to.life == 0 && to.name == self.me.name) {
             let me = self.me.clone();
             return self.heard(now, &me, message, out);
--- a/crates/decisions/src/membership/agreement/model_test.rs
+++ b/crates/decisions/src/membership/agreement/model_test.rs
@@ -45,7 +45,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    now: Time,
+    now: Timestamp,
     nodes: Vec<Node>,
     /// All that was ever sent: it may come at any time and any number of times, or never.
     net: BTreeSet<(Identity, Identity, Message)>,
@@ -106,7 +106,7 @@
         }
     }
 
-    fn restarted(&self, old: &Node, now: Time) -> Node {
+    fn restarted(&self, old: &Node, now: Timestamp) -> Node {
         let (me, view) = (old.agreement.me.clone(), old.kept.view.clone());
         let seeds: Vec<Name> = NAMES[..self.members].iter().map(|name| (*name).into()).collect();
         let (me, kept) = match (self.fault, self.disk) {
@@ -128,7 +128,7 @@
             NAMES[..self.members].iter().map(|name| Identity::new(name, 1)).collect();
         let view = View { epoch: 1, members: members.clone() };
         let kept = Durable { view: Some(view.clone()), ..Durable::default() };
-        let before = Time(-TERMS.lease);
+        let before = Timestamp(-TERMS.lease);
         let node = |me: Identity| Node {
             agreement: Agreement::new(me, TERMS, &[], kept.clone(), before),
             kept: kept.clone(),
@@ -136,7 +136,15 @@
         let views = BTreeMap::from([(1, view)]);
         let nodes = members.into_iter().map(node).collect();
         let (net, wished) = (BTreeSet::new(), BTreeSet::new());
-        vec![State { now: Time(0), nodes, net, views, forked: false, wished, restarted: BTreeSet::new() }]
+        vec![State {
+            now: Timestamp(0),
+            nodes,
+            net,
+            views,
+            forked: false,
+            wished,
+            restarted: BTreeSet::new(),
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
--- a/crates/decisions/src/membership/chronicle.rs
+++ b/crates/decisions/src/membership/chronicle.rs
@@ -5,7 +5,7 @@
 use super::agreement::{Agreement, Event};
 use super::member::{Member, Output};
 use super::view::{Identity, View};
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug)]
 pub struct Chronicle {
     view: View,
-    changes: VecDeque<(Time, Told)>,
+    changes: VecDeque<(Timestamp, Told)>,
     /// What was thought last of those who may be out by now.
     thought: BTreeMap<Identity, Opinion>,
     /// Who is out and was not yet told to be free.
@@ -124,7 +124,7 @@
 
 impl Chronicle {
     /// Takes in what a member puts out; what is new comes back, for the log.
-    pub fn note(&mut self, now: Time, me: &Identity, output: &Output) -> Vec<Told> {
+    pub fn note(&mut self, now: Timestamp, me: &Identity, output: &Output) -> Vec<Told> {
         let news = match output {
             Output::Advised(who, opinion) => {
                 self.thought.insert(who.clone(), *opinion);
@@ -139,7 +139,7 @@
         self.remember(now, news)
     }
 
-    fn remember(&mut self, now: Time, news: Vec<Told>) -> Vec<Told> {
+    fn remember(&mut self, now: Timestamp, news: Vec<Told>) -> Vec<Told> {
         news.iter().for_each(|told| self.changes.push_front((now, told.clone())));
         self.changes.truncate(MOST_CHANGES);
         news
@@ -168,7 +168,7 @@
     }
 
     /// Lives that became free to be replaced since it was asked last, as [`Self::note`] tells changes.
-    pub fn freed(&mut self, now: Time, agreement: &Agreement) -> Vec<Told> {
+    pub fn freed(&mut self, now: Timestamp, agreement: &Agreement) -> Vec<Told> {
         if self.out.is_empty() {
             return Vec::new();
         }
@@ -182,7 +182,7 @@
     /// The fleet as that member knows it at that moment.
     pub fn told(
         &self,
-        now: Time,
+        now: Timestamp,
         fleet: &str,
         member: &Member,
         address: impl Fn(&Identity) -> Option<std::net::SocketAddr>,
@@ -204,12 +204,12 @@
     }
 }
 
-fn changed(now: Time, (at, (epoch, who, cause)): &(Time, Told)) -> Changed {
+fn changed(now: Timestamp, (at, (epoch, who, cause)): &(Timestamp, Told)) -> Changed {
     Changed { ms_ago: (now.0 - at.0) / 1_000, epoch: *epoch, who: who.clone(), cause: *cause }
 }
 
 fn members(
-    now: Time,
+    now: Timestamp,
     view: &View,
     me: &Identity,
     advice: &Advice,
@@ -246,7 +246,7 @@
 
     fn note(chronicle: &mut Chronicle, output: Output) -> Vec<(String, Cause)> {
         let me = Identity::new("a", 1);
-        let news = chronicle.note(Time(0), &me, &output);
+        let news = chronicle.note(Timestamp(0), &me, &output);
         news.into_iter().map(|(_, who, cause)| (who, cause)).collect()
     }
 
--- a/crates/decisions/src/membership/lease.rs
+++ b/crates/decisions/src/membership/lease.rs
@@ -2,7 +2,7 @@
 //! it had run out. Clocks are monotonic and each runs at its own speed, within a stated drift; nothing compares the
 //! readings of two of them.
 
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 /// The terms of all leases in a fleet; the same for all its members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -30,14 +30,14 @@
 impl Terms {
     /// Until when its holder may believe in a lease, by its own clock: counted from the moment at which it asked. A
     /// clock that is slow shows less time than has passed.
-    pub fn held(&self, sent: Time) -> Time {
-        Time(sent.0 + self.lease * (MILLION - self.drift_ppm) / MILLION)
+    pub fn held(&self, sent: Timestamp) -> Timestamp {
+        Timestamp(sent.0 + self.lease * (MILLION - self.drift_ppm) / MILLION)
     }
 
     /// From when on a lease that was granted no later than `since` has run out for sure, by another clock. One that is
     /// fast shows more time than has passed.
-    pub fn passed(&self, since: Time) -> Time {
-        Time(since.0 + self.lease + (self.lease * self.drift_ppm + MILLION - 1) / MILLION)
+    pub fn passed(&self, since: Timestamp) -> Timestamp {
+        Timestamp(since.0 + self.lease + (self.lease * self.drift_ppm + MILLION - 1) / MILLION)
     }
 }
 
@@ -51,8 +51,8 @@
         for drift_ppm in [0, 1, 1_000, 50_000] {
             let terms = Terms { drift_ppm, ..Terms::default() };
             let drift = drift_ppm as f64 / 1e6;
-            let true_end_at_holder = terms.held(Time(0)).0 as f64 / (1.0 - drift);
-            let true_start_elsewhere = terms.passed(Time(0)).0 as f64 / (1.0 + drift);
+            let true_end_at_holder = terms.held(Timestamp(0)).0 as f64 / (1.0 - drift);
+            let true_start_elsewhere = terms.passed(Timestamp(0)).0 as f64 / (1.0 + drift);
             assert!(true_end_at_holder <= terms.lease as f64 + 1.0, "{drift_ppm}");
             assert!(true_start_elsewhere >= terms.lease as f64 - 1.0, "{drift_ppm}");
             assert!(true_end_at_holder <= true_start_elsewhere + 1.0, "{drift_ppm}");
--- a/crates/decisions/src/membership/member.rs
+++ b/crates/decisions/src/membership/member.rs
@@ -6,7 +6,7 @@
 use super::steward::{self, Flaps, Row};
 use super::view::{Change, Identity, Name, View};
 use super::Terms;
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -86,42 +86,42 @@
     agreement: Agreement,
     advice: Advice,
     seed: u64,
-    rows: BTreeMap<Identity, (Row, Time)>,
+    rows: BTreeMap<Identity, (Row, Timestamp)>,
     /// Since when most have not heard a member.
-    unheard: BTreeMap<Identity, Time>,
-    comers: BTreeMap<Identity, Time>,
-    stuck: BTreeMap<Identity, Time>,
+    unheard: BTreeMap<Identity, Timestamp>,
+    comers: BTreeMap<Identity, Timestamp>,
+    stuck: BTreeMap<Identity, Timestamp>,
     leavers: BTreeSet<Identity>,
     flaps: Flaps,
-    look_at: Time,
+    look_at: Timestamp,
     /// Since when this process is fenced.
-    fenced_since: Option<Time>,
+    fenced_since: Option<Timestamp>,
     /// Since when it has accepted what it knows nothing more of.
-    undecided_since: Option<Time>,
+    undecided_since: Option<Timestamp>,
     /// Since when it is refused for another life of its name.
-    refused_since: Option<Time>,
+    refused_since: Option<Timestamp>,
     told_twin: bool,
     leaving: bool,
     /// Whether this life may have been let in: it has asked for that, or taken part in founding the fleet.
     offered: bool,
     /// From when on it does so: before, it looks whether there is a fleet already.
-    offers_at: Time,
+    offers_at: Timestamp,
     /// When it was let in.
-    in_since: Time,
+    in_since: Timestamp,
     /// Since when too few voters speak for a view to follow.
-    alone_since: Option<Time>,
+    alone_since: Option<Timestamp>,
     /// Whether that was for long: what was thought of the others meanwhile says nothing once they speak again.
     apart: bool,
     /// From when on what is heard counts again.
-    settled_at: Time,
+    settled_at: Timestamp,
 }
 
 impl Member {
     /// A process that begins now as that life, with what its disk has of it.
-    pub fn new(me: Identity, rules: Rules, kept: Durable, seed: u64, now: Time) -> Self {
+    pub fn new(me: Identity, rules: Rules, kept: Durable, seed: u64, now: Timestamp) -> Self {
         let agreement = Agreement::new(me.clone(), rules.terms, &rules.seeds, kept, now);
         let advice = Advice::new(me.clone(), rules.tempo, seed, now);
-        let offers_at = Time(now.0 + rules.terms.ballot);
+        let offers_at = Timestamp(now.0 + rules.terms.ballot);
         Self {
             me,
             rules,
@@ -142,7 +142,7 @@
             leaving: false,
             offered: false,
             offers_at,
-            in_since: Time(i64::MIN / 2),
+            in_since: Timestamp(i64::MIN / 2),
             alone_since: None,
             apart: false,
             settled_at: now,
@@ -175,13 +175,13 @@
     }
 
     /// When [`Self::timer`] has to be called at the latest.
-    pub fn next_timer(&self) -> Time {
+    pub fn next_timer(&self) -> Timestamp {
         let next = self.advice.next_timer().min(self.look_at);
         self.agreement.next_timer().map_or(next, |at| at.min(next))
     }
 
-    /// Time has passed.
-    pub fn timer(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Timestamp has passed.
+    pub fn timer(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.advise(now, out, |advice, now, more| {
             if advice.next_timer() <= now {
                 advice.timer(now, more);
@@ -189,13 +189,13 @@
         });
         self.agree(now, out, |agreement, more| agreement.timer(now, more));
         if now >= self.look_at {
-            self.look_at = Time(now.0 + self.rules.terms.renew / 2);
+            self.look_at = Timestamp(now.0 + self.rules.terms.renew / 2);
             self.look(now, out);
         }
     }
 
     /// A message has come.
-    pub fn heard(&mut self, now: Time, from: &Identity, message: Message, out: &mut Vec<Output>) {
+    pub fn heard(&mut self, now: Timestamp, from: &Identity, message: Message, out: &mut Vec<Output>) {
         if from.name == self.me.name && *from != self.me {
             // Another process of this name, or this one's own last life: it is not spoken with.
             return;
@@ -233,7 +233,7 @@
     }
 
     /// The process takes its leave; [`Output::Parted`] tells when it is out by agreement.
-    pub fn leave(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub fn leave(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.leaving = true;
         let me = self.me.clone();
         self.leaves(&me, out);
@@ -245,9 +245,9 @@
 
     fn advise(
         &mut self,
-        now: Time,
+        now: Timestamp,
         out: &mut Vec<Output>,
-        act: impl FnOnce(&mut Advice, Time, &mut Vec<advice::Output>),
+        act: impl FnOnce(&mut Advice, Timestamp, &mut Vec<advice::Output>),
     ) {
         let mut more = Vec::new();
         act(&mut self.advice, now, &mut more);
@@ -273,7 +273,7 @@
 
     fn agree(
         &mut self,
-        now: Time,
+        now: Timestamp,
         out: &mut Vec<Output>,
         act: impl FnOnce(&mut Agreement, &mut Vec<agreement::Output>),
     ) {
@@ -294,7 +294,7 @@
         }
     }
 
-    fn agreed(&mut self, now: Time, event: Event, out: &mut Vec<Output>) {
+    fn agreed(&mut self, now: Timestamp, event: Event, out: &mut Vec<Output>) {
         match event {
             Event::Fenced => self.fenced_since = Some(now),
             Event::Unfenced => self.fenced_since = None,
@@ -303,7 +303,7 @@
         out.push(Output::Agreed(event));
     }
 
-    fn view_changed(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn view_changed(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let (old, view) = (self.agreement.before().clone(), self.agreement.view().clone());
         let left =
             |who: &Identity| self.leavers.contains(who) || self.advice.opinion(who) == Some(Opinion::Left);
@@ -334,7 +334,7 @@
     }
 
     /// Whoever was put out comes back as another life: whatever it was, others may be that by now.
-    fn reborn(&mut self, now: Time, life: u64, out: &mut Vec<Output>) {
+    fn reborn(&mut self, now: Timestamp, life: u64, out: &mut Vec<Output>) {
         self.me = Identity { life, ..self.me.clone() };
         self.seed = self.seed.wrapping_add(1);
         let kept = Durable {
@@ -364,7 +364,7 @@
 
     // ---- Coming and going ------------------------------------------------------------------------------
 
-    fn hello(&mut self, now: Time, from: &Identity, out: &mut Vec<Output>) {
+    fn hello(&mut self, now: Timestamp, from: &Identity, out: &mut Vec<Output>) {
         let rows = self.fresh_rows(now);
         match steward::twin(self.agreement.view(), from, &rows).cloned() {
             Some(there) => out.push(Output::Send(from.clone(), Message::Refused(there))),
@@ -373,7 +373,7 @@
         }
     }
 
-    fn refused(&mut self, now: Time, there: Identity, out: &mut Vec<Output>) {
+    fn refused(&mut self, now: Timestamp, there: Identity, out: &mut Vec<Output>) {
         if there.name != self.me.name || self.agreement.view().contains(&self.me) {
             return;
         }
@@ -387,7 +387,7 @@
         }
     }
 
-    fn ask_in(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn ask_in(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let epoch = self.agreement.view().epoch;
         let offers = epoch > 0 || now >= self.offers_at;
         self.offered |= offers;
@@ -408,7 +408,7 @@
 
     // ---- The look --------------------------------------------------------------------------------------
 
-    fn look(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn look(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let view = self.agreement.view().clone();
         if !view.contains(&self.me) {
             if self.leaving {
@@ -448,7 +448,7 @@
     }
 
     /// Seeds found the fleet together: the first of them sees to it, the others if it takes too long.
-    fn found(&mut self, now: Time, view: &View, out: &mut Vec<Output>) {
+    fn found(&mut self, now: Timestamp, view: &View, out: &mut Vec<Output>) {
         let place = view.members.iter().position(|m| m.name == self.me.name).unwrap_or(0) as i64;
         let since = self.fenced_since.map_or(0, |since| now.0 - since.0);
         let mine = (since / self.rules.terms.ballot) % view.members.len().max(1) as i64 == place;
@@ -457,7 +457,7 @@
         }
     }
 
-    fn own_row(&mut self, now: Time, view: &View) -> Row {
+    fn own_row(&mut self, now: Timestamp, view: &View) -> Row {
         let terms = self.rules.terms;
         let look = terms.renew / 2;
         self.comers.retain(|_, at| now.0 - at.0 < COMER * look);
@@ -478,8 +478,8 @@
         }
     }
 
-    fn fresh_rows(&self, now: Time) -> BTreeMap<Identity, Row> {
-        let fresh = |at: &Time| now.0 - at.0 <= ROW * self.rules.terms.renew / 2;
+    fn fresh_rows(&self, now: Timestamp) -> BTreeMap<Identity, Row> {
+        let fresh = |at: &Timestamp| now.0 - at.0 <= ROW * self.rules.terms.renew / 2;
         self.rows
             .iter()
             .filter(|(_, (_, at))| fresh(at))
@@ -488,7 +488,7 @@
     }
 
     /// A voter hears others than it said last: what follows from that need not wait for the next look.
-    fn told_anew(&mut self, now: Time, from: &Identity, before: Option<Row>, out: &mut Vec<Output>) {
+    fn told_anew(&mut self, now: Timestamp, from: &Identity, before: Option<Row>, out: &mut Vec<Output>) {
         // Of the voters alone, and under one view: what comes right after a view, and of the others, is looked at together.
         let voters = self.agreement.view().electors().len();
         let row = self.rows.get(from).map(|(row, _)| row);
@@ -503,7 +503,7 @@
 
     /// Whether most voters speak, and have done so for long enough after a time in which they did not: those who come
     /// back do so one after the other, and whoever is heard last would seem to be gone.
-    fn settled(&mut self, now: Time, most_speak: bool) -> bool {
+    fn settled(&mut self, now: Timestamp, most_speak: bool) -> bool {
         let renew = self.rules.terms.renew;
         if !most_speak {
             let since = *self.alone_since.get_or_insert(now);
@@ -512,7 +512,7 @@
         }
         self.alone_since = None;
         if std::mem::take(&mut self.apart) {
-            self.settled_at = Time(now.0 + SETTLING * renew);
+            self.settled_at = Timestamp(now.0 + SETTLING * renew);
         }
         if now < self.settled_at {
             self.unheard.clear();
@@ -521,7 +521,7 @@
     }
 
     /// Opens a ballot where it is this voter's turn and something ought to change.
-    fn steer(&mut self, now: Time, view: &View, out: &mut Vec<Output>) {
+    fn steer(&mut self, now: Timestamp, view: &View, out: &mut Vec<Output>) {
         let rows = self.fresh_rows(now);
         let waits = self.agreement.undecided().then(|| *self.undecided_since.get_or_insert(now));
         self.undecided_since = waits;
@@ -536,7 +536,7 @@
         let passing = self.rules.terms.renew / PASSING;
         for member in unheard {
             self.unheard.entry(member).or_insert_with(|| {
-                self.look_at = self.look_at.min(Time(now.0 + passing));
+                self.look_at = self.look_at.min(Timestamp(now.0 + passing));
                 now
             });
         }
--- a/crates/decisions/src/membership/post/book.rs
+++ b/crates/decisions/src/membership/post/book.rs
@@ -1,7 +1,7 @@
 //! Where members are: what the operator's file says, what was seen of them, and what others say. It guards nothing; a wrong
 //! address costs messages that nobody opens.
 
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use crate::membership::{Identity, Name};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Book {
     fixed: BTreeMap<Name, SocketAddr>,
-    seen: BTreeMap<Identity, (SocketAddr, Time)>,
+    seen: BTreeMap<Identity, (SocketAddr, Timestamp)>,
     told: BTreeMap<Name, SocketAddr>,
 }
 
@@ -24,7 +24,7 @@
     }
 
     /// A message of that life has come from there.
-    pub fn seen(&mut self, who: &Identity, address: SocketAddr, now: Time) {
+    pub fn seen(&mut self, who: &Identity, address: SocketAddr, now: Timestamp) {
         if !self.seen.contains_key(who) {
             super::make_room(&mut self.seen, MOST, |(_, at)| *at);
         }
@@ -81,12 +81,12 @@
         assert_eq!(book.address(&old), None);
         book.told(&old.name, at(1));
         assert_eq!(book.address(&old), Some(at(1)));
-        book.seen(&old, at(2), Time(5));
+        book.seen(&old, at(2), Timestamp(5));
         assert_eq!(book.address(&new), Some(at(2)), "another life may be in the same place");
         let mut book = Book { fixed: [("a".into(), at(3))].into(), ..book };
         assert_eq!((book.address(&old), book.address(&new)), (Some(at(2)), Some(at(3))));
         // Two processes of one name are told apart.
-        book.seen(&new, at(4), Time(6));
+        book.seen(&new, at(4), Timestamp(6));
         assert_eq!((book.address(&old), book.address(&new)), (Some(at(2)), Some(at(4))));
         assert_eq!(book.known(&new.name), Some(at(4)));
     }
@@ -95,7 +95,7 @@
     fn it_is_bounded_and_forgets_whom_it_has_not_heard_for_longest() {
         let mut book = Book::default();
         for n in 0..2 * MOST as u64 {
-            book.seen(&Identity::new("a", n), at(1), Time(n as i64));
+            book.seen(&Identity::new("a", n), at(1), Timestamp(n as i64));
             book.told(&format!("n{n}").as_str().into(), at(1));
         }
         assert_eq!((book.seen.len(), book.told.len()), (MOST, MOST));
--- a/crates/decisions/src/membership/post/mod.rs
+++ b/crates/decisions/src/membership/post/mod.rs
@@ -15,7 +15,7 @@
 
 use super::member::Message;
 use super::{Identity, Name};
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
@@ -149,14 +149,14 @@
 
 struct Asked {
     nonce: u64,
-    at: Time,
+    at: Timestamp,
     /// What it came with: taken once it has shown that it lives.
     held: Option<(Identity, Message)>,
 }
 
 struct Known {
     window: Window,
-    heard: Time,
+    heard: Timestamp,
 }
 
 /// A process's part in the post.
@@ -168,7 +168,7 @@
     book: Book,
     known: BTreeMap<(Name, u64), Known>,
     asked: BTreeMap<(Name, u64), Asked>,
-    sought: BTreeMap<Name, Time>,
+    sought: BTreeMap<Name, Timestamp>,
     random: ChaCha8Rng,
 }
 
@@ -205,7 +205,7 @@
     /// When it cannot go.
     pub fn send(
         &mut self,
-        now: Time,
+        now: Timestamp,
         from: &Identity,
         to: &Identity,
         message: Message,
@@ -234,7 +234,7 @@
     }
 
     /// Asks whoever was heard last where that name is, and not too often.
-    fn seek(&mut self, now: Time, from: &Identity, name: &Name) -> Result<Vec<Parcel>, Dropped> {
+    fn seek(&mut self, now: Timestamp, from: &Identity, name: &Name) -> Result<Vec<Parcel>, Dropped> {
         self.sought.retain(|_, at| now.0 - at.0 < ASK_AGAIN_US);
         if self.sought.contains_key(name) || self.sought.len() >= MOST_SOUGHT {
             return Err(Dropped::Unknown);
@@ -259,7 +259,7 @@
     /// Why it is dropped.
     pub fn open(
         &mut self,
-        now: Time,
+        now: Timestamp,
         me: &Identity,
         bytes: &[u8],
         source: Option<SocketAddr>,
@@ -314,7 +314,7 @@
     /// Whoever is not known has to show that it lives now; what it came with waits for that.
     fn ask(
         &mut self,
-        now: Time,
+        now: Timestamp,
         me: &Identity,
         process: (Name, u64),
         from: Identity,
@@ -338,7 +338,7 @@
 
     fn answered(
         &mut self,
-        now: Time,
+        now: Timestamp,
         process: (Name, u64),
         from: Identity,
         nonce: u64,
@@ -359,7 +359,7 @@
 }
 
 /// Where there are as many as may be, the one with the earliest moment goes for the next.
-fn make_room<K: Ord + Clone, V>(all: &mut BTreeMap<K, V>, most: usize, at: impl Fn(&V) -> Time) {
+fn make_room<K: Ord + Clone, V>(all: &mut BTreeMap<K, V>, most: usize, at: impl Fn(&V) -> Timestamp) {
     if all.len() >= most {
         let oldest = all.iter().min_by_key(|(_, one)| at(one)).map(|(key, _)| key.clone());
         oldest.map(|key| all.remove(&key));
--- a/crates/decisions/src/membership/post/tests.rs
+++ b/crates/decisions/src/membership/post/tests.rs
@@ -29,12 +29,12 @@
 impl Process {
     fn write(&mut self, to: &Identity, number: u32) -> Vec<Parcel> {
         let me = self.me.clone();
-        self.post.send(Time(0), &me, to, probe(number)).unwrap()
+        self.post.send(Timestamp(0), &me, to, probe(number)).unwrap()
     }
 
     fn open(&mut self, bytes: &[u8], source: u16) -> Result<Opened, Dropped> {
         let me = self.me.clone();
-        self.post.open(Time(0), &me, bytes, Some(at(source)))
+        self.post.open(Timestamp(0), &me, bytes, Some(at(source)))
     }
 }
 
@@ -129,7 +129,11 @@
     }
     let asks = a.write(&c.me, 2);
     assert_eq!(asks[0].address, at(2));
-    assert_eq!(a.post.send(Time(1), &a.me.clone(), &c.me, probe(2)), Err(Dropped::Unknown), "not too often");
+    assert_eq!(
+        a.post.send(Timestamp(1), &a.me.clone(), &c.me, probe(2)),
+        Err(Dropped::Unknown),
+        "not too often"
+    );
     carry(&mut [&mut a, &mut b, &mut c], 1, asks);
     let parcels = a.write(&c.me, 3);
     assert_eq!(carry(&mut [&mut a, &mut b, &mut c], 1, parcels).0, [(3, 3)]);
@@ -154,6 +158,6 @@
     let mut b = process("b", 2, 20, &FILE);
     assert_eq!(b.open(&vec![0; LONGEST_DATAGRAM + 1], 1), Err(Dropped::Oversized));
     let me = b.me.clone();
-    assert_eq!(b.post.open(Time(0), &me, &vec![0; LONGEST_STREAM + 1], None), Err(Dropped::Oversized));
-    assert_eq!(b.post.open(Time(0), &me, &vec![0; LONGEST_STREAM], None), Err(Dropped::Garbage));
+    assert_eq!(b.post.open(Timestamp(0), &me, &vec![0; LONGEST_STREAM + 1], None), Err(Dropped::Oversized));
+    assert_eq!(b.post.open(Timestamp(0), &me, &vec![0; LONGEST_STREAM], None), Err(Dropped::Garbage));
 }
--- a/crates/decisions/src/membership/steward.rs
+++ b/crates/decisions/src/membership/steward.rs
@@ -6,7 +6,7 @@
 //! cannot get its lease, goes. Links have a direction, and what counts is the one towards the voters.
 
 use super::view::{Change, Identity, Name, View};
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -35,12 +35,12 @@
 
 /// How often members were put out: one whose presence makes the views flap stays out for a growing time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Flaps(BTreeMap<Name, (u32, Time)>);
+pub struct Flaps(BTreeMap<Name, (u32, Timestamp)>);
 
 impl Flaps {
     /// A view has followed another one: who is out by it, and not because another life took its place or because it
     /// left, is counted.
-    pub fn changed(&mut self, now: Time, old: &View, new: &View, left: impl Fn(&Identity) -> bool) {
+    pub fn changed(&mut self, now: Timestamp, old: &View, new: &View, left: impl Fn(&Identity) -> bool) {
         self.0.retain(|_, (_, at)| now.0 - at.0 < FORGIVEN_US);
         let gone = old.members.iter().filter(|m| m.life > 0 && new.named(&m.name).is_none() && !left(m));
         for member in gone {
@@ -50,10 +50,10 @@
     }
 
     /// Until when that name is kept out.
-    pub fn held_until(&self, name: &str) -> Option<Time> {
+    pub fn held_until(&self, name: &str) -> Option<Timestamp> {
         let (times, at) = self.0.get(name).filter(|(times, _)| *times > 1)?;
         let span = HOLD_US.0.saturating_mul(1 << (times - 2).min(20)).min(HOLD_US.1);
-        Some(Time(at.0 + span))
+        Some(Timestamp(at.0 + span))
     }
 }
 
@@ -117,7 +117,7 @@
     rows: &BTreeMap<Identity, Row>,
     flaps: &Flaps,
     sure: impl Fn(&Identity) -> bool,
-    now: Time,
+    now: Timestamp,
 ) -> Change {
     let unheard = unheard_by_most(view, me, rows);
     let all = |of: fn(&Row) -> &BTreeSet<Identity>| -> BTreeMap<&Identity, usize> {
@@ -192,7 +192,7 @@
         for step in 0..=members {
             let places: Vec<usize> = now.members.iter().map(place).collect();
             let rows = rows(&now, |a, b| linked(places[a], places[b]));
-            let wished = wish(&now, &now.members[0], &rows, &Flaps::default(), |_| true, Time(0));
+            let wished = wish(&now, &now.members[0], &rows, &Flaps::default(), |_| true, Timestamp(0));
             let heard = heard_by_most(&now, &rows);
             assert_eq!(wished.out, now.members.iter().filter(|m| !heard.contains(*m)).cloned().collect());
             // It comes to a view only if most of the voters can speak with each other through its steward.
@@ -208,7 +208,7 @@
         for (a, b) in [(0, 1), (1, 0), (4, 0), (2, 3)] {
             let rows = rows(&five, |voter, member| (voter, member) != (a, b));
             assert_eq!(
-                wish(&five, &five.members[0], &rows, &Flaps::default(), |_| true, Time(0)),
+                wish(&five, &five.members[0], &rows, &Flaps::default(), |_| true, Timestamp(0)),
                 Change::default()
             );
         }
@@ -218,7 +218,7 @@
     fn a_member_that_most_do_not_hear_goes_though_it_hears_all() {
         let five = view(5);
         let rows = rows(&five, |voter, member| member != 4 || voter == 0);
-        let out = wish(&five, &five.members[0], &rows, &Flaps::default(), |_| true, Time(0)).out;
+        let out = wish(&five, &five.members[0], &rows, &Flaps::default(), |_| true, Timestamp(0)).out;
         assert_eq!(out, [five.members[4].clone()].into());
     }
 
@@ -240,14 +240,14 @@
         let mut rows = rows(&three, |_, _| true);
         rows.get_mut(&three.members[0]).unwrap().comers.insert(comer.clone());
         assert_eq!(
-            wish(&three, &three.members[0], &rows, &Flaps::default(), |_| true, Time(0)),
+            wish(&three, &three.members[0], &rows, &Flaps::default(), |_| true, Timestamp(0)),
             Change::default()
         );
         assert_eq!(twin(&three, &comer, &rows), Some(&three.members[2]));
         for voter in &three.members[..2] {
             rows.get_mut(voter).unwrap().hears[2] = false;
         }
-        let wished = wish(&three, &three.members[0], &rows, &Flaps::default(), |_| true, Time(0));
+        let wished = wish(&three, &three.members[0], &rows, &Flaps::default(), |_| true, Timestamp(0));
         assert_eq!((wished.out.len(), wished.join), (1, [comer.clone()].into()));
         assert_eq!(twin(&three, &comer, &rows), None);
     }
@@ -261,7 +261,7 @@
         some.remove(&five.members[1]);
         some.remove(&five.members[2]);
         let wished = |rows: &BTreeMap<Identity, Row>| {
-            wish(&five, &five.members[0], rows, &Flaps::default(), |_| true, Time(0)).out
+            wish(&five, &five.members[0], rows, &Flaps::default(), |_| true, Timestamp(0)).out
         };
         assert_eq!(wished(&some), BTreeSet::new());
         // Two that are not heard either have no say.
@@ -275,7 +275,7 @@
         let mut flaps = Flaps::default();
         let mut waits = Vec::new();
         for n in 0..8 {
-            flaps.changed(Time(n), &with, &without, |_| false);
+            flaps.changed(Timestamp(n), &with, &without, |_| false);
             waits.push(flaps.held_until("m3").map_or(0, |until| until.0 - n));
         }
         assert_eq!(waits[..4], [0, 10_000_000, 20_000_000, 40_000_000]);
@@ -283,8 +283,8 @@
         assert_eq!(flaps.held_until("m0"), None);
         let replaced = View { epoch: 5, members: [&view(3).members[..], &[Identity::new("m3", 2)]].concat() };
         let mut calm = Flaps::default();
-        (0..5).for_each(|n| calm.changed(Time(n), &with, &replaced, |_| false));
-        (0..5).for_each(|n| calm.changed(Time(n), &with, &without, |who| *who.name == *"m3"));
+        (0..5).for_each(|n| calm.changed(Timestamp(n), &with, &replaced, |_| false));
+        (0..5).for_each(|n| calm.changed(Timestamp(n), &with, &without, |who| *who.name == *"m3"));
         assert_eq!(calm.held_until("m3"), None);
     }
 }
--- a/crates/decisions/src/pipeline/mod.rs
+++ b/crates/decisions/src/pipeline/mod.rs
@@ -15,7 +15,7 @@
 
 pub use limits::Limits;
 
-use crate::interface::{RequestId, SessionId, Time};
+use crate::interface::{RequestId, SessionId, Timestamp};
 use std::collections::VecDeque;
 
 /// The time that is kept for writing one answer, in microseconds: an encoder's pass over a value and one system call.
@@ -47,7 +47,7 @@
     /// What it reads or writes, if it names a key: without one it conflicts with nothing.
     pub access: Option<Access>,
     /// When its client stops waiting for the answer.
-    pub deadline: Time,
+    pub deadline: Timestamp,
     /// Bytes that it takes while it waits to run.
     pub bytes: usize,
 }
@@ -60,7 +60,7 @@
     /// Whether requests ahead of it have no answer yet.
     pub behind: bool,
     /// Its effective deadline as of now.
-    pub due: Time,
+    pub due: Timestamp,
     /// The request itself.
     pub request: R,
 }
@@ -71,7 +71,7 @@
     /// The request.
     pub id: RequestId,
     /// By when its answer is due now.
-    pub due: Time,
+    pub due: Timestamp,
 }
 
 /// An answer whose turn has come.
@@ -86,7 +86,7 @@
 #[derive(Debug)]
 enum State<R, A> {
     Waiting(R),
-    Running { due: Time },
+    Running { due: Timestamp },
     Answered(A),
 }
 
@@ -94,7 +94,7 @@
 struct Entry<R, A> {
     id: Option<RequestId>,
     access: Option<Access>,
-    deadline: Time,
+    deadline: Timestamp,
     bytes: usize,
     state: State<R, A>,
 }
@@ -105,8 +105,8 @@
     }
 
     /// When it is due if what stands behind it is due at that time.
-    fn due(&self, behind: Time) -> Time {
-        self.deadline.min(Time(behind.0.saturating_sub(ANSWER_WRITE_US)))
+    fn due(&self, behind: Timestamp) -> Timestamp {
+        self.deadline.min(Timestamp(behind.0.saturating_sub(ANSWER_WRITE_US)))
     }
 }
 
@@ -166,7 +166,7 @@
     }
 
     /// Adds an answer that is known already, such as an error, to be written in its turn and by that time.
-    pub fn push_answer(&mut self, answer: A, deadline: Time) {
+    pub fn push_answer(&mut self, answer: A, deadline: Timestamp) {
         self.has_grown = true;
         let state = State::Answered(answer);
         self.entries.push_back(Entry { id: None, access: None, deadline, bytes: 0, state });
@@ -201,7 +201,7 @@
         if !std::mem::take(&mut self.has_grown) || self.running == 0 || self.entries.len() < 2 {
             return tightened;
         }
-        let mut behind = Time(i64::MAX);
+        let mut behind = Timestamp(i64::MAX);
         for entry in self.entries.iter_mut().rev() {
             behind = entry.due(behind);
             let (State::Running { due }, Some(id)) = (&mut entry.state, entry.id) else { continue };
@@ -277,8 +277,8 @@
         unfinished.filter_map(|entry| entry.access).any(|ahead| access.conflicts_with(ahead))
     }
 
-    fn effective_deadline(&self, at: usize) -> Time {
-        self.entries.iter().skip(at).rev().fold(Time(i64::MAX), |behind, entry| entry.due(behind))
+    fn effective_deadline(&self, at: usize) -> Timestamp {
+        self.entries.iter().skip(at).rev().fold(Timestamp(i64::MAX), |behind, entry| entry.due(behind))
     }
 
     fn running_ids(&self) -> Vec<RequestId> {
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -87,29 +87,29 @@
     listed: HostState,
     seen_stopping: bool,
     /// Since when the list does not name it.
-    gone: Option<Time>,
+    gone: Option<Timestamp>,
     leader: bool,
-    started: Option<Time>,
+    started: Option<Timestamp>,
     /// Whether that is what the list says.
     start_is_listed: bool,
     /// What it has applied at the least, and when that was last heard.
     known: Position,
-    heard: Option<Time>,
-    role: Option<(Role, Time)>,
+    heard: Option<Timestamp>,
+    role: Option<(Role, Timestamp)>,
     /// When it last answered anything: a report's age tells nothing of that.
-    alive: Option<Time>,
+    alive: Option<Timestamp>,
     in_flight: u32,
     limit: f64,
     /// Latency against the mean of the class; 1 is a host like the others.
     slowness: f64,
     /// When it last turned a write away.
-    declined: Option<Time>,
+    declined: Option<Timestamp>,
     /// Latency in parts of the aim.
     late: Faded,
     /// Part of its answers that were errors.
     errs: Faded,
     rest: Rest,
-    probed: Option<Time>,
+    probed: Option<Timestamp>,
     probing: bool,
     wanted: bool,
 }
@@ -119,8 +119,8 @@
     class: usize,
     group: u32,
     token: Position,
-    arrived: Time,
-    deadline: Time,
+    arrived: Timestamp,
+    deadline: Timestamp,
     worth: f64,
     session: Option<SessionId>,
     attempts: u32,
@@ -128,11 +128,11 @@
     draw: u64,
     out: u32,
     /// When a replica was asked how far it is, for this read.
-    asked: Option<Time>,
+    asked: Option<Timestamp>,
     /// Whether a host has had it whole, though it may not have run it.
     written: bool,
     /// When the first attempt that may have run was sent, and the zone of its host.
-    may_have_run: Option<(Time, u32)>,
+    may_have_run: Option<(Timestamp, u32)>,
     missed: Vec<HostId>,
     /// Hosts that answered it with an error.
     erred: Vec<HostId>,
@@ -144,7 +144,7 @@
 struct Attempt {
     host: HostId,
     class: usize,
-    sent: Time,
+    sent: Timestamp,
     dropped: bool,
     /// The session whose write it is, and its group.
     writes: Option<(SessionId, u32)>,
@@ -155,7 +155,7 @@
 pub struct Router {
     s: Settings,
     rng: u64,
-    now: Time,
+    now: Timestamp,
     hosts: BTreeMap<HostId, Host>,
     /// The hosts of each group, so that no event walks the fleet.
     groups: BTreeMap<u32, Vec<HostId>>,
@@ -173,9 +173,9 @@
     sessions: Sessions,
     retry_budget: f64,
     /// When a host that serves us last took no further connection.
-    squeezed: Option<Time>,
-    look_at: Option<Time>,
-    watch_again: Option<Time>,
+    squeezed: Option<Timestamp>,
+    look_at: Option<Timestamp>,
+    watch_again: Option<Timestamp>,
     started: bool,
 }
 
@@ -193,7 +193,7 @@
             loads: BTreeMap::new(),
             usual: [0.0; 2],
             rng: seed ^ 0x9E37_79B9_7F4A_7C15,
-            now: Time(0),
+            now: Timestamp(0),
             hosts: BTreeMap::new(),
             groups: BTreeMap::new(),
             open: BTreeMap::new(),
@@ -217,7 +217,7 @@
     }
 
     /// Takes one event and adds what is to be done to `actions`.
-    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.rng = self.rng.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         match event {
@@ -236,7 +236,7 @@
         let held = self.open.values().any(|open| open.out == 0);
         // What is out is looked after at leisure: hundreds of routers must not live on timers.
         let after = if held { LOOK_US } else { self.s.shortest_aim() / 8 };
-        let at = Time(now.0 + after.max(self.s.tick.0));
+        let at = Timestamp(now.0 + after.max(self.s.tick.0));
         if (!self.open.is_empty() || self.watch_again.is_some()) && self.look_at.is_none_or(|old| at < old) {
             self.look_at = Some(at);
             actions.push(Action::Timer { at, token: 0 });
@@ -247,7 +247,7 @@
 
     fn on_hosts(&mut self, kind: ListKind, entries: Vec<HostEntry>, actions: &mut Vec<Action>) {
         if self.s.on_request && kind == ListKind::Unavailable {
-            self.watch_again = Some(Time(self.now.0 + REST_US.0));
+            self.watch_again = Some(Timestamp(self.now.0 + REST_US.0));
         } else if self.s.on_request && !self.started {
             actions.push(Action::Watch(true));
         }
@@ -327,7 +327,7 @@
             group: r.group,
             token,
             arrived: self.now,
-            deadline: Time(self.now.0 + r.ttl.0),
+            deadline: Timestamp(self.now.0 + r.ttl.0),
             worth,
             session: r.session,
             draw: self.rng,
@@ -357,7 +357,7 @@
         if let Some((key, group)) = attempt.writes {
             // No commit is ahead of the clock, but a session must not lose its token for such a one either.
             let commit = r.position.map(|commit| commit.min(Position(self.now.0 + AHEAD_US)));
-            let later = Time(self.now.0 + self.s.classes[attempt.class].deadline.0);
+            let later = Timestamp(self.now.0 + self.s.classes[attempt.class].deadline.0);
             let commit = commit.filter(|_| r.outcome == Outcome::Ok);
             self.sessions.ended(key, group, commit, (!unrun).then_some(later));
         }
@@ -431,7 +431,7 @@
     // ---- Knowledge: positions and roles ----------------------------------------------------------------
 
     /// Takes what an answer says. A position is a lower bound that only rises; of roles the newest wins.
-    fn learn(&mut self, id: HostId, position: Option<Position>, role: Option<Role>, at: Time) {
+    fn learn(&mut self, id: HostId, position: Option<Position>, role: Option<Role>, at: Timestamp) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
         if let Some(position) = position.filter(|p| p.0 <= self.now.0 + AHEAD_US) {
             (host.heard, host.known) = (Some(self.now), host.known.max(position));
@@ -451,7 +451,7 @@
 
     /// A report is as old as the position in it.
     fn learn_report(&mut self, id: HostId, report: Report) {
-        let at = Time(report.position.map_or(i64::MIN, |position| position.0));
+        let at = Timestamp(report.position.map_or(i64::MIN, |position| position.0));
         if at.0 > self.now.0 + AHEAD_US {
             return;
         }
@@ -657,7 +657,7 @@
     /// Part of its capacity that a host had at the least when the cold budget began; 1 once it is warm.
     fn warmth(&self, host: &Host) -> f64 {
         let began = self.now.0 - self.s.fall.0;
-        host.started.map_or(1.0, |started| self.s.warmth(Time(began - started.0)))
+        host.started.map_or(1.0, |started| self.s.warmth(TimeDelta(began - started.0)))
     }
 
     /// A read that any data will do for and that is given far more time than others is long, and a replica
@@ -820,7 +820,7 @@
         let Some(open) = self.open.get(&id) else { return };
         let half = self.s.classes[open.class].aim.0 / 2;
         let soon = self.now.0 < open.arrived.0 + half;
-        let wait = if soon { self.s.max_retry_after.min(Time(half)) } else { self.s.max_retry_after };
+        let wait = if soon { self.s.max_retry_after.min(TimeDelta(half)) } else { self.s.max_retry_after };
         actions.push(Action::Refuse { id, retry_after: self.s.retry_after.then_some(wait) });
         self.close(id, actions);
     }
--- a/crates/decisions/src/policy/health.rs
+++ b/crates/decisions/src/policy/health.rs
@@ -5,7 +5,7 @@
     CROWDED, CROWD_GAIN, ERRING, ERRORS_FADE_US, GAIN, LATE, LATE_FADES_US, LIMIT, LIMIT_STEP, REST_US,
     SILENT,
 };
-use crate::interface::{Action, Freshness, HostId, HostState, Outcome, Reply, Role, Time};
+use crate::interface::{Action, Freshness, HostId, HostState, Outcome, Reply, Role, Timestamp};
 use std::collections::BTreeSet;
 
 impl Router {
@@ -108,7 +108,7 @@
     /// Hosts whose attempts are overdue fail together; when most do, the cause is shared and nobody is sick.
     pub(super) fn watch_silence(&mut self) {
         let busy: BTreeSet<HostId> = self.out.values().map(|a| a.host).collect();
-        let silent = |id: HostId, sent: Time| {
+        let silent = |id: HostId, sent: Timestamp| {
             self.hosts.get(&id).is_some_and(|h| !h.rest.failing() && h.alive.is_none_or(|at| at < sent))
         };
         let late =
--- a/crates/decisions/src/policy/rebase.rs
+++ b/crates/decisions/src/policy/rebase.rs
@@ -1,14 +1,14 @@
 //! What the router knows in the hosts' time, when the difference between that and its own is set anew.
 
 use super::Router;
-use crate::interface::{Position, Time};
+use crate::interface::{Position, Timestamp};
 
 impl Router {
     /// The hosts' clock turned out to be further ahead by `shift_us` than was held: what was derived from it moves. Whatever
     /// is not sure errs towards data that looks older than it is.
-    pub fn rebase(&mut self, now: Time, shift_us: i64) {
+    pub fn rebase(&mut self, now: Timestamp, shift_us: i64) {
         self.now = now;
-        let earlier = |moment: Time| Time(moment.0.saturating_sub(shift_us));
+        let earlier = |moment: Timestamp| Timestamp(moment.0.saturating_sub(shift_us));
         for host in self.hosts.values_mut() {
             if shift_us > 0 {
                 // Positions beyond the clock were not taken, and those that were may be anything.
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -1,7 +1,9 @@
 //! The operator's settings object, turned into the module's: the proxy reads it from its configuration, the
 //! drill from the simulator's first message.
 
-use crate::interface::{Class, Freshness, KeyScope, ListRole, Repeat, Reports, Settings, Time, WhenBehind};
+use crate::interface::{
+    Class, Freshness, KeyScope, ListRole, Repeat, Reports, Settings, TimeDelta, WhenBehind,
+};
 use serde::Deserialize;
 
 /// Seconds of the wire as whole microseconds.
@@ -9,8 +11,8 @@
     (seconds * 1e6).round() as i64
 }
 
-fn span(seconds: f64) -> Time {
-    Time(micros(seconds))
+fn span(seconds: f64) -> TimeDelta {
+    TimeDelta(micros(seconds))
 }
 
 #[derive(Deserialize)]
--- a/crates/decisions/src/state/background.rs
+++ b/crates/decisions/src/state/background.rs
@@ -4,7 +4,7 @@
 //! by their weights (deficit round robin, Shreedhar, Varghese 1995), so that the least urgent work goes on too. The clock
 //! is the caller's.
 
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use std::collections::VecDeque;
 
 /// How urgent a job is.
@@ -34,7 +34,7 @@
 }
 
 /// A piece of work. It is told how long it may take and does about so much.
-pub type Job<C> = Box<dyn FnMut(&mut C, Time) -> Step + Send>;
+pub type Job<C> = Box<dyn FnMut(&mut C, Timestamp) -> Step + Send>;
 
 struct Queue<C> {
     jobs: VecDeque<Job<C>>,
@@ -53,8 +53,8 @@
 pub struct Turn {
     /// Steps taken.
     pub steps: u32,
-    /// Time used.
-    pub used: Time,
+    /// Timestamp used.
+    pub used: Timestamp,
     /// Jobs that are left.
     pub left: usize,
 }
@@ -90,7 +90,7 @@
 
     /// Works for about `budget`; `clock` tells the time. The most urgent work comes first, but each priority that has
     /// work saves up its part of every turn until it can take a step.
-    pub fn turn(&mut self, state: &mut C, budget: Time, mut clock: impl FnMut() -> Time) -> Turn {
+    pub fn turn(&mut self, state: &mut C, budget: Timestamp, mut clock: impl FnMut() -> Timestamp) -> Turn {
         let start = clock();
         let mut turn = Turn::default();
         let busy: i64 = self.weights().sum();
@@ -107,7 +107,7 @@
             while queue.credit > 0 {
                 let Some(mut job) = queue.jobs.pop_front() else { break };
                 let before = clock();
-                let step = job(state, Time(queue.credit));
+                let step = job(state, Timestamp(queue.credit));
                 let took = (clock().0 - before.0).max(1);
                 queue.credit -= took;
                 turn.steps += 1;
@@ -119,7 +119,7 @@
                 }
             }
         }
-        turn.used = Time(clock().0 - start.0);
+        turn.used = Timestamp(clock().0 - start.0);
         turn.left = self.len();
         turn
     }
--- a/crates/decisions/src/state/host_clock.rs
+++ b/crates/decisions/src/state/host_clock.rs
@@ -10,7 +10,7 @@
 //! The difference is chosen from above. If it is too large, positions look older than they are, and reads go to the
 //! primary; if it were too small, replicas would look fresher than they are.
 
-use crate::interface::{HostId, Position, Role, Time};
+use crate::interface::{HostId, Position, Role, Timestamp};
 use std::collections::BTreeMap;
 
 /// A position may be ahead of the clock by so much: the clocks' own steps, and rounding.
@@ -34,9 +34,9 @@
     /// Who the host says it is.
     pub role: Option<Role>,
     /// When the last byte of the request was written; none for a report, which may be older than its request.
-    pub sent: Option<Time>,
+    pub sent: Option<Timestamp>,
     /// When the answer was taken.
-    pub received: Time,
+    pub received: Timestamp,
 }
 
 impl Sample {
@@ -67,7 +67,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Evidence {
-    at: Time,
+    at: Timestamp,
     opinion: Opinion,
     low: i64,
     high: Option<i64>,
@@ -84,8 +84,8 @@
 
 impl HostClock {
     /// A moment of the hosts' clock in this machine's.
-    pub fn local(&self, moment: Time) -> Time {
-        Time(moment.0.saturating_sub(self.offset_us))
+    pub fn local(&self, moment: Timestamp) -> Timestamp {
+        Timestamp(moment.0.saturating_sub(self.offset_us))
     }
 
     /// A position in this machine's time.
@@ -173,6 +173,6 @@
     }
 }
 
-fn is_old(evidence: &Evidence, now: Time) -> bool {
+fn is_old(evidence: &Evidence, now: Timestamp) -> bool {
     now.0.saturating_sub(evidence.at.0) > WINDOW_US
 }
--- a/crates/decisions/src/state/sessions.rs
+++ b/crates/decisions/src/state/sessions.rs
@@ -6,7 +6,7 @@
 //! worst it waits for, or goes to, one that has more than it needs.
 
 use super::unsure::Unsure;
-use crate::interface::{Position, SessionId, Time};
+use crate::interface::{Position, SessionId, Timestamp};
 use std::collections::BTreeMap;
 
 /// Generations that are kept. More forget more exactly, and make a look-up longer.
@@ -138,19 +138,25 @@
     }
 
     /// A session's write is sent to a set: until it has ended its reads must see all there is.
-    pub fn sent(&mut self, session: SessionId, set: u32, now: Time) {
+    pub fn sent(&mut self, session: SessionId, set: u32, now: Timestamp) {
         self.unsure.sent(session, set, now);
     }
 
     /// It has ended: with a commit that is known, or without one, and may come to count until `later` if it is not known
     /// that it never ran.
-    pub fn ended(&mut self, session: SessionId, set: u32, commit: Option<Position>, later: Option<Time>) {
+    pub fn ended(
+        &mut self,
+        session: SessionId,
+        set: u32,
+        commit: Option<Position>,
+        later: Option<Timestamp>,
+    ) {
         commit.into_iter().for_each(|commit| self.remember(session, set, commit));
         self.unsure.ended(session, set, later.filter(|_| commit.is_none()));
     }
 
     /// What a read that comes now must see: all there is where a write of its session may have been committed unheard.
-    pub fn need(&self, session: Option<SessionId>, set: u32, now: Time) -> Position {
+    pub fn need(&self, session: Option<SessionId>, set: u32, now: Timestamp) -> Position {
         match session {
             Some(session) if self.unsure.is_in_doubt(session, set, now) => Position(now.0),
             Some(session) => self.token(session, set),
--- a/crates/decisions/src/state/wheel.rs
+++ b/crates/decisions/src/state/wheel.rs
@@ -1,9 +1,9 @@
 //! A hierarchical timing wheel (Varghese, Lauck 1987) for waits of which most are cancelled: those of open requests.
 //!
 //! Six levels of 64 slots, each 64 times as coarse as the one below; entries in a slab, linked in both directions, so
-//! that setting and cancelling take the same time whatever the number of waits. Time is an argument.
+//! that setting and cancelling take the same time whatever the number of waits. Timestamp is an argument.
 
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 const BITS: u32 = 6;
 const SLOTS: usize = 1 << BITS;
@@ -48,7 +48,7 @@
 
 impl<T> Wheel<T> {
     /// An empty wheel whose waits are exact to a tick of so many microseconds: they end late by up to one, never early.
-    pub fn new(tick: Time, start: Time) -> Self {
+    pub fn new(tick: Timestamp, start: Timestamp) -> Self {
         let tick = tick.0.max(1);
         Self {
             entries: Vec::new(),
@@ -72,7 +72,7 @@
     }
 
     /// Sets a wait that ends then.
-    pub fn set(&mut self, at: Time, value: T) -> WaitKey {
+    pub fn set(&mut self, at: Timestamp, value: T) -> WaitKey {
         let at = (at.0.max(0) as u64).div_ceil(self.tick as u64).max(self.now + 1);
         let entry = match self.free {
             NONE => {
@@ -151,9 +151,9 @@
 
     /// A moment by which nothing ends before; none if nothing is set. It may be earlier than the first end: at that
     /// moment waits come nearer.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next(&self) -> Option<Timestamp> {
         let nearest = (0..LEVELS).filter_map(|level| self.turn(level)).min()?;
-        Some(Time(nearest as i64 * self.tick))
+        Some(Timestamp(nearest as i64 * self.tick))
     }
 
     /// The tick at which a level's next slot with anything in it begins.
@@ -170,7 +170,7 @@
     }
 
     /// Ends the waits up to a moment, in the order of their ticks.
-    pub fn advance(&mut self, to: Time, ended: &mut Vec<T>) {
+    pub fn advance(&mut self, to: Timestamp, ended: &mut Vec<T>) {
         let to = (to.0 / self.tick).max(0) as u64;
         while let Some(turn) =
             (0..LEVELS).filter_map(|level| self.turn(level)).min().filter(|turn| *turn <= to)
--- a/crates/decisions/tests/budget.rs
+++ b/crates/decisions/tests/budget.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use std::collections::{HashSet, VecDeque};
 use wheelpier_decisions::budget::*;
-use wheelpier_decisions::Time;
+use wheelpier_decisions::{TimeDelta, Timestamp};
 
 fn claims() -> impl Strategy<Value = Vec<Claim>> {
     let claim = (1u32..9, 0u64..40, 0u64..400);
@@ -78,7 +78,7 @@
         let mut caps = [100u64; 7];
         let mut tickets: Vec<(usize, usize, Ticket)> = Vec::new();
         for (now, act) in acts.into_iter().enumerate() {
-            let now = Time(now as i64 * 10_000);
+            let now = Timestamp(now as i64 * 10_000);
             let before = PURPOSES.map(|purpose| budget.used(purpose));
             match act {
                 Act::Reserve { purpose, account, bytes } => {
@@ -127,11 +127,11 @@
             .into_iter()
             .filter(|(account, _)| *account != 2)
             .filter_map(|(account, bytes)| {
-                budget.reserve(Purpose::ClientBuffers, AccountId(account), bytes, Time(0)).ok()
+                budget.reserve(Purpose::ClientBuffers, AccountId(account), bytes, Timestamp(0)).ok()
             })
             .collect();
         // The third account's 20 bytes have not been lent to anybody.
-        prop_assert!(budget.reserve(Purpose::ClientBuffers, AccountId(2), 20, Time(0)).is_ok());
+        prop_assert!(budget.reserve(Purpose::ClientBuffers, AccountId(2), 20, Timestamp(0)).is_ok());
         drop(held);
     }
 }
@@ -147,7 +147,7 @@
 
 #[test]
 fn what_is_larger_than_the_cap_is_told_never_to_come_again() {
-    let refused = budget().reserve(Purpose::Logs, AccountId(0), 101, Time(0)).unwrap_err();
+    let refused = budget().reserve(Purpose::Logs, AccountId(0), 101, Timestamp(0)).unwrap_err();
     assert_eq!(refused.refusal, Refusal { reason: Reason::TooLarge, retry_after: None });
 }
 
@@ -156,15 +156,15 @@
     let terms = [Terms { weight: 1, reserve: 0 }; 2];
     let mut pool = Pool::new(100, &terms).unwrap();
     let mut recalls = Vec::new();
-    pool.take(AccountId(0), 100, Time(0), &mut recalls).unwrap();
-    let refused = pool.take(AccountId(1), 30, Time(0), &mut recalls).unwrap_err();
+    pool.take(AccountId(0), 100, Timestamp(0), &mut recalls).unwrap();
+    let refused = pool.take(AccountId(1), 30, Timestamp(0), &mut recalls).unwrap_err();
     assert_eq!(refused, Refusal { reason: Reason::Recalled, retry_after: Some(RECALL) });
-    let by = RECALL;
+    let by = Timestamp(RECALL.0);
     assert_eq!(recalls, [Recall { account: AccountId(0), bytes: 30, by }]);
-    let refused = pool.take(AccountId(1), 30, Time(100_000), &mut recalls).unwrap_err();
-    assert_eq!(refused.retry_after, Some(Time(RECALL.0 - 100_000)));
+    let refused = pool.take(AccountId(1), 30, Timestamp(100_000), &mut recalls).unwrap_err();
+    assert_eq!(refused.retry_after, Some(TimeDelta(RECALL.0 - 100_000)));
     assert_eq!(recalls.len(), 1);
-    assert_eq!((pool.overdue(Time(by.0 - 1)), pool.overdue(by)), (vec![], recalls.clone()));
+    assert_eq!((pool.overdue(Timestamp(by.0 - 1)), pool.overdue(by)), (vec![], recalls.clone()));
     pool.give(AccountId(0), 30);
     assert!(pool.overdue(by).is_empty());
     pool.take(AccountId(1), 30, by, &mut recalls).unwrap();
@@ -178,13 +178,13 @@
     let mut pool =
         Pool::new(100, &[Terms { weight: 1, reserve: 10 }, Terms { weight: 3, reserve: 0 }]).unwrap();
     let mut recalls = Vec::new();
-    pool.take(AccountId(0), 50, Time(0), &mut recalls).unwrap();
-    pool.take(AccountId(1), 40, Time(0), &mut recalls).unwrap();
-    pool.resize(40, Time(0), &mut recalls).unwrap();
+    pool.take(AccountId(0), 50, Timestamp(0), &mut recalls).unwrap();
+    pool.take(AccountId(1), 40, Timestamp(0), &mut recalls).unwrap();
+    pool.resize(40, Timestamp(0), &mut recalls).unwrap();
     let back: u64 = recalls.iter().map(|recall| recall.bytes).sum();
     assert!((50..=52).contains(&back), "{recalls:?}");
-    assert!(pool.take(AccountId(0), 1, Time(0), &mut recalls).is_err());
-    assert!(pool.resize(9, Time(0), &mut recalls).is_err());
+    assert!(pool.take(AccountId(0), 1, Timestamp(0), &mut recalls).is_err());
+    assert!(pool.resize(9, Timestamp(0), &mut recalls).is_err());
 }
 
 /// Every state of a pool of 6 bytes with three accounts that take and give one or two bytes: whoever stays within its
@@ -199,7 +199,7 @@
     while let Some(pool) = todo.pop_front() {
         for (account, bytes) in (0..3).flat_map(|n| [(AccountId(n), 1), (AccountId(n), 2)]) {
             let (mut next, mut recalls) = (pool.clone(), Vec::new());
-            match next.take(account, bytes, Time(0), &mut recalls) {
+            match next.take(account, bytes, Timestamp(0), &mut recalls) {
                 Ok(()) => assert!(recalls.is_empty() && next.used() <= 6),
                 Err(Refusal { reason: Reason::Recalled, .. }) => {
                     returned += 1;
@@ -208,7 +208,7 @@
                         total >= bytes - pool.room(account) && recalls.iter().all(|r| r.account != account)
                     );
                     recalls.iter().for_each(|recall| next.give(recall.account, recall.bytes));
-                    next.take(account, bytes, Time(0), &mut Vec::new()).expect("it was its own");
+                    next.take(account, bytes, Timestamp(0), &mut Vec::new()).expect("it was its own");
                 }
                 Err(_) => refused += 1,
             }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -14,12 +14,12 @@
 
 pub fn class(freshness: Freshness, repeat: Repeat) -> Class {
     Class {
-        aim: Time(500 * MS),
-        deadline: Time(2_000 * MS),
+        aim: TimeDelta(500 * MS),
+        deadline: TimeDelta(2_000 * MS),
         worth: 1.0,
         late_worth: 0.2,
         repeat,
-        key_window: Time(2_000 * MS),
+        key_window: TimeDelta(2_000 * MS),
         freshness,
     }
 }
@@ -30,7 +30,7 @@
         classes: vec![
             class(Freshness::Any, Repeat::Safe),
             class(Freshness::Session, Repeat::Safe),
-            class(Freshness::Bounded(Time(800 * MS)), Repeat::Safe),
+            class(Freshness::Bounded(TimeDelta(800 * MS)), Repeat::Safe),
             class(Freshness::Write, Repeat::Unsafe),
             class(Freshness::Fresh, Repeat::Safe),
             class(Freshness::Write, Repeat::Keyed(KeyScope::Group)),
@@ -65,19 +65,19 @@
 
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.router.handle(Time(self.now), event, &mut actions);
+        self.router.handle(Timestamp(self.now), event, &mut actions);
         actions
     }
 
     pub fn probed(&mut self, host: u32, report: Option<Report>) -> Vec<Action> {
         let outcome = if report.is_some() { Outcome::Ok } else { Outcome::Timeout };
-        self.event(Event::Probed { host: HostId(host), outcome, latency: Time(MS), report })
+        self.event(Event::Probed { host: HostId(host), outcome, latency: TimeDelta(MS), report })
     }
 
     pub fn ask(&mut self, class: usize, since_write: Option<i64>) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
-        let since_write = since_write.map(Time);
+        let since_write = since_write.map(TimeDelta);
         let request = Request { since_write, ..Request::new(id, class, 0, 2_000 * MS) };
         let actions = self.event(Event::Arrival(request));
         (id, actions)
@@ -93,7 +93,7 @@
             attempt: number,
             host: HostId(host),
             outcome,
-            latency: Time(50 * MS),
+            latency: TimeDelta(50 * MS),
             closed: outcome == Outcome::Ok,
             position,
             role,
@@ -117,7 +117,7 @@
             attempt: number,
             host: HostId(host),
             outcome,
-            latency: Time(us),
+            latency: TimeDelta(us),
             closed: ok,
             position: ok.then_some(Position(self.now - 5 * MS)),
             role: ok.then_some(role),
--- a/crates/decisions/tests/failures.rs
+++ b/crates/decisions/tests/failures.rs
@@ -36,7 +36,7 @@
 #[test]
 fn reads_seen_to_freeze_replicas_leave_half_of_them_free() {
     let mut settings = settings();
-    settings.classes[0].aim = Time(5_000 * MS);
+    settings.classes[0].aim = TimeDelta(5_000 * MS);
     settings.routers = 2;
     let mut world = World::known(settings, 5);
     for _ in 0..40 {
@@ -49,7 +49,7 @@
             attempt: 0,
             host: HostId(host),
             outcome: Outcome::Ok,
-            latency: Time(1_500 * MS),
+            latency: TimeDelta(1_500 * MS),
             closed: true,
             position: Some(Position(stood)),
             role: Some(Role::Replica),
@@ -102,7 +102,7 @@
             let host = HostId(sends(&sent)[0]);
             world.now += latency;
             let position = Some(Position(world.now));
-            let (outcome, latency, role) = (Outcome::Ok, Time(latency), Some(Role::Replica));
+            let (outcome, latency, role) = (Outcome::Ok, TimeDelta(latency), Some(Role::Replica));
             let reply =
                 Reply { id, attempt: 0, host, outcome, latency, closed: true, position, role, report: None };
             world.event(Event::Reply(reply));
@@ -154,8 +154,8 @@
     };
     assert_eq!(key(|s| s.routers = 0), "routers");
     assert_eq!(key(|s| s.classes.clear()), "classes");
-    assert_eq!(key(|s| s.classes[1].aim = Time(0)), "classes[1].aim");
-    assert_eq!(key(|s| s.fall = Time(-1)), "fall");
+    assert_eq!(key(|s| s.classes[1].aim = TimeDelta(0)), "classes[1].aim");
+    assert_eq!(key(|s| s.fall = TimeDelta(-1)), "fall");
     assert_eq!(key(|s| s.max_attempts = 0), "max_attempts");
 }
 
@@ -278,8 +278,10 @@
 fn a_session_that_is_forgotten_still_sees_its_write() {
     let mut world = World::known(Settings { remembered: true, ..settings() }, 3);
     // Both have been up for long: no cold start stands in the way.
-    let warm =
-        |n| HostEntry { online_since: Some(Time(1)), ..HostEntry::new(HostId(n), 1, HostState::Running) };
+    let warm = |n| HostEntry {
+        online_since: Some(Timestamp(1)),
+        ..HostEntry::new(HostId(n), 1, HostState::Running)
+    };
     let other = [10, 11].map(warm);
     world.event(Event::Hosts(ListKind::Update, other.to_vec()));
     world.probed(10, report(world.now, Role::Primary));
@@ -293,7 +295,7 @@
         let id = written.id;
         assert_eq!(sends(&world.event(Event::Arrival(written))), [0]);
         let (host, position, role) = (HostId(0), Some(Position(world.now)), Some(Role::Primary));
-        let (outcome, latency) = (Outcome::Ok, Time(50 * MS));
+        let (outcome, latency) = (Outcome::Ok, TimeDelta(50 * MS));
         let reply =
             Reply { id, attempt: 0, host, outcome, latency, closed: true, position, role, report: None };
         world.event(Event::Reply(reply));
--- a/crates/decisions/tests/host_clock.rs
+++ b/crates/decisions/tests/host_clock.rs
@@ -1,7 +1,7 @@
 //! The difference between this machine's clock and the hosts': found whatever it is, and moved by no host alone.
 
 use proptest::prelude::*;
-use wheelpier_decisions::interface::{HostId, Position, Role, Time};
+use wheelpier_decisions::interface::{HostId, Position, Role, Timestamp};
 use wheelpier_decisions::state::host_clock::{HostClock, Sample, AHEAD_US};
 
 const SECOND: i64 = 1_000_000;
@@ -12,8 +12,8 @@
     Sample {
         position: Position(at + ahead - lag),
         role: Some(role),
-        sent: Some(Time(at)),
-        received: Time(at + latency),
+        sent: Some(Timestamp(at)),
+        received: Timestamp(at + latency),
     }
 }
 
@@ -79,8 +79,8 @@
             let taken = Sample {
                 position: Position(at + there + ahead),
                 role: Some(Role::Primary),
-                sent: Some(Time(at)),
-                received: Time(at + there + back),
+                sent: Some(Timestamp(at)),
+                received: Timestamp(at + there + back),
             };
             clock.note(HostId(0), taken);
             clock.note(HostId(1), answer(Role::Replica, at, ahead, lag, 500));
--- a/crates/decisions/tests/legal.rs
+++ b/crates/decisions/tests/legal.rs
@@ -57,7 +57,7 @@
                 drained[n] = !drained[n];
                 let state = if drained[n] { HostState::Stopping } else { HostState::Running };
                 let mut entry = HostEntry::new(HostId(n as u32), 0, state);
-                entry.online_since = Some(Time(world.now));
+                entry.online_since = Some(Timestamp(world.now));
                 actions.extend(world.event(Event::Hosts(ListKind::Update, vec![entry])));
             }
             5..=6 => {
@@ -77,7 +77,7 @@
                     let closed = a.done;
                     let role = Some(if host == 0 { Role::Primary } else { Role::Replica });
                     let position = Some(Position(world.now - 20 * MS));
-                    let (host, latency) = (HostId(host), Time(world.now - sent));
+                    let (host, latency) = (HostId(host), TimeDelta(world.now - sent));
                     let reply =
                         Reply { id, attempt, host, outcome, latency, closed, position, role, report: None };
                     actions.extend(world.event(Event::Reply(reply)));
@@ -95,7 +95,7 @@
             let a = asked.get_mut(&id).unwrap();
             a.out.remove(&attempt);
             a.may_have_run = true;
-            let (host, latency, closed) = (HostId(host), Time(world.now - sent), a.done);
+            let (host, latency, closed) = (HostId(host), TimeDelta(world.now - sent), a.done);
             let (outcome, position, role) = (Outcome::Timeout, None, None);
             let reply = Reply { id, attempt, host, outcome, latency, closed, position, role, report: None };
             actions.extend(world.event(Event::Reply(reply)));
@@ -141,7 +141,7 @@
     for seed in 1..4 {
         run(seed, |_| {});
         run(seed, |s| s.second_copies = false);
-        run(seed, |s| s.when_behind = WhenBehind::Wait(Time(100 * MS)));
+        run(seed, |s| s.when_behind = WhenBehind::Wait(TimeDelta(100 * MS)));
         run(seed, |s| (s.may_probe, s.may_cancel) = (false, false));
         run(seed, |s| s.max_attempts = 1);
     }
--- a/crates/decisions/tests/many.rs
+++ b/crates/decisions/tests/many.rs
@@ -6,7 +6,7 @@
 
 /// One of a hundred before hosts that check reads themselves and whose answers tell where they stand.
 fn one_of(routers: u32) -> Settings {
-    let mut settings = Settings { routers, when_behind: WhenBehind::Wait(Time(20 * MS)), ..settings() };
+    let mut settings = Settings { routers, when_behind: WhenBehind::Wait(TimeDelta(20 * MS)), ..settings() };
     // What must not be repeated cannot ask a host with itself.
     settings.classes[3].repeat = Repeat::Keyed(KeyScope::Group);
     settings
@@ -145,9 +145,9 @@
 /// and the few warm ones with all of the rest. Hosts that are gone are no part of its group.
 #[test]
 fn a_cold_host_gets_the_share_that_is_drawn_for_it() {
-    let mut world = World::known(Settings { cold: Time(18_000 * MS), ..one_of(100) }, 6);
+    let mut world = World::known(Settings { cold: TimeDelta(18_000 * MS), ..one_of(100) }, 6);
     let mut fresh = HostEntry::new(HostId(9), 0, HostState::Running);
-    fresh.online_since = Some(Time(world.now));
+    fresh.online_since = Some(Timestamp(world.now));
     let gone = (3..6).map(|n| HostEntry::new(HostId(n), 0, HostState::Deleted));
     world.event(Event::Hosts(ListKind::Update, gone.chain([fresh]).collect()));
     world.now += 7_000 * MS;
--- a/crates/decisions/tests/pipeline.rs
+++ b/crates/decisions/tests/pipeline.rs
@@ -3,17 +3,17 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use wheelpier_decisions::pipeline::{Access, Demand, Limits, Pipeline, Tightened};
-use wheelpier_decisions::{RequestId, SessionId, Time};
+use wheelpier_decisions::{RequestId, SessionId, Timestamp};
 
 /// Far beyond any deadline of these tests.
-const NEVER: Time = Time(i64::MAX);
+const NEVER: Timestamp = Timestamp(i64::MAX);
 
 fn access(key: u64, write: bool) -> Access {
     Access { group: 0, key: SessionId(key), write }
 }
 
 fn demand(id: u64, key: u64, write: bool, deadline: i64) -> Demand {
-    Demand { id: RequestId(id), access: Some(access(key, write)), deadline: Time(deadline), bytes: 100 }
+    Demand { id: RequestId(id), access: Some(access(key, write)), deadline: Timestamp(deadline), bytes: 100 }
 }
 
 fn limits(entries: usize, running: usize) -> Limits {
@@ -85,15 +85,15 @@
     pipeline.push(demand(3, 4, false, 200_000), ());
     let tightened = pipeline.tightened();
     let expected = [(2, 199_900), (1, 199_800), (0, 199_700)];
-    assert_eq!(tightened, expected.map(|(id, due)| Tightened { id: RequestId(id), due: Time(due) }));
+    assert_eq!(tightened, expected.map(|(id, due)| Tightened { id: RequestId(id), due: Timestamp(due) }));
     assert_eq!(pipeline.tightened(), []);
 }
 
 #[test]
 fn an_error_behind_a_request_bounds_it_and_is_written_in_its_turn() {
     let mut pipeline = pipeline(&[(1, false, 5_000_000)]);
-    pipeline.push_answer("error", Time(2_500_000));
-    assert_eq!(pipeline.start_next().map(|started| started.due), Some(Time(2_499_900)));
+    pipeline.push_answer("error", Timestamp(2_500_000));
+    assert_eq!(pipeline.start_next().map(|started| started.due), Some(Timestamp(2_499_900)));
     assert_eq!(pipeline.pop_answer(), None);
     pipeline.finish(RequestId(0), "value");
     assert_eq!(pipeline.pop_answer().map(|ready| ready.answer), Some("value"));
--- a/crates/decisions/tests/plan.rs
+++ b/crates/decisions/tests/plan.rs
@@ -2,7 +2,7 @@
 
 use wheelpier_decisions::budget::plan::{ClassWorth, Figures, Override, Plan};
 use wheelpier_decisions::budget::{AccountId, Purpose, PURPOSES};
-use wheelpier_decisions::Time;
+use wheelpier_decisions::Timestamp;
 
 const MB: u64 = 1 << 20;
 
@@ -43,16 +43,16 @@
     let plan = Plan::new(&figures()).unwrap();
     let budget = plan.budget().unwrap();
     let mut crowd = Vec::new();
-    while let Ok(ticket) = budget.reserve(Purpose::ClientBuffers, plan.strangers(), 64 * 1024, Time(0)) {
+    while let Ok(ticket) = budget.reserve(Purpose::ClientBuffers, plan.strangers(), 64 * 1024, Timestamp(0)) {
         crowd.push(ticket);
     }
     assert!(crowd.len() > 100);
     let written: Vec<_> = (0..3)
-        .map(|tenant| budget.reserve(Purpose::ClientBuffers, plan.account(3, tenant), MB, Time(0)))
+        .map(|tenant| budget.reserve(Purpose::ClientBuffers, plan.account(3, tenant), MB, Timestamp(0)))
         .collect();
     assert!(written.iter().all(Result::is_ok));
     // A lookup has to wait, for a time that is told, until the crowd has given back.
-    let refused = budget.reserve(Purpose::ClientBuffers, plan.account(0, 0), MB, Time(0)).unwrap_err();
+    let refused = budget.reserve(Purpose::ClientBuffers, plan.account(0, 0), MB, Timestamp(0)).unwrap_err();
     assert!(refused.refusal.retry_after.is_some());
     assert!(budget.recalls().iter().any(|due| due.account == Some(plan.strangers())));
 }
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -80,7 +80,7 @@
 fn a_restarted_host_is_sent_little_at_first() {
     let mut world = World::known(settings(), 3);
     let mut entry = HostEntry::new(HostId(1), 0, HostState::Running);
-    entry.online_since = Some(Time(world.now));
+    entry.online_since = Some(Timestamp(world.now));
     world.event(Event::Hosts(ListKind::Update, vec![entry]));
     let mut cold = 0;
     for _ in 0..8 {
@@ -129,7 +129,7 @@
     let (id, sent) = world.ask(0, None);
     let host = HostId(sends(&sent)[0]);
     let (position, role) = (Some(Position(world.now + 60_000 * MS)), Some(Role::Replica));
-    let (outcome, latency) = (Outcome::Ok, Time(MS));
+    let (outcome, latency) = (Outcome::Ok, TimeDelta(MS));
     let reply = Reply { id, attempt: 0, host, outcome, latency, closed: true, position, role, report: None };
     world.event(Event::Reply(reply));
     world.now += 5_000 * MS;
@@ -137,7 +137,7 @@
     assert!(!sends(&sent).contains(&1), "{sent:?}");
 }
 
-fn until(actions: &[Action]) -> Vec<Option<Time>> {
+fn until(actions: &[Action]) -> Vec<Option<Timestamp>> {
     let until = |a: &Action| match a {
         Action::Send { until, .. } => Some(*until),
         _ => None,
@@ -149,7 +149,10 @@
 fn a_bounded_read_is_to_be_written_while_what_proves_its_host_stands() {
     let mut world = World::known(settings(), 2);
     let (_, sent) = world.ask(2, None);
-    assert_eq!((sends(&sent), until(&sent)), (vec![1], vec![Some(Time(world.now - 10 * MS + 800 * MS))]));
+    assert_eq!(
+        (sends(&sent), until(&sent)),
+        (vec![1], vec![Some(Timestamp(world.now - 10 * MS + 800 * MS))])
+    );
     // The primary stands at the present, and a host that checks turns away what it may not answer.
     let mut world = World::known(settings(), 1);
     assert_eq!(until(&world.ask(2, None).1), [None]);
@@ -175,9 +178,9 @@
 
 #[test]
 fn what_an_answer_must_be_from_counts_from_the_last_byte_written() {
-    let written = Time(10_000 * MS);
+    let written = Timestamp(10_000 * MS);
     let at = |ms: i64| Some(Position(ms * MS));
-    let bounded = Recent::of(Freshness::Bounded(Time(500 * MS)), Position(i64::MIN));
+    let bounded = Recent::of(Freshness::Bounded(TimeDelta(500 * MS)), Position(i64::MIN));
     assert!(
         bounded.met(at(9_500), written) && !bounded.met(at(9_499), written) && !bounded.met(None, written)
     );
@@ -195,7 +198,7 @@
 fn writes_of_a_session(when_behind: WhenBehind) -> (World, RequestId) {
     let mut all =
         Settings { remembered: true, when_behind, reports: Reports::Off, may_probe: false, ..settings() };
-    all.classes[3].deadline = Time(1_000 * MS);
+    all.classes[3].deadline = TimeDelta(1_000 * MS);
     let mut world = World::known(all, 3);
     let id = RequestId(900);
     let write = Request { session: Some(SessionId(7)), ..Request::new(id, 3, 0, 1_000 * MS) };
--- a/crates/decisions/tests/scale.rs
+++ b/crates/decisions/tests/scale.rs
@@ -27,7 +27,7 @@
 }
 
 fn restarted(now: i64) -> HostEntry {
-    HostEntry { online_since: Some(Time(now)), ..HostEntry::new(HostId(1), 0, HostState::Running) }
+    HostEntry { online_since: Some(Timestamp(now)), ..HostEntry::new(HostId(1), 0, HostState::Running) }
 }
 
 /// Four hundred routers must not each grant a cold host its first request (incident if5d4a1).
@@ -176,7 +176,7 @@
 /// With many routers the member held for the primary is asked at once: the long gap is for searches only.
 #[test]
 fn a_write_asks_the_shown_primary_without_the_gap_of_many_routers() {
-    let when_behind = WhenBehind::Wait(Time(100 * MS));
+    let when_behind = WhenBehind::Wait(TimeDelta(100 * MS));
     let mut world = World::known(Settings { routers: 400, when_behind, ..settings() }, 2);
     for _ in 0..3 {
         world.now += 1_200 * MS;
@@ -188,7 +188,7 @@
 /// Where hosts check reads, a fresh router tries a replica it never heard of instead of the primary.
 #[test]
 fn an_unheard_replica_is_tried_where_it_checks_reads() {
-    let when_behind = WhenBehind::Wait(Time(100 * MS));
+    let when_behind = WhenBehind::Wait(TimeDelta(100 * MS));
     let mut world = World::new(Settings { when_behind, ..settings() }, 3);
     world.probed(0, report(world.now, Role::Primary));
     assert!(matches!(sends(&world.ask(2, None).1)[..], [1 | 2]));
@@ -208,7 +208,7 @@
 fn a_late_primary_is_spared_the_reads_that_can_wait() {
     let went = |latency: i64| {
         let mut world = World::known(Settings { second_copies: false, may_probe: false, ..settings() }, 1);
-        world.router.handle(Time(world.now), Event::Timer(0), &mut Vec::new());
+        world.router.handle(Timestamp(world.now), Event::Timer(0), &mut Vec::new());
         let (id, sent) = world.ask(5, None);
         answer(&mut world, id, &sent, Outcome::Ok, latency);
         (0..20).map(|_| sends(&world.ask(2, None).1).len()).sum::<usize>()
--- a/crates/decisions/tests/state.rs
+++ b/crates/decisions/tests/state.rs
@@ -6,7 +6,7 @@
 use wheelpier_decisions::state::heavy::HeavyHitters;
 use wheelpier_decisions::state::sessions::Sessions;
 use wheelpier_decisions::state::wheel::Wheel;
-use wheelpier_decisions::{Position, SessionId, Time};
+use wheelpier_decisions::{Position, SessionId, Timestamp};
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
@@ -58,7 +58,7 @@
         acts in prop::collection::vec((0i64..200_000, 0u8..4, 0i64..3_000_000_000), 1..200),
     ) {
         let tick = 1_000;
-        let mut wheel = Wheel::new(Time(tick), Time(0));
+        let mut wheel = Wheel::new(Timestamp(tick), Timestamp(0));
         let mut list: BTreeMap<(i64, usize), ()> = BTreeMap::new();
         let (mut keys, mut now) = (Vec::new(), 0);
         for (n, (step, act, wait)) in acts.into_iter().enumerate() {
@@ -67,7 +67,7 @@
                     let wait = if act == 0 { wait } else { wait % 100_000 };
                     let at = now + wait;
                     let due = ((at + tick - 1) / tick).max(now / tick + 1);
-                    keys.push((wheel.set(Time(at), n), due, n));
+                    keys.push((wheel.set(Timestamp(at), n), due, n));
                     list.insert((due, n), ());
                 }
                 2 if !keys.is_empty() => {
@@ -78,7 +78,7 @@
                 _ => {
                     now += step * 7;
                     let mut ended = Vec::new();
-                    wheel.advance(Time(now), &mut ended);
+                    wheel.advance(Timestamp(now), &mut ended);
                     let mut expected = Vec::new();
                     while let Some(first) = list.first_entry().filter(|e| e.key().0 <= now / tick) {
                         expected.push(first.remove_entry().0);
@@ -134,9 +134,9 @@
     let clock = std::cell::Cell::new(0);
     let read = || {
         clock.set(clock.get() + 1);
-        Time(clock.get() * 10)
+        Timestamp(clock.get() * 10)
     };
-    background.turn(done, Time(budget), read).steps
+    background.turn(done, Timestamp(budget), read).steps
 }
 
 #[test]
--- a/crates/lab/benches/state.rs
+++ b/crates/lab/benches/state.rs
@@ -14,7 +14,7 @@
 use wheelpier_decisions::state::heavy::HeavyHitters;
 use wheelpier_decisions::state::sessions::Sessions;
 use wheelpier_decisions::state::wheel::Wheel;
-use wheelpier_decisions::{Position, SessionId, Time};
+use wheelpier_decisions::{Position, SessionId, Timestamp};
 
 const SIZES: [usize; 3] = [1_000, 100_000, 1_000_000];
 /// Operations in one measured round.
@@ -85,11 +85,11 @@
     for size in SIZES {
         let spans: Vec<i64> = numbers(size + ROUND).iter().map(|n| (n % 5_000_000) as i64 + 10_000).collect();
         group.bench_function(BenchmarkId::new("wheel/set+cancel", size), |b| {
-            let mut wheel = Wheel::new(Time(1_000), Time(0));
-            spans[..size].iter().for_each(|span| _ = wheel.set(Time(*span), 0u64));
+            let mut wheel = Wheel::new(Timestamp(1_000), Timestamp(0));
+            spans[..size].iter().for_each(|span| _ = wheel.set(Timestamp(*span), 0u64));
             b.iter(|| {
                 for span in &spans[size..] {
-                    let key = wheel.set(Time(*span), 1);
+                    let key = wheel.set(Timestamp(*span), 1);
                     black_box(wheel.cancel(key));
                 }
             });
@@ -124,13 +124,13 @@
             );
         });
         group.bench_function(BenchmarkId::new("wheel/end", size), |b| {
-            let mut full = Wheel::new(Time(1_000), Time(0));
-            spans[..size].iter().for_each(|span| _ = full.set(Time(*span), 0u64));
+            let mut full = Wheel::new(Timestamp(1_000), Timestamp(0));
+            spans[..size].iter().for_each(|span| _ = full.set(Timestamp(*span), 0u64));
             b.iter_batched(
                 || full.clone(),
                 |mut wheel| {
                     let mut ended = Vec::with_capacity(size);
-                    (1..=100).for_each(|step| wheel.advance(Time(step * 1_000), &mut ended));
+                    (1..=100).for_each(|step| wheel.advance(Timestamp(step * 1_000), &mut ended));
                     (wheel, ended)
                 },
                 BatchSize::LargeInput,
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -7,7 +7,7 @@
 use std::collections::{BinaryHeap, HashMap};
 use wheelpier_decisions::{
     settings, Action, Event, HostEntry, HostId, HostState, ListKind, Outcome, Position, Reply as Answer,
-    Report, Request, RequestId, Role, Router, SessionId, Settings, Time,
+    Report, Request, RequestId, Role, Router, SessionId, Settings, TimeDelta, Timestamp,
 };
 use wheelpier_standin::checker::{Checker, RULES};
 use wheelpier_standin::host::State;
@@ -201,7 +201,7 @@
         let zone = self.world.zone(host) as u32;
         HostEntry {
             zone,
-            online_since: started.map(Time),
+            online_since: started.map(Timestamp),
             ..HostEntry::new(HostId(host as u32), group, state)
         }
     }
@@ -333,7 +333,7 @@
     fn tell(&mut self, router: usize, event: Event) {
         let mut actions = Vec::new();
         if let Some(of) = &mut self.nodes[router].router {
-            of.handle(Time(self.now), event, &mut actions);
+            of.handle(Timestamp(self.now), event, &mut actions);
         }
         for action in actions {
             self.act(router, action);
@@ -370,7 +370,7 @@
         way + HANDSHAKE
     }
 
-    fn send(&mut self, router: usize, id: u64, host: usize, timeout: Option<Time>) {
+    fn send(&mut self, router: usize, id: u64, host: usize, timeout: Option<TimeDelta>) {
         let way = self.way(router, host);
         let node = &mut self.nodes[router];
         let attempt = node.attempts.entry(id).or_default();
@@ -438,7 +438,7 @@
         if up {
             self.nodes[router].idle.entry(host).or_default().push(self.now);
         }
-        let latency = Time(self.now + WAY - sent);
+        let latency = TimeDelta(self.now + WAY - sent);
         self.tell(router, Event::Probed { host: HostId(host as u32), outcome, latency, report });
     }
 
@@ -465,7 +465,7 @@
             attempt,
             host: HostId(out.host as u32),
             outcome,
-            latency: Time(self.now - out.sent),
+            latency: TimeDelta(self.now - out.sent),
             closed: outcome == Outcome::Ok || !waited,
             position: note.map(|(position, _)| Position(position)),
             role: note.map(|(_, primary)| if primary { Role::Primary } else { Role::Replica }),
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -13,7 +13,7 @@
 use wheelpier_decisions::membership::member::{Member, Message, Output, Rules};
 use wheelpier_decisions::membership::steward::Row;
 use wheelpier_decisions::membership::{Identity, Name, Terms, View};
-use wheelpier_decisions::Time;
+use wheelpier_decisions::Timestamp;
 use wheelpier_standin::link::Link;
 use wheelpier_standin::{MS, SECOND};
 
@@ -173,7 +173,7 @@
         let zero = self.random.random_range(-3_600 * SECOND..3_600 * SECOND);
         let rate = self.random.random_range(0.9995..1.0005);
         let seed = self.random.random();
-        let member = Member::new(me, rules, kept, seed, Time(zero));
+        let member = Member::new(me, rules, kept, seed, Timestamp(zero));
         // The clock shows `zero` at this moment of true time.
         let zero = zero - (self.now as f64 * rate) as i64;
         self.nodes[n] = Some(Node {
@@ -187,8 +187,8 @@
         self.act(n, |member, now, out| member.timer(now, out));
     }
 
-    fn local(node: &Node, now: i64) -> Time {
-        Time(node.zero + (now as f64 * node.rate) as i64)
+    fn local(node: &Node, now: i64) -> Timestamp {
+        Timestamp(node.zero + (now as f64 * node.rate) as i64)
     }
 
     fn at(&mut self, when: i64, due: Due) {
@@ -197,7 +197,7 @@
         self.due.push(Reverse((when, self.sequence)));
     }
 
-    fn act(&mut self, n: usize, act: impl FnOnce(&mut Member, Time, &mut Vec<Output>)) {
+    fn act(&mut self, n: usize, act: impl FnOnce(&mut Member, Timestamp, &mut Vec<Output>)) {
         let Some(node) = self.nodes[n].as_mut() else { return };
         let (now, mut out) = (Self::local(node, self.now), Vec::new());
         act(&mut node.member, now, &mut out);
--- a/crates/lab/tests/hostile.rs
+++ b/crates/lab/tests/hostile.rs
@@ -10,7 +10,7 @@
 use wheelpier::membership::member::Message;
 use wheelpier::membership::post::{Book, Key, Post, Seal};
 use wheelpier::membership::{Identity, Name};
-use wheelpier::Time;
+use wheelpier::Timestamp;
 use wheelpier_lab::processes::Processes;
 
 const MESSAGES: u64 = 1_000_000;
@@ -29,7 +29,9 @@
             let whom = Identity { name: Name::clone(&target), life: 0 };
             let probe = Message::Advice(advice::Message::Probe { number, news: Vec::new() });
             for message in [probe, Message::Hello, Message::Stuck, Message::Leaving] {
-                all.extend(post.send(Time(0), &me, &whom, message).unwrap().into_iter().map(|p| p.bytes));
+                all.extend(
+                    post.send(Timestamp(0), &me, &whom, message).unwrap().into_iter().map(|p| p.bytes),
+                );
             }
         }
     }
--- a/fuzz/fuzz_targets/peers.rs
+++ b/fuzz/fuzz_targets/peers.rs
@@ -9,7 +9,7 @@
 use wheelpier_decisions::membership::member::{Member, Message, Rules};
 use wheelpier_decisions::membership::post::{Book, Key, Post, Seal};
 use wheelpier_decisions::membership::{Identity, Terms};
-use wheelpier_decisions::Time;
+use wheelpier_decisions::Timestamp;
 
 fuzz_target!(|bytes: &[u8]| {
     let me = Identity::new("a", 1);
@@ -17,7 +17,7 @@
     let mut post = Post::new(me.name.clone(), seal, Book::default(), 7);
     let source: SocketAddr = ([127, 0, 0, 1], 9).into();
     for source in [Some(source), None] {
-        if let Ok(opened) = post.open(Time(0), &me, bytes, source) {
+        if let Ok(opened) = post.open(Timestamp(0), &me, bytes, source) {
             assert!(opened.message.is_none());
         }
     }
@@ -26,15 +26,15 @@
         terms: Terms::default(),
         tempo: Tempo::default(),
     };
-    let mut member = Member::new(me, rules, Durable::default(), 7, Time(0));
+    let mut member = Member::new(me, rules, Durable::default(), 7, Timestamp(0));
     let (mut rest, mut now, mut out) = (bytes, 0, Vec::new());
     while let Ok((message, left)) = postcard::take_from_bytes::<Message>(rest) {
         if left.len() == rest.len() {
             break;
         }
         now += 100_000;
-        member.heard(Time(now), &Identity::new("b", 1 + left.len() as u64 % 3), message, &mut out);
-        member.timer(Time(now), &mut out);
+        member.heard(Timestamp(now), &Identity::new("b", 1 + left.len() as u64 % 3), message, &mut out);
+        member.timer(Timestamp(now), &mut out);
         out.clear();
         rest = left;
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,15 +10,15 @@
 //!
 //! ```
 //! use wheelpier::{Action, Event, HostEntry, HostId, HostState, ListKind, Recent, Request, RequestId};
-//! use wheelpier::{Router, Settings, Time};
+//! use wheelpier::{Router, Settings, Timestamp};
 //!
 //! let mut router = Router::new(Settings::example(), 7).expect("the settings are sensible");
 //! let mut actions = Vec::new();
 //! let host = HostEntry::new(HostId(0), 0, HostState::Running);
-//! router.handle(Time(0), Event::Hosts(ListKind::Restored, vec![host]), &mut actions);
+//! router.handle(Timestamp(0), Event::Hosts(ListKind::Restored, vec![host]), &mut actions);
 //!
 //! let request = Request::new(RequestId(1), 0, 0, 1_000_000);
-//! router.handle(Time(5_000), Event::Arrival(request), &mut actions);
+//! router.handle(Timestamp(5_000), Event::Arrival(request), &mut actions);
 //! let (id, host) = (RequestId(1), HostId(0));
 //! let sent = Action::Send { id, host, timeout: None, recent: Recent::Any, until: None };
 //! assert!(actions.contains(&sent));
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -1,7 +1,7 @@
 //! The list of ledger hosts: what a version of it holds, and the form in which discovery and the configuration
 //! write it.
 
-use crate::interface::{HostState, Time};
+use crate::interface::{HostState, Timestamp};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
     /// Its weight.
     pub weight: f64,
     /// When it last started, if that was lately.
-    pub since: Option<Time>,
+    pub since: Option<Timestamp>,
 }
 
 /// The list as discovery writes it.
@@ -127,7 +127,7 @@
             (Ok(state), Ok(address)) => Ok(Listed {
                 // A zone that the settings do not name is none of ours.
                 zone: zones.iter().position(|z| *z == self.zone).unwrap_or(zones.len()) as u32,
-                since: Some(Time((self.since_ms * 1e3) as i64)).filter(|at| at.0 > 0),
+                since: Some(Timestamp((self.since_ms * 1e3) as i64)).filter(|at| at.0 > 0),
                 name: self.name,
                 address,
                 kind: self.kind,
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,6 +1,6 @@
 //! One clock for the module and the positions: Unix time, read once, then advanced monotonically.
 
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -30,18 +30,18 @@
     }
 
     /// A moment in the module's time.
-    pub fn at(&self, moment: Instant) -> Time {
+    pub fn at(&self, moment: Instant) -> Timestamp {
         let since = moment.saturating_duration_since(self.started);
-        Time((self.unix + since).as_micros() as i64)
+        Timestamp((self.unix + since).as_micros() as i64)
     }
 
     /// The present in the module's time.
-    pub fn now(&self) -> Time {
+    pub fn now(&self) -> Timestamp {
         self.at(Instant::now())
     }
 
     /// A moment of the module's time; the start for anything before it.
-    pub fn moment(&self, time: Time) -> Instant {
+    pub fn moment(&self, time: Timestamp) -> Instant {
         let since = time.0.saturating_sub(self.unix.as_micros() as i64).max(0);
         // Far beyond any wait here, and within what a timer takes.
         self.started + Duration::from_micros(since as u64).min(Duration::from_secs(86_400 * 365))
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -11,7 +11,7 @@
 use crate::counters::{Counters, Ended};
 use crate::interface::{
     Action, Event as Told, Freshness, HostEntry, HostId, HostState, KeyScope, ListKind, Outcome, Position,
-    Recent, Repeat, Reply, Report, RequestId, Role, SettingsError, Time,
+    Recent, Repeat, Reply, Report, RequestId, Role, SettingsError, TimeDelta, Timestamp,
 };
 use crate::listing::{Listed, Listing};
 use crate::reasons::Reason;
@@ -242,7 +242,7 @@
         let Request { tenant, group, session, again, last_write, name, statement, .. } = request;
         // One that stands ahead of the clock was made just now.
         let since_write =
-            last_write.map(|at| Time((self.clock.at(arrived).0 - self.host_clock.local(at).0).max(1)));
+            last_write.map(|at| TimeDelta((self.clock.at(arrived).0 - self.host_clock.local(at).0).max(1)));
         let write = self.config.settings.classes[class].freshness == Freshness::Write;
         let held = Held {
             name,
@@ -381,7 +381,7 @@
     }
 
     /// Looks at what a position tells of the hosts' clock, and moves what is known by it if it has to be set anew.
-    fn note_clock(&mut self, host: HostId, position: Position, role: Option<Role>, sent: Option<Time>) {
+    fn note_clock(&mut self, host: HostId, position: Position, role: Option<Role>, sent: Option<Timestamp>) {
         let received = self.clock.now();
         let Some(shift) = self.host_clock.note(host, Sample { position, role, sent, received }) else {
             return;
@@ -392,7 +392,7 @@
         );
         for member in self.members.values_mut() {
             let since = &mut member.entry.online_since;
-            *since = since.map(|since| Time(since.0.saturating_sub(shift)));
+            *since = since.map(|since| Timestamp(since.0.saturating_sub(shift)));
         }
         self.router.rebase(received, shift);
     }
@@ -557,7 +557,7 @@
         &mut self,
         id: RequestId,
         host: HostId,
-        timeout: Option<Time>,
+        timeout: Option<TimeDelta>,
         recent: Recent,
         until: Option<Instant>,
     ) {
@@ -576,7 +576,7 @@
             held.out -= 1;
             let closed = held.client.is_none();
             self.counters.outcome(Outcome::Moot);
-            let (latency, outcome) = (Time(0), Outcome::Moot);
+            let (latency, outcome) = (TimeDelta(0), Outcome::Moot);
             let (position, role, report) = (None, None, None);
             let reply = Reply { id, attempt, host, outcome, latency, closed, position, role, report };
             return self.next.push_back(Told::Reply(reply));
@@ -610,6 +610,6 @@
     let _ = client.try_send(Mail::Answer(id, answer));
 }
 
-fn micros(span: Duration) -> Time {
-    Time(span.as_micros() as i64)
+fn micros(span: Duration) -> TimeDelta {
+    TimeDelta(span.as_micros() as i64)
 }
--- a/src/net/frontend/fault.rs
+++ b/src/net/frontend/fault.rs
@@ -1,6 +1,6 @@
 //! What clients are told when there is no value, in each protocol's own terms.
 
-use crate::interface::Time;
+use crate::interface::TimeDelta;
 use crate::net::messages::Invalid;
 use crate::pgwire::{self, StatementError, WireError};
 use crate::protocol::Protocol;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
     /// Refused: trying again is harmless, after that time if there is one.
-    Refused(Option<Time>),
+    Refused(Option<TimeDelta>),
     /// The list of ledger hosts has not come yet.
     NotReady,
     /// No ledger host answered; it may have had an effect.
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -23,7 +23,7 @@
 use crate::counters::Counters;
 use crate::drain::connection::{ActiveDrain, ConnectionSpans};
 use crate::drain::Drain;
-use crate::interface::{RequestId, Time};
+use crate::interface::{RequestId, TimeDelta};
 use crate::pipeline::Limits;
 use crate::protocol::Protocol;
 use crate::reasons::Reason;
@@ -85,7 +85,7 @@
     /// When a drain does what.
     pub drain: Drain,
     /// When clients that find no seat may come back.
-    pub retry_after: Option<Time>,
+    pub retry_after: Option<TimeDelta>,
 }
 
 impl Terms {
@@ -140,7 +140,7 @@
         self.draining.borrow().is_some() || self.desk.quiesced.borrow().is_some()
     }
 
-    fn retry_after(&self) -> Option<Time> {
+    fn retry_after(&self) -> Option<TimeDelta> {
         self.terms.borrow().retry_after
     }
 }
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -2,7 +2,7 @@
 
 use super::fault::Fault;
 use crate::config::Names;
-use crate::interface::{SessionId, Time};
+use crate::interface::{SessionId, Timestamp};
 use crate::net::messages::{Invalid, Request, Statement};
 use crate::pgwire::{KvStatement, StatementError};
 use bytes::Bytes;
@@ -35,7 +35,7 @@
     }
     // A tenant that the settings do not name has no share of its own: the module gives it full worth.
     let tenant = comment.tenant.as_deref().and_then(|name| names.tenant(name));
-    let last_write = comment.after_ms.filter(|ms| *ms > 0.0).map(|ms| Time((ms * 1e3) as i64));
+    let last_write = comment.after_ms.filter(|ms| *ms > 0.0).map(|ms| Timestamp((ms * 1e3) as i64));
     let session = Some(SessionId::of(key));
     Ok(Request {
         class,
--- a/src/net/memory.rs
+++ b/src/net/memory.rs
@@ -4,7 +4,7 @@
 use super::clock::Clock;
 use crate::budget::plan::{Plan, SOLE};
 use crate::budget::{AccountId, Budget, Due, Purpose, Refused, Ticket, PURPOSES};
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use crate::pgwire;
 use crate::state::telling::Telling;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -21,7 +21,7 @@
 /// What is still overdue after it was taken back is asked for again after this time.
 const PAUSE: Duration = Duration::from_millis(100);
 /// A refusal is written to the log no more often than this, by purpose; the next line counts those between.
-const LOGGED: Time = Time(1_000_000);
+const LOGGED: Timestamp = Timestamp(1_000_000);
 
 /// Buffers of an account that are to be taken back: whoever of it can spare something claims a part.
 #[derive(Debug)]
@@ -178,7 +178,7 @@
         Self { seen: [0; PURPOSES.len()], telling: Telling::new(LOGGED) }
     }
 
-    fn note(&mut self, budget: &Budget, now: Time) {
+    fn note(&mut self, budget: &Budget, now: Timestamp) {
         for purpose in PURPOSES {
             let seen = &mut self.seen[purpose as usize];
             let refused = budget.refusals(purpose);
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,6 +1,6 @@
 //! What the actors say to each other, whatever protocol a client or a ledger host speaks. Types only.
 
-use crate::interface::{HostId, Outcome, Position, Report, RequestId, Role, SessionId, Time};
+use crate::interface::{HostId, Outcome, Position, Report, RequestId, Role, SessionId, TimeDelta, Timestamp};
 use crate::listing::Listing;
 use crate::net::socket::Presence;
 use crate::net::stream::Rest;
@@ -61,7 +61,7 @@
     /// Whether the client marks it as a retry.
     pub again: bool,
     /// When the session's last write was, on the hosts' clock, where the client tells.
-    pub last_write: Option<Time>,
+    pub last_write: Option<Timestamp>,
     /// How long the client waits.
     pub wait: Duration,
     /// The client's own name for it: none that is open may bear the same.
@@ -90,7 +90,7 @@
     /// Refused: trying again is harmless, after that time if there is one.
     Refused {
         /// How long the client should stay away.
-        retry_after: Option<Time>,
+        retry_after: Option<TimeDelta>,
     },
     /// No value could be had; it may have had an effect.
     Failed,
@@ -197,7 +197,7 @@
     pub attempt: u32,
     pub host: HostId,
     pub outcome: Outcome,
-    pub latency: Time,
+    pub latency: TimeDelta,
     /// When its last byte was written, if it was.
     pub written: Option<Instant>,
     pub position: Option<Stamp>,
@@ -210,6 +210,6 @@
 pub(crate) struct Probe {
     pub host: HostId,
     pub outcome: Outcome,
-    pub latency: Time,
+    pub latency: TimeDelta,
     pub report: Option<Report>,
 }
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -182,7 +182,7 @@
         tracing::trace!("peers: dropped a message: {reason}");
     }
 
-    fn act(&mut self, act: impl FnOnce(&mut Member, crate::Time, &mut Vec<Output>)) {
+    fn act(&mut self, act: impl FnOnce(&mut Member, crate::Timestamp, &mut Vec<Output>)) {
         let (now, mut outputs) = (self.clock.now(), Vec::new());
         act(&mut self.member, now, &mut outputs);
         for output in outputs {
@@ -192,7 +192,7 @@
         self.tally.stands(agreement.view().epoch, agreement.view().members.len(), agreement.fenced(now));
     }
 
-    fn carry_out(&mut self, now: crate::Time, output: Output) {
+    fn carry_out(&mut self, now: crate::Timestamp, output: Output) {
         let me = self.member.me().clone();
         for (epoch, who, cause) in self.chronicle.note(now, &me, &output) {
             self.tell(now, epoch, &who, cause);
@@ -231,7 +231,7 @@
         }
     }
 
-    fn tell(&self, now: crate::Time, epoch: u64, who: &str, cause: Cause) {
+    fn tell(&self, now: crate::Timestamp, epoch: u64, who: &str, cause: Cause) {
         let lease_until_us = self.member.agreement().lease_until().map_or(0, |until| until.0);
         let me = self.member.me();
         tracing::info!(event = "change", at_us = now.0, %me, epoch, who, ?cause, lease_until_us, "fleet");
--- a/src/net/rejections.rs
+++ b/src/net/rejections.rs
@@ -3,14 +3,14 @@
 
 use super::clock::Clock;
 use crate::counters::Counters;
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use crate::reasons::Reason;
 use crate::state::telling::Telling;
 use std::fmt::Display;
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// A reason is logged once in this time at the most.
-const LOGGED: Time = Time(1_000_000);
+const LOGGED: Timestamp = Timestamp(1_000_000);
 
 /// The one place that tells of it; copies share it.
 #[derive(Clone, Debug)]
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -12,7 +12,7 @@
 use super::socket::Presence;
 use crate::config::Config;
 use crate::counters::Counters;
-use crate::interface::{HostId, HostState, Outcome, RequestId, Time};
+use crate::interface::{HostId, HostState, Outcome, RequestId, TimeDelta};
 use crate::protocol::Protocol;
 use crate::reasons::Reason;
 use connection::{Connection, Place};
@@ -157,7 +157,7 @@
 impl Owed {
     /// Its end is not known: an attempt may have run.
     fn lost(self, host: HostId) -> Done {
-        let since = |sent: Instant| Time(sent.elapsed().as_micros() as i64);
+        let since = |sent: Instant| TimeDelta(sent.elapsed().as_micros() as i64);
         let event = match self {
             Self::Attempt { id, attempt, sent } => Event::Ended(Box::new(AttemptEnd {
                 id,
@@ -430,7 +430,7 @@
             () = sleep_until(a.deadline) => Err(Outcome::Timeout),
         }
     };
-    let latency = Time(a.sent.elapsed().as_micros() as i64);
+    let latency = TimeDelta(a.sent.elapsed().as_micros() as i64);
     let (written, position, role) = (exchange.written, exchange.position, exchange.role);
     let large = match (exchange.large, slot, &stopped) {
         (Some(row), Some(slot), Ok(Some(true))) => connection.take().map(|open| (row, slot, open)),
@@ -478,7 +478,7 @@
         Err(_) => (Outcome::Timeout, false),
     };
     let report = exchange.report().filter(|_| outcome == Outcome::Ok);
-    let latency = Time(sent.elapsed().as_micros() as i64);
+    let latency = TimeDelta(sent.elapsed().as_micros() as i64);
     let event = Event::Probed(Probe { host, outcome, latency, report });
     Done { connection: connection.filter(|_| good), event }
 }
