--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -5,8 +5,8 @@
 use std::fmt::Write;
 use wheelpier_decisions::settings::{self, micros, Reading};
 use wheelpier_decisions::{
-    Action, Event, HostEntry, HostId, HostState, ListKind, Outcome, Position, Reply, Report, Request,
-    RequestId, Role, Router, SessionId, TimeDelta, Timestamp,
+    Action, AttemptResult, EndpointEntry, EndpointUpdate, Event, HostId, HostState, LoadReport, LogPosition,
+    Outcome, Request, RequestId, Role, Router, SessionId, TimeDelta, Timestamp,
 };
 
 const MAX_LISTS: u64 = 16;
@@ -104,7 +104,7 @@
 #[derive(Clone)]
 struct Row {
     host: String,
-    entry: HostEntry,
+    entry: EndpointEntry,
 }
 
 /// How long the adapter must still know the name of a request.
@@ -143,7 +143,7 @@
         }
     }
 
-    fn report(&self, text: Option<&str>, f: &Fields) -> Result<Option<Report>, String> {
+    fn report(&self, text: Option<&str>, f: &Fields) -> Result<Option<LoadReport>, String> {
         let Some(text) = text else { return Ok(None) };
         let mut values = Vec::with_capacity(self.reading.fields);
         for value in text.split(',') {
@@ -160,10 +160,10 @@
         let value = |place: Option<usize>| place.and_then(|n| values.get(n).copied().flatten());
         // Whole microseconds, rounded down: a position is a lower bound.
         let position = value(self.reading.position_field)
-            .map(|s| Position(self.reading.zero + (s * 1e6).floor() as i64));
+            .map(|s| LogPosition(self.reading.zero + (s * 1e6).floor() as i64));
         let role =
             value(self.reading.role_field).map(|x| if x >= 0.5 { Role::Primary } else { Role::Replica });
-        Ok(Some(Report { position, role }))
+        Ok(Some(LoadReport { position, role }))
     }
 }
 
@@ -183,13 +183,13 @@
     Ok(match code {
         1 => Outcome::Ok,
         0 => Outcome::Error,
-        2 => Outcome::Full,
+        2 => Outcome::Overloaded,
         3 => Outcome::Timeout,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
-        8 => Outcome::Miss,
+        7 => Outcome::NotSent,
+        8 => Outcome::Misdirected,
         other => return Err(f.wrong("outcome", &format!("`{other}` is no known outcome"))),
     })
 }
@@ -285,8 +285,8 @@
         let leader = f.maybe_number("leader")?.is_some_and(|x| x >= 0.5);
         let state = match f.text("phase")? {
             "Running" => HostState::Running,
-            "Stopping" => HostState::Stopping,
-            "Deleted" => HostState::Deleted,
+            "Stopping" => HostState::Draining,
+            "Deleted" => HostState::Removed,
             other => return Err(f.wrong("phase", &format!("`{other}` is no known phase"))),
         };
         let group = f.count("db")?;
@@ -295,7 +295,15 @@
             return Err(f.wrong("host", "missing"));
         }
         f.done()?;
-        let entry = HostEntry { host: HostId(0), group, zone, weight, leader, state, online_since };
+        let entry = EndpointEntry {
+            host: HostId(0),
+            group,
+            zone,
+            weight,
+            listed_as_primary: leader,
+            state,
+            started_at: online_since,
+        };
         Ok(Row { host, entry })
     }
 
@@ -336,8 +344,8 @@
         f.done()?;
         if let Some(event) = event {
             let ended = match &event {
-                Event::Reply(reply) => Some(reply.id),
-                Event::ClientLeft(id) => Some(*id),
+                Event::AttemptEnded(reply) => Some(reply.id),
+                Event::ClientDisconnected(id) => Some(*id),
                 _ => None,
             };
             instance.router.handle(self.now, event, &mut self.actions);
@@ -354,21 +362,21 @@
 
 fn roster(f: &mut Fields, instance: &mut Instance, lists: &BTreeMap<u64, Vec<Row>>) -> Result<Event, String> {
     let kind = match f.text("form")? {
-        "update" => ListKind::Update,
-        "replace" => ListKind::Replace,
-        "restored" => ListKind::Restored,
-        "unavailable" => ListKind::Unavailable,
+        "update" => EndpointUpdate::Delta,
+        "replace" => EndpointUpdate::Snapshot,
+        "restored" => EndpointUpdate::Cached,
+        "unavailable" => EndpointUpdate::Unavailable,
         other => return Err(f.wrong("form", &format!("`{other}` is no known form"))),
     };
     let number = f.maybe("buffer")?;
     let _epoch = f.maybe("epoch")?;
-    if kind == ListKind::Unavailable {
-        return Ok(Event::Hosts(kind, Vec::new()));
+    if kind == EndpointUpdate::Unavailable {
+        return Ok(Event::EndpointList(kind, Vec::new()));
     }
     let rows = number.and_then(|n| n.parse::<u64>().ok()).and_then(|n| lists.get(&n));
     let rows = rows.ok_or_else(|| f.wrong("buffer", "names no list"))?;
-    let entry = |row: &Row| HostEntry { host: instance.host(&row.host), ..row.entry.clone() };
-    Ok(Event::Hosts(kind, rows.iter().map(entry).collect()))
+    let entry = |row: &Row| EndpointEntry { host: instance.host(&row.host), ..row.entry.clone() };
+    Ok(Event::EndpointList(kind, rows.iter().map(entry).collect()))
 }
 
 fn arrival(f: &mut Fields, instance: &mut Instance) -> Result<Event, String> {
@@ -390,7 +398,16 @@
     instance.requests.insert(handle.to_owned(), id);
     instance.names.insert(id, Name { text: handle.to_owned(), over: false, out: 0 });
     let since_write = since.filter(|ms| *ms > 0.0).map(|ms| TimeDelta((ms * 1e3).floor() as i64));
-    Ok(Event::Arrival(Request { id, class, group, tenant, since_write, again, ttl, session }))
+    Ok(Event::RequestArrived(Request {
+        id,
+        class,
+        group,
+        tenant,
+        time_since_write: since_write,
+        is_client_retry: again,
+        timeout: ttl,
+        session,
+    }))
 }
 
 fn reply(f: &mut Fields, instance: &mut Instance) -> Result<Option<Event>, String> {
@@ -410,14 +427,24 @@
         _ => None,
     };
     let position =
-        Some(stamp >> 2).filter(|ms| *ms > 0).map(|ms| Position(instance.reading.zero + ms * 1000));
+        Some(stamp >> 2).filter(|ms| *ms > 0).map(|ms| LogPosition(instance.reading.zero + ms * 1000));
     let Some(&id) = instance.requests.get(handle) else { return Ok(None) };
     let host = instance.host(host);
     if let Some(name) = instance.names.get_mut(&id) {
         name.out = name.out.saturating_sub(1);
         name.over |= closed;
     }
-    Ok(Some(Event::Reply(Reply { id, attempt, host, outcome, latency, closed, position, role, report })))
+    Ok(Some(Event::AttemptEnded(AttemptResult {
+        id,
+        attempt,
+        host,
+        outcome,
+        latency,
+        request_closed: closed,
+        position,
+        role,
+        report,
+    })))
 }
 
 fn checked(f: &mut Fields, instance: &mut Instance) -> Result<Event, String> {
@@ -427,7 +454,7 @@
     let latency = TimeDelta(micros(f.maybe_number("lag")?.unwrap_or(0.0)));
     let stats = f.maybe("serverStats")?;
     let report = instance.report(stats, f)?;
-    Ok(Event::Probed { host: instance.host(host), outcome, latency, report })
+    Ok(Event::HealthChecked { host: instance.host(host), outcome, latency, report })
 }
 
 fn client_left(f: &mut Fields, instance: &mut Instance) -> Result<Option<Event>, String> {
@@ -436,7 +463,7 @@
     if let Some(name) = instance.names.get_mut(&id) {
         name.over = true;
     }
-    Ok(Some(Event::ClientLeft(id)))
+    Ok(Some(Event::ClientDisconnected(id)))
 }
 
 fn begun(f: &mut Fields, instance: &mut Instance) -> Result<Option<Event>, String> {
@@ -444,7 +471,7 @@
     let attempt = f.small("copy")?;
     let _host = f.text("host")?;
     let _lag = f.maybe_number("lag")?;
-    Ok(instance.requests.get(handle).map(|&id| Event::Begun { id, attempt }))
+    Ok(instance.requests.get(handle).map(|&id| Event::ResponseStarted { id, attempt }))
 }
 
 fn whisper(f: &mut Fields) -> Result<Event, String> {
@@ -453,7 +480,7 @@
         None => Vec::new(),
         Some(text) => STANDARD.decode(text).map_err(|e| f.wrong("payload", &e.to_string()))?,
     };
-    Ok(Event::Peer { from, data })
+    Ok(Event::PeerMessage { from, data })
 }
 
 fn write_action(out: &mut String, router: &str, instance: &mut Instance, action: Action) {
@@ -462,7 +489,7 @@
     let name = |id: RequestId| instance.names.get(&id).map_or("", |name| name.text.as_str());
     let mut over = None;
     let _ = match action {
-        Action::Send { id, host: to, timeout, .. } => {
+        Action::Forward { id, host: to, timeout, .. } => {
             let timeout = timeout.map_or("0".to_owned(), |delta| seconds(delta.0).to_string());
             let done = writeln!(out, "attempt\t{router}\t{}\t{}\t{timeout}", name(id), host(to));
             if let Some(name) = instance.names.get_mut(&id) {
@@ -470,7 +497,7 @@
             }
             done
         }
-        Action::Refuse { id, retry_after } => {
+        Action::Reject { id, retry_after } => {
             over = Some(id);
             let wait = retry_after.map_or(0.0, |delta| seconds(delta.0));
             writeln!(out, "say_no\t{router}\t{}\t{wait}", name(id))
@@ -479,12 +506,14 @@
             over = Some(id);
             writeln!(out, "fail\t{router}\t{}", name(id))
         }
-        Action::Cancel { id, attempt } => writeln!(out, "drop_attempt\t{router}\t{}\t{attempt}", name(id)),
-        Action::Probe { host: to } => writeln!(out, "check\t{router}\t{}", host(to)),
-        Action::LetGo { host: to } => writeln!(out, "let_go\t{router}\t{}", host(to)),
-        Action::Timer { at, token } => writeln!(out, "wake_at\t{router}\t{}\t{token}", seconds(at.0)),
-        Action::Watch(on) => writeln!(out, "listen\t{router}\t{}", u8::from(on)),
-        Action::FetchList => writeln!(out, "query_all\t{router}"),
+        Action::CancelAttempt { id, attempt } => {
+            writeln!(out, "drop_attempt\t{router}\t{}\t{attempt}", name(id))
+        }
+        Action::HealthCheck { host: to } => writeln!(out, "check\t{router}\t{}", host(to)),
+        Action::CloseIdleConnections { host: to } => writeln!(out, "let_go\t{router}\t{}", host(to)),
+        Action::SetTimer { at, token } => writeln!(out, "wake_at\t{router}\t{}\t{token}", seconds(at.0)),
+        Action::WatchEndpoints(on) => writeln!(out, "listen\t{router}\t{}", u8::from(on)),
+        Action::FetchEndpoints => writeln!(out, "query_all\t{router}"),
         Action::Log(line) => writeln!(out, "print\t{router}\t{line}"),
     };
     if let Some(id) = over {
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -6,7 +6,7 @@
 
 /// A log position: the moment, in microseconds, up to which every commit is applied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Position(pub i64);
+pub struct LogPosition(pub i64);
 
 /// A database host, numbered by the caller; the number of one host never changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -52,13 +52,13 @@
 
 /// What a repeat of a request does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// No harm.
-    Safe,
+    Idempotent,
     /// Dropped by the hosts that share the memory of its key.
-    Keyed(KeyScope),
+    WithKey(KeyScope),
     /// A second effect.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The hosts that drop each other's repeats of a keyed request.
@@ -87,59 +87,59 @@
 pub enum Outcome {
     Ok,
     Error,
-    Full,
+    Overloaded,
     Timeout,
     ConnectFailed,
     Reset,
     Cancelled,
-    Moot,
-    Miss,
+    NotSent,
+    Misdirected,
     /// Answered, from data older than its request allows: it has run, and nobody is given that answer.
     Stale,
 }
 
 /// How recent the data behind an answer has to be.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Recent {
+pub enum ReadRequirement {
     /// Whatever there is.
     #[default]
     Any,
     /// All up to that position.
-    From(Position),
+    AtLeast(LogPosition),
     /// All up to so long before the request's last byte was written.
-    Within(TimeDelta),
+    MaxStaleness(TimeDelta),
 }
 
-impl Recent {
+impl ReadRequirement {
     /// What a class asks for, where its session's last write stands at `token`.
-    pub fn of(freshness: Freshness, token: Position) -> Self {
+    pub fn for_class(freshness: Freshness, token: LogPosition) -> Self {
         match freshness {
-            Freshness::Bounded(bound) => Self::Within(bound),
+            Freshness::Bounded(bound) => Self::MaxStaleness(bound),
             _ if token.0 == i64::MIN => Self::Any,
-            _ => Self::From(token),
+            _ => Self::AtLeast(token),
         }
     }
 
     /// The position that is needed by a request written at that moment; the least of all where anything will do.
-    pub fn need(self, written: Timestamp) -> Position {
+    pub fn required_position(self, written: Timestamp) -> LogPosition {
         match self {
-            Self::Any => Position(i64::MIN),
-            Self::From(position) => position,
-            Self::Within(bound) => Position(written.0 - bound.0),
+            Self::Any => LogPosition(i64::MIN),
+            Self::AtLeast(position) => position,
+            Self::MaxStaleness(bound) => LogPosition(written.0 - bound.0),
         }
     }
 
     /// Whether an answer that tells this position is recent enough for a request written at that moment. One that tells
     /// none is not, but where anything will do.
-    pub fn met(self, told: Option<Position>, written: Timestamp) -> bool {
-        self == Self::Any || told.is_some_and(|told| told >= self.need(written))
+    pub fn is_met_by(self, told: Option<LogPosition>, written: Timestamp) -> bool {
+        self == Self::Any || told.is_some_and(|told| told >= self.required_position(written))
     }
 
     /// Until when a request may be written to a host that is known to stand at that position; for good where nothing is
     /// said.
-    pub fn until(self, known: Position) -> Option<Timestamp> {
+    pub fn latest_write(self, known: LogPosition) -> Option<Timestamp> {
         match self {
-            Self::Within(bound) => Some(Timestamp(known.0.saturating_add(bound.0))),
+            Self::MaxStaleness(bound) => Some(Timestamp(known.0.saturating_add(bound.0))),
             _ => None,
         }
     }
@@ -147,21 +147,21 @@
 
 /// What a host does with a read it is too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WhenBehind {
+pub enum LagPolicy {
     /// Answers from what it has.
-    Off,
+    ServeStale,
     /// Turns it away at once.
-    Refuse,
+    Reject,
     /// Waits this long for the log, then turns it away.
-    Wait(TimeDelta),
+    WaitThenReject(TimeDelta),
 }
 
 /// Where load reports arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub enum Reports {
+pub enum LoadReports {
     Inline,
-    OnProbe,
+    OnHealthCheck,
     Off,
 }
 
@@ -177,13 +177,13 @@
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
-pub struct Class {
-    pub aim: TimeDelta,
+pub struct RequestClass {
+    pub latency_objective: TimeDelta,
     pub deadline: TimeDelta,
-    pub worth: f64,
-    pub late_worth: f64,
-    pub repeat: Repeat,
-    pub key_window: TimeDelta,
+    pub priority_weight: f64,
+    pub late_priority_weight: f64,
+    pub idempotency: Idempotency,
+    pub idempotency_key_window: TimeDelta,
     pub freshness: Freshness,
 }
 
@@ -191,81 +191,83 @@
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub struct Settings {
-    pub routers: u32,
+    pub router_count: u32,
     pub zone: u32,
-    pub tick: TimeDelta,
-    pub classes: Vec<Class>,
-    pub quotas: Vec<f64>,
-    pub over_share_worth: f64,
+    pub timer_resolution: TimeDelta,
+    pub classes: Vec<RequestClass>,
+    pub tenant_quotas: Vec<f64>,
+    pub over_quota_weight: f64,
     pub goal_worst_class: f64,
-    pub when_behind: WhenBehind,
-    pub answers_stamped: bool,
+    pub lag_policy: LagPolicy,
+    pub responses_carry_position: bool,
     /// Whether an answer that tells too old a position is kept from its client: where hosts answer from what they have.
-    pub answers_checked: bool,
-    pub remembered: bool,
+    pub responses_verified: bool,
+    pub write_positions_tracked: bool,
     pub list_role: ListRole,
-    pub reports: Reports,
-    pub on_request: bool,
-    pub removal_not_binding: bool,
-    pub answer_slack: TimeDelta,
-    pub ask_within: TimeDelta,
-    pub cold: TimeDelta,
-    pub cold_from: f64,
-    pub fall: TimeDelta,
-    pub fall_multiple: f64,
+    pub load_reports: LoadReports,
+    pub discovery_is_polled: bool,
+    pub removal_is_advisory: bool,
+    pub response_deadline_slack: TimeDelta,
+    pub discovery_poll_timeout: TimeDelta,
+    pub slow_start_window: TimeDelta,
+    pub slow_start_initial_fraction: f64,
+    pub slow_start_budget_window: TimeDelta,
+    pub slow_start_budget_multiple: f64,
     pub max_attempts: u32,
     pub max_retry_after: TimeDelta,
-    pub may_cancel: bool,
-    pub may_probe: bool,
-    pub second_copies: bool,
-    pub retry_after: bool,
+    pub cancellation_allowed: bool,
+    pub health_checks_allowed: bool,
+    pub hedging_allowed: bool,
+    pub retry_after_allowed: bool,
     pub price_cross_zone: f64,
-    pub price_probe: f64,
+    pub price_health_check: f64,
     pub price_waste: f64,
     pub price_handshake: f64,
 }
 
 /// Up to so many routers each meet every host all the time: their own limits and probes hold for a fleet of them.
-pub const FEW: u32 = 6;
+pub const SMALL_FLEET_MAX_ROUTERS: u32 = 6;
 
 impl Settings {
     /// How long a host that is too far behind for a read waits for the log, in microseconds, before it turns the
     /// read away; nothing where it answers from what it has.
-    pub fn checks_reads(&self) -> Option<i64> {
-        match self.when_behind {
-            WhenBehind::Off => None,
-            WhenBehind::Refuse => Some(0),
-            WhenBehind::Wait(wait) => Some(wait.0),
+    pub fn replica_lag_wait(&self) -> Option<i64> {
+        match self.lag_policy {
+            LagPolicy::ServeStale => None,
+            LagPolicy::Reject => Some(0),
+            LagPolicy::WaitThenReject(wait) => Some(wait.0),
         }
     }
 
     /// Part of its capacity, between 0 and 1, that a host has at the least so long after its start.
-    pub fn warmth(&self, age: TimeDelta) -> f64 {
-        let age = age.0 as f64 / self.cold.0.max(1) as f64;
-        self.cold_from + (1.0 - self.cold_from) * age.clamp(0.0, 1.0)
+    pub fn slow_start_fraction(&self, age: TimeDelta) -> f64 {
+        let age = age.0 as f64 / self.slow_start_window.0.max(1) as f64;
+        self.slow_start_initial_fraction + (1.0 - self.slow_start_initial_fraction) * age.clamp(0.0, 1.0)
     }
 
     /// Whether the routers are so many that one's own requests tell it little of a single host.
-    pub fn is_many(&self) -> bool {
-        self.routers > FEW
+    pub fn is_large_fleet(&self) -> bool {
+        self.router_count > SMALL_FLEET_MAX_ROUTERS
     }
 
     /// Whether hosts may be asked by probes. Many routers that each ask every host cost hosts more than their
     /// requests, and do not where these tell as much and a wrong guess does no harm.
-    pub fn can_ask(&self) -> bool {
-        let tells = self.answers_stamped && self.checks_reads().is_some();
-        let harmless = self.classes.iter().all(|class| class.repeat != Repeat::Unsafe);
-        self.may_probe && self.reports != Reports::Off && !(tells && harmless && self.is_many())
+    pub fn can_health_check(&self) -> bool {
+        let tells = self.responses_carry_position && self.replica_lag_wait().is_some();
+        let harmless = self.classes.iter().all(|class| class.idempotency != Idempotency::NotIdempotent);
+        self.health_checks_allowed
+            && self.load_reports != LoadReports::Off
+            && !(tells && harmless && self.is_large_fleet())
     }
 
     /// How many times more routers there are than a few: 1 at the least.
-    pub fn crowding(&self) -> f64 {
-        f64::from(self.routers.max(FEW)) / f64::from(FEW)
+    pub fn fleet_size_factor(&self) -> f64 {
+        f64::from(self.router_count.max(SMALL_FLEET_MAX_ROUTERS)) / f64::from(SMALL_FLEET_MAX_ROUTERS)
     }
 
     /// The shortest aim of all classes, in microseconds.
-    pub fn shortest_aim(&self) -> i64 {
-        self.classes.iter().map(|class| class.aim.0).min().unwrap_or(0)
+    pub fn shortest_latency_objective(&self) -> i64 {
+        self.classes.iter().map(|class| class.latency_objective.0).min().unwrap_or(0)
     }
 }
 
@@ -291,40 +293,40 @@
 #[allow(missing_docs)]
 pub enum HostState {
     Running,
-    Stopping,
+    Draining,
     #[default]
-    Deleted,
+    Removed,
 }
 
 /// One line of the host list.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
-pub struct HostEntry {
+pub struct EndpointEntry {
     pub host: HostId,
     pub group: u32,
     pub zone: u32,
     pub weight: f64,
-    pub leader: bool,
+    pub listed_as_primary: bool,
     pub state: HostState,
-    pub online_since: Option<Timestamp>,
+    pub started_at: Option<Timestamp>,
 }
 
-impl HostEntry {
+impl EndpointEntry {
     /// An entry with nothing but the necessary.
     pub fn new(host: HostId, group: u32, state: HostState) -> Self {
-        Self { host, group, zone: 0, weight: 1.0, leader: false, state, online_since: None }
+        Self { host, group, zone: 0, weight: 1.0, listed_as_primary: false, state, started_at: None }
     }
 }
 
 /// What kind of list arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointUpdate {
     /// Only what changed.
-    Update,
+    Delta,
     /// All of it.
-    Replace,
+    Snapshot,
     /// All of it as last held; may be old.
-    Restored,
+    Cached,
     /// None: the call failed.
     Unavailable,
 }
@@ -337,93 +339,102 @@
     pub class: usize,
     pub group: u32,
     pub tenant: usize,
-    pub since_write: Option<TimeDelta>,
-    pub again: bool,
-    pub ttl: TimeDelta,
+    pub time_since_write: Option<TimeDelta>,
+    pub is_client_retry: bool,
+    pub timeout: TimeDelta,
     pub session: Option<SessionId>,
 }
 
 impl Request {
     /// A request of a class to a group, with the time its client waits in microseconds.
-    pub fn new(id: RequestId, class: usize, group: u32, ttl: i64) -> Self {
-        let ttl = TimeDelta(ttl);
-        Self { id, class, group, tenant: 0, since_write: None, again: false, ttl, session: None }
+    pub fn new(id: RequestId, class: usize, group: u32, timeout_us: i64) -> Self {
+        let timeout = TimeDelta(timeout_us);
+        Self {
+            id,
+            class,
+            group,
+            tenant: 0,
+            time_since_write: None,
+            is_client_retry: false,
+            timeout,
+            session: None,
+        }
     }
 }
 
 /// What a host says of itself, some time old.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub struct Report {
-    pub position: Option<Position>,
+pub struct LoadReport {
+    pub position: Option<LogPosition>,
     pub role: Option<Role>,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub struct Reply {
+pub struct AttemptResult {
     pub id: RequestId,
     pub attempt: u32,
     pub host: HostId,
     pub outcome: Outcome,
     pub latency: TimeDelta,
-    pub closed: bool,
-    pub position: Option<Position>,
+    pub request_closed: bool,
+    pub position: Option<LogPosition>,
     pub role: Option<Role>,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub enum Event {
-    Hosts(ListKind, Vec<HostEntry>),
-    Arrival(Request),
-    Reply(Reply),
-    Probed { host: HostId, outcome: Outcome, latency: TimeDelta, report: Option<Report> },
-    ClientLeft(RequestId),
-    Begun { id: RequestId, attempt: u32 },
+    EndpointList(EndpointUpdate, Vec<EndpointEntry>),
+    RequestArrived(Request),
+    AttemptEnded(AttemptResult),
+    HealthChecked { host: HostId, outcome: Outcome, latency: TimeDelta, report: Option<LoadReport> },
+    ClientDisconnected(RequestId),
+    ResponseStarted { id: RequestId, attempt: u32 },
     Timer(u64),
-    Peer { from: u32, data: Vec<u8> },
+    PeerMessage { from: u32, data: Vec<u8> },
 }
 
 /// What to do.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub enum Action {
-    Send {
+    Forward {
         id: RequestId,
         host: HostId,
         timeout: Option<TimeDelta>,
         /// What its answer must be from, where answers are checked.
-        recent: Recent,
+        requirement: ReadRequirement,
         /// It must be written by then or not at all: later nothing shows its host to be recent enough.
-        until: Option<Timestamp>,
+        write_by: Option<Timestamp>,
     },
-    Refuse {
+    Reject {
         id: RequestId,
         retry_after: Option<TimeDelta>,
     },
     Fail {
         id: RequestId,
     },
-    Cancel {
+    CancelAttempt {
         id: RequestId,
         attempt: u32,
     },
-    Probe {
+    HealthCheck {
         host: HostId,
     },
-    Timer {
+    SetTimer {
         at: Timestamp,
         token: u64,
     },
     /// Closes idle connections to a host.
-    LetGo {
+    CloseIdleConnections {
         host: HostId,
     },
-    Watch(bool),
-    FetchList,
+    WatchEndpoints(bool),
+    FetchEndpoints,
     Log(String),
 }
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -93,7 +93,7 @@
     /// Whether that is what the list says.
     start_is_listed: bool,
     /// What it has applied at the least, and when that was last heard.
-    known: Position,
+    known: LogPosition,
     heard: Option<Timestamp>,
     role: Option<(Role, Timestamp)>,
     /// When it last answered anything: a report's age tells nothing of that.
@@ -118,7 +118,7 @@
 struct Open {
     class: usize,
     group: u32,
-    token: Position,
+    token: LogPosition,
     arrived: Timestamp,
     deadline: Timestamp,
     worth: f64,
@@ -187,8 +187,8 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         check(&settings)?;
         Ok(Self {
-            pace: settings.classes.iter().map(|c| Pace::of(c.aim)).collect(),
-            asked: settings.quotas.clone(),
+            pace: settings.classes.iter().map(|c| Pace::of(c.latency_objective)).collect(),
+            asked: settings.tenant_quotas.clone(),
             crowd: Crowd::new(CROWD_FADES_US, CROWD_GAIN),
             loads: BTreeMap::new(),
             usual: [0.0; 2],
@@ -211,8 +211,9 @@
     /// Takes settings read anew, checked as at the start; classes and customers keep their numbers, new ones
     /// come behind.
     pub fn retune(&mut self, settings: Settings) {
-        self.pace.extend(settings.classes.iter().skip(self.pace.len()).map(|c| Pace::of(c.aim)));
-        self.asked.extend(settings.quotas.iter().skip(self.asked.len()));
+        self.pace
+            .extend(settings.classes.iter().skip(self.pace.len()).map(|c| Pace::of(c.latency_objective)));
+        self.asked.extend(settings.tenant_quotas.iter().skip(self.asked.len()));
         self.s = settings;
     }
 
@@ -221,42 +222,42 @@
         self.now = now;
         self.rng = self.rng.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         match event {
-            Event::Hosts(kind, entries) => self.on_hosts(kind, entries, actions),
-            Event::Arrival(request) => self.on_arrival(request, actions),
-            Event::Reply(reply) => self.on_reply(reply, actions),
-            Event::Probed { host, report, .. } => self.on_probed(host, report, actions),
-            Event::ClientLeft(id) => self.close(id, actions),
+            Event::EndpointList(kind, entries) => self.on_hosts(kind, entries, actions),
+            Event::RequestArrived(request) => self.on_arrival(request, actions),
+            Event::AttemptEnded(reply) => self.on_reply(reply, actions),
+            Event::HealthChecked { host, report, .. } => self.on_probed(host, report, actions),
+            Event::ClientDisconnected(id) => self.close(id, actions),
             // An answer that has begun belongs to the client: no copy of it, and no calling off.
-            Event::Begun { id, attempt } => {
+            Event::ResponseStarted { id, attempt } => {
                 self.out.entry((id, attempt)).and_modify(|a| a.dropped = true);
             }
-            Event::Peer { .. } => {}
+            Event::PeerMessage { .. } => {}
             Event::Timer(_) => self.on_timer(actions),
         }
         let held = self.open.values().any(|open| open.out == 0);
         // What is out is looked after at leisure: hundreds of routers must not live on timers.
-        let after = if held { LOOK_US } else { self.s.shortest_aim() / 8 };
-        let at = Timestamp(now.0 + after.max(self.s.tick.0));
+        let after = if held { LOOK_US } else { self.s.shortest_latency_objective() / 8 };
+        let at = Timestamp(now.0 + after.max(self.s.timer_resolution.0));
         if (!self.open.is_empty() || self.watch_again.is_some()) && self.look_at.is_none_or(|old| at < old) {
             self.look_at = Some(at);
-            actions.push(Action::Timer { at, token: 0 });
+            actions.push(Action::SetTimer { at, token: 0 });
         }
     }
 
     // ---- Events ----------------------------------------------------------------------------------------
 
-    fn on_hosts(&mut self, kind: ListKind, entries: Vec<HostEntry>, actions: &mut Vec<Action>) {
-        if self.s.on_request && kind == ListKind::Unavailable {
+    fn on_hosts(&mut self, kind: EndpointUpdate, entries: Vec<EndpointEntry>, actions: &mut Vec<Action>) {
+        if self.s.discovery_is_polled && kind == EndpointUpdate::Unavailable {
             self.watch_again = Some(Timestamp(self.now.0 + REST_US.0));
-        } else if self.s.on_request && !self.started {
-            actions.push(Action::Watch(true));
+        } else if self.s.discovery_is_polled && !self.started {
+            actions.push(Action::WatchEndpoints(true));
         }
-        if matches!(kind, ListKind::Replace | ListKind::Restored) {
+        if matches!(kind, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
             let kept: BTreeSet<HostId> = entries.iter().map(|e| e.host).collect();
             let lost = self.hosts.iter_mut().filter(|(id, _)| !kept.contains(id));
-            lost.for_each(|(_, host)| host.listed = HostState::Deleted);
+            lost.for_each(|(_, host)| host.listed = HostState::Removed);
         }
-        let start_limit = (LIMIT.0 / f64::from(self.s.routers)).max(2.0);
+        let start_limit = (LIMIT.0 / f64::from(self.s.router_count)).max(2.0);
         for e in entries {
             let new = !self.hosts.contains_key(&e.host);
             let fresh = || Host { limit: start_limit, slowness: 1.0, ..Host::default() };
@@ -268,8 +269,8 @@
             }
             (host.zone, host.listed) = (e.zone, e.state);
             host.seen_stopping =
-                e.state == HostState::Stopping || (host.seen_stopping && e.state != HostState::Running);
-            let since = e.online_since.filter(|at| at.0 > 0);
+                e.state == HostState::Draining || (host.seen_stopping && e.state != HostState::Running);
+            let since = e.started_at.filter(|at| at.0 > 0);
             // A host first seen after the first list has just been started, whatever its entry says.
             let started = if new && self.started { Some(since.unwrap_or(self.now)) } else { since };
             host.start_is_listed = since.is_some();
@@ -278,12 +279,12 @@
                 host.rest = Rest::default();
             }
             // The list is the weakest evidence of a role: it only makes us ask.
-            host.wanted |= !new && e.leader && !host.leader;
-            host.leader = e.leader;
+            host.wanted |= !new && e.listed_as_primary && !host.leader;
+            host.leader = e.listed_as_primary;
         }
         self.started = true;
         for (group, ids) in &self.groups {
-            let listed = ids.iter().filter(|id| self.hosts[id].listed != HostState::Deleted).count();
+            let listed = ids.iter().filter(|id| self.hosts[id].listed != HostState::Removed).count();
             self.loads.entry(*group).or_default().has(listed);
         }
         self.forget_gone();
@@ -293,9 +294,9 @@
     fn forget_gone(&mut self) {
         let now = self.now;
         self.hosts.values_mut().filter(|h| h.listed == HostState::Running).for_each(|h| h.gone = None);
-        let away = |h: &Host| h.listed == HostState::Deleted && h.in_flight == 0 && !h.probing;
+        let away = |h: &Host| h.listed == HostState::Removed && h.in_flight == 0 && !h.probing;
         self.hosts.values_mut().filter(|h| away(h)).for_each(|h| _ = h.gone.get_or_insert(now));
-        if !self.s.removal_not_binding {
+        if !self.s.removal_is_advisory {
             self.hosts.retain(|_, h| !away(h) || h.gone.is_none_or(|at| now.0 - at.0 < FORGOTTEN_US));
             let hosts = &self.hosts;
             self.groups.values_mut().for_each(|ids| ids.retain(|id| hosts.contains_key(id)));
@@ -306,28 +307,34 @@
 
     fn on_arrival(&mut self, r: Request, actions: &mut Vec<Action>) {
         if r.class >= self.s.classes.len() {
-            actions.push(Action::Refuse { id: r.id, retry_after: None });
+            actions.push(Action::Reject { id: r.id, retry_after: None });
             return;
         }
         let class = &self.s.classes[r.class];
         let token = match class.freshness {
-            Freshness::Fresh => Position(self.now.0),
-            Freshness::Session if self.s.remembered => self.sessions.need(r.session, r.group, self.now),
-            Freshness::Session => match r.since_write {
-                Some(ago) if ago.0 > 0 => Position(self.now.0 - ago.0 + ROUNDING_US),
-                _ => Position(i64::MIN),
+            Freshness::Fresh => LogPosition(self.now.0),
+            Freshness::Session if self.s.write_positions_tracked => {
+                self.sessions.need(r.session, r.group, self.now)
+            }
+            Freshness::Session => match r.time_since_write {
+                Some(ago) if ago.0 > 0 => LogPosition(self.now.0 - ago.0 + ROUNDING_US),
+                _ => LogPosition(i64::MIN),
             },
-            _ => Position(i64::MIN),
+            _ => LogPosition(i64::MIN),
         };
-        self.loads.entry(r.group).or_default().asked(class.freshness.needs_primary(), self.now, self.s.fall);
-        let worth = class.worth * self.share(r.tenant);
+        self.loads.entry(r.group).or_default().asked(
+            class.freshness.needs_primary(),
+            self.now,
+            self.s.slow_start_budget_window,
+        );
+        let worth = class.priority_weight * self.share(r.tenant);
         self.retry_budget = (self.retry_budget + RETRY_BUDGET.0).min(RETRY_BUDGET.1);
         let open = Open {
             class: r.class,
             group: r.group,
             token,
             arrived: self.now,
-            deadline: Timestamp(self.now.0 + r.ttl.0),
+            deadline: Timestamp(self.now.0 + r.timeout.0),
             worth,
             session: r.session,
             draw: self.rng,
@@ -343,7 +350,7 @@
         self.settle(r.id, actions);
     }
 
-    fn on_reply(&mut self, r: Reply, actions: &mut Vec<Action>) {
+    fn on_reply(&mut self, r: AttemptResult, actions: &mut Vec<Action>) {
         let Some(attempt) = self.out.remove(&(r.id, r.attempt)) else { return };
         self.learn(r.host, r.position, r.role, self.now);
         if let Some(report) = r.report {
@@ -352,11 +359,13 @@
         self.judge(&attempt, &r);
         self.make_room(&r, actions);
         let group = self.hosts.get(&r.host).map(|h| h.group);
-        let unrun =
-            matches!(r.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss);
+        let unrun = matches!(
+            r.outcome,
+            Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Misdirected
+        );
         if let Some((key, group)) = attempt.writes {
             // No commit is ahead of the clock, but a session must not lose its token for such a one either.
-            let commit = r.position.map(|commit| commit.min(Position(self.now.0 + AHEAD_US)));
+            let commit = r.position.map(|commit| commit.min(LogPosition(self.now.0 + AHEAD_US)));
             let later = Timestamp(self.now.0 + self.s.classes[attempt.class].deadline.0);
             let commit = commit.filter(|_| r.outcome == Outcome::Ok);
             self.sessions.ended(key, group, commit, (!unrun).then_some(later));
@@ -366,8 +375,8 @@
             if !unrun && open.may_have_run.is_none_or(|(sent, _)| attempt.sent < sent) {
                 open.may_have_run = Some((attempt.sent, self.hosts.get(&r.host).map_or(0, |h| h.zone)));
             }
-            open.written |= !matches!(r.outcome, Outcome::ConnectFailed | Outcome::Moot);
-            if matches!(r.outcome, Outcome::Miss | Outcome::Stale) {
+            open.written |= !matches!(r.outcome, Outcome::ConnectFailed | Outcome::NotSent);
+            if matches!(r.outcome, Outcome::Misdirected | Outcome::Stale) {
                 open.missed.push(r.host);
             }
             // What errs everywhere is no host's fault, and full hosts are not helped by more of the same.
@@ -375,13 +384,14 @@
                 open.erred.push(r.host);
             }
             // One whose time is over asks for no further attempt.
-            let bad = matches!(r.outcome, Outcome::Error | Outcome::Full | Outcome::Reset | Outcome::Timeout);
+            let bad =
+                matches!(r.outcome, Outcome::Error | Outcome::Overloaded | Outcome::Reset | Outcome::Timeout);
             if bad && self.now.0 < open.deadline.0 - MARGIN_US {
                 open.spent = open.erred.len() > 1 || self.retry_budget < 1.0;
                 self.retry_budget = (self.retry_budget - 1.0).max(0.0);
             }
         }
-        if r.closed || r.outcome == Outcome::Ok {
+        if r.request_closed || r.outcome == Outcome::Ok {
             self.close(r.id, actions);
         } else {
             self.settle(r.id, actions);
@@ -389,7 +399,7 @@
         group.into_iter().for_each(|group| self.dispatch(group, actions));
     }
 
-    fn on_probed(&mut self, id: HostId, report: Option<Report>, actions: &mut Vec<Action>) {
+    fn on_probed(&mut self, id: HostId, report: Option<LoadReport>, actions: &mut Vec<Action>) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
         host.probing = false;
         let (group, before) = (host.group, host.known);
@@ -408,7 +418,7 @@
         self.look_at = None;
         if self.watch_again.is_some_and(|at| at <= self.now) {
             self.watch_again = None;
-            actions.push(Action::Watch(true));
+            actions.push(Action::WatchEndpoints(true));
         }
         self.watch_silence();
         let ids: Vec<RequestId> = self.open.keys().copied().collect();
@@ -421,9 +431,9 @@
 
     /// Forgets a request that has its answer and calls off what is still out for it.
     fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        if self.open.remove(&id).is_some() && self.s.may_cancel {
+        if self.open.remove(&id).is_some() && self.s.cancellation_allowed {
             for (&(id, attempt), _) in self.out.range((id, 0)..=(id, u32::MAX)) {
-                actions.push(Action::Cancel { id, attempt });
+                actions.push(Action::CancelAttempt { id, attempt });
             }
         }
     }
@@ -431,7 +441,7 @@
     // ---- Knowledge: positions and roles ----------------------------------------------------------------
 
     /// Takes what an answer says. A position is a lower bound that only rises; of roles the newest wins.
-    fn learn(&mut self, id: HostId, position: Option<Position>, role: Option<Role>, at: Timestamp) {
+    fn learn(&mut self, id: HostId, position: Option<LogPosition>, role: Option<Role>, at: Timestamp) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
         if let Some(position) = position.filter(|p| p.0 <= self.now.0 + AHEAD_US) {
             (host.heard, host.known) = (Some(self.now), host.known.max(position));
@@ -450,7 +460,7 @@
     }
 
     /// A report is as old as the position in it.
-    fn learn_report(&mut self, id: HostId, report: Report) {
+    fn learn_report(&mut self, id: HostId, report: LoadReport) {
         let at = Timestamp(report.position.map_or(i64::MIN, |position| position.0));
         if at.0 > self.now.0 + AHEAD_US {
             return;
@@ -459,9 +469,9 @@
     }
 
     /// Where the host's position probably is by now.
-    fn likely(&self, host: &Host) -> Position {
+    fn likely(&self, host: &Host) -> LogPosition {
         let Some(heard) = host.heard else { return host.known };
-        Position(host.known.0.saturating_add(self.now.0 - heard.0))
+        LogPosition(host.known.0.saturating_add(self.now.0 - heard.0))
     }
 
     fn members(&self, group: u32) -> impl Iterator<Item = (HostId, &Host)> + '_ {
@@ -481,13 +491,13 @@
 
     /// Not draining and not gone. We stop at once, so the grace is never needed.
     fn usable(&self, host: &Host) -> bool {
-        let dropped = host.listed == HostState::Deleted && !host.seen_stopping;
-        host.listed == HostState::Running || (dropped && self.s.removal_not_binding)
+        let dropped = host.listed == HostState::Removed && !host.seen_stopping;
+        host.listed == HostState::Running || (dropped && self.s.removal_is_advisory)
     }
 
     /// How recent the data must be that this read is answered from.
-    fn recent(&self, open: &Open) -> Recent {
-        Recent::of(self.s.classes[open.class].freshness, open.token)
+    fn recent(&self, open: &Open) -> ReadRequirement {
+        ReadRequirement::for_class(self.s.classes[open.class].freshness, open.token)
     }
 
     /// Whether the rules let this host take this request now, and on what evidence.
@@ -500,7 +510,7 @@
             return None;
         }
         // What can be repeated needs no proof that its host answers; where nobody can be asked there is none.
-        let unproven = class.repeat != Repeat::Unsafe || !self.s.can_ask();
+        let unproven = class.idempotency != Idempotency::NotIdempotent || !self.s.can_health_check();
         let recent = unproven || host.alive.is_some_and(|at| self.now.0 - at.0 <= EVIDENCE_US);
         match (host.role, class.freshness) {
             // While a primary hands over it turns writes away and still calls itself the primary.
@@ -509,24 +519,24 @@
             }
             (Some((Role::Primary, _)), _) if recent => return Some(Fit::Primary),
             // Where nobody can be asked, the next member is tried: a miss costs a write nothing.
-            (_, Freshness::Write) if !self.s.can_ask() => return self.guess(id, host, open),
+            (_, Freshness::Write) if !self.s.can_health_check() => return self.guess(id, host, open),
             (_, Freshness::Write) => return None,
             _ => {}
         }
-        let need = self.recent(open).need(self.now);
+        let need = self.recent(open).required_position(self.now);
         if class.freshness == Freshness::Any
             || need.0 == i64::MIN
             || (host.known >= need && !self.is_primary(host))
         {
             return Some(Fit::Proven);
         }
-        let wait = self.s.checks_reads()?;
+        let wait = self.s.replica_lag_wait()?;
         // An old host that was never heard of is as likely as any: a wrong guess costs a miss.
         let unheard = host.heard.is_none() && host.started.is_none();
         let likely = unheard || self.likely(host).0.saturating_add(wait / 2) >= need.0;
         match likely && !self.is_primary(host) {
             true => Some(Fit::Likely),
-            false if self.s.can_ask() => None,
+            false if self.s.can_health_check() => None,
             false => self.guess(id, host, open),
         }
     }
@@ -557,18 +567,18 @@
     /// still drop a repeat of what was first sent.
     fn may_repeat(&self, open: &Open, zone: Option<u32>) -> bool {
         let class = &self.s.classes[open.class];
-        if open.out > 0 && (!self.s.second_copies || class.repeat == Repeat::Unsafe) {
+        if open.out > 0 && (!self.s.hedging_allowed || class.idempotency == Idempotency::NotIdempotent) {
             return false;
         }
         // What is still out may have run since the arrival, in a zone that is not looked up.
         let out = (open.out > 0).then_some((open.arrived, None));
         let first = out.or(open.may_have_run.map(|(sent, zone)| (sent, Some(zone))));
-        match (class.repeat, first) {
-            (Repeat::Safe, _) | (_, None) => true,
-            (Repeat::Unsafe, Some(_)) => false,
-            (Repeat::Keyed(scope), Some((sent, first))) => {
+        match (class.idempotency, first) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::NotIdempotent, Some(_)) => false,
+            (Idempotency::WithKey(scope), Some((sent, first))) => {
                 let same = scope != KeyScope::Zone || zone.is_none() || zone == first;
-                same && self.now.0 + ROUNDING_US < sent.0 + class.key_window.0
+                same && self.now.0 + ROUNDING_US < sent.0 + class.idempotency_key_window.0
             }
         }
     }
@@ -612,7 +622,7 @@
                 continue;
             }
             let near = host.zone == self.s.zone;
-            let cross = if near { 0.0 } else { self.s.price_cross_zone * class.aim.0 as f64 };
+            let cross = if near { 0.0 } else { self.s.price_cross_zone * class.latency_objective.0 as f64 };
             let chance = 0.75 + 0.5 * Self::luck(open, host_id.0, 1 + u64::from(open.attempts));
             let cost = self.pace[open.class].mean * host.slowness * chance + cross;
             let last = sick || self.errs(host) > errs || open.erred.contains(&host_id);
@@ -629,7 +639,7 @@
         let primary = self.primary(open.group).filter(|p| write && !self.hosts[p].rest.failing());
         if !write {
             behind.sort_by_key(|id| self.hosts[id].probed);
-            behind.truncate(usize::from(self.s.checks_reads().is_some()));
+            behind.truncate(usize::from(self.s.replica_lag_wait().is_some()));
         }
         for id in primary.map_or(behind, |p| vec![p]).into_iter().filter(|_| !proven) {
             self.hosts.entry(id).and_modify(|host| host.wanted = true);
@@ -640,31 +650,33 @@
     /// Where one request of each router is too much for a host: by chance, the more the later it was.
     fn overfull(&self, id: HostId, host: &Host, open: &Open) -> bool {
         let late = host.late.read(self.now, LATE_FADES_US) / OVERFULL_AT;
-        self.s.is_many() && Self::luck(open, id.0, 2) * late * late > 1.0
+        self.s.is_large_fleet() && Self::luck(open, id.0, 2) * late * late > 1.0
     }
 
     /// The primary is for the writes: by chance, it takes the fewer reads the later it answers, and half of
     /// them while nothing is known of it, until they have waited for a replica in vain.
     fn spares_primary(&self, open: &Open) -> bool {
         let unknown = 1.0 - self.crowd.known(open.group, true, self.now);
-        let waited = (self.now.0 - open.arrived.0) as f64 * 4.0 / self.s.classes[open.class].aim.0 as f64;
+        let waited = (self.now.0 - open.arrived.0) as f64 * 4.0
+            / self.s.classes[open.class].latency_objective.0 as f64;
         // Work takes its time at an idle host too: only what comes on top is a sign that the primary is full.
-        let idle = self.pace[open.class].work / self.s.classes[open.class].aim.0 as f64;
+        let idle = self.pace[open.class].work / self.s.classes[open.class].latency_objective.0 as f64;
         let late = (self.lateness(open.group, true) - idle) / (SPARED_AT - idle).max(SPARED_AT / 2.0);
         Self::luck(open, 0, 0) < late + unknown * (0.5 - waited).max(0.0)
     }
 
     /// Part of its capacity that a host had at the least when the cold budget began; 1 once it is warm.
     fn warmth(&self, host: &Host) -> f64 {
-        let began = self.now.0 - self.s.fall.0;
-        host.started.map_or(1.0, |started| self.s.warmth(TimeDelta(began - started.0)))
+        let began = self.now.0 - self.s.slow_start_budget_window.0;
+        host.started.map_or(1.0, |started| self.s.slow_start_fraction(TimeDelta(began - started.0)))
     }
 
     /// A read that any data will do for and that is given far more time than others is long, and a replica
     /// applies nothing while it holds one. Presumed: a router that sees one a minute cannot wait for proof.
     fn freezes(&self, class: usize) -> bool {
         let class = &self.s.classes[class];
-        class.freshness == Freshness::Any && class.aim.0 / 4 > self.s.shortest_aim()
+        class.freshness == Freshness::Any
+            && class.latency_objective.0 / 4 > self.s.shortest_latency_objective()
     }
 
     /// Sends what is held for a group, the most worth for its work first.
@@ -698,8 +710,9 @@
     /// Where replicas do not check reads, one that may have caught up is asked first and the read held.
     fn awaits_probe(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(open) = self.open.get(&id) else { return false };
-        let need = self.recent(open).need(self.now);
-        let asks = self.s.can_ask() && self.s.checks_reads().is_none() && !self.needs_primary(open);
+        let need = self.recent(open).required_position(self.now);
+        let asks =
+            self.s.can_health_check() && self.s.replica_lag_wait().is_none() && !self.needs_primary(open);
         if need.0 == i64::MIN || !asks {
             return false;
         }
@@ -724,22 +737,29 @@
         let Some(recent) = self.open.get(&id).map(|open| self.recent(open)) else { return };
         let (Some(open), Some(host)) = (self.open.get_mut(&id), self.hosts.get_mut(&host_id)) else { return };
         // A connection may take long to open, and no host is bound to keep up meanwhile.
-        let checks = self.s.checks_reads().is_some();
+        let checks = self.s.replica_lag_wait().is_some();
         let checked = checks || matches!(host.role, Some((Role::Primary, _)));
-        let until = if checked { None } else { recent.until(host.known) };
+        let until = if checked { None } else { recent.latest_write(host.known) };
         let number = open.attempts;
         open.attempts += 1;
         open.out += 1;
         host.in_flight += 1;
         host.rest.tried(self.now, REST_US.0);
-        let write = self.s.remembered && self.s.classes[open.class].freshness == Freshness::Write;
+        let write =
+            self.s.write_positions_tracked && self.s.classes[open.class].freshness == Freshness::Write;
         let writes = open.session.filter(|_| write).map(|key| (key, open.group));
         if let Some((key, group)) = writes.filter(|_| !checks) {
             self.sessions.sent(key, group, self.now);
         }
         let attempt = Attempt { host: host_id, class: open.class, sent: self.now, dropped: false, writes };
         self.out.insert((id, number), attempt);
-        actions.push(Action::Send { id, host: host_id, timeout: None, recent, until });
+        actions.push(Action::Forward {
+            id,
+            host: host_id,
+            timeout: None,
+            requirement: recent,
+            write_by: until,
+        });
     }
 
     // ---- Admission -------------------------------------------------------------------------------------
@@ -749,9 +769,9 @@
         let class = &self.s.classes[open.class];
         let work = self.pace[open.class].work.max(1.0);
         // Of equals the one that surely makes it goes first: a long queue must not make every answer late.
-        let left = (open.arrived.0 + class.aim.0 - self.now.0).max(0) as f64;
+        let left = (open.arrived.0 + class.latency_objective.0 - self.now.0).max(0) as f64;
         let chance = 1.0 - (-left / work).exp();
-        open.worth * (chance + class.late_worth * (1.0 - chance)) / work
+        open.worth * (chance + class.late_priority_weight * (1.0 - chance)) / work
     }
 
     /// Own limits cannot fall under one request at a host, which hundreds of routers together do not feel.
@@ -769,9 +789,9 @@
 
     /// A few routers hold back by their limits; many leave out single hosts, and a group is late beyond that.
     fn full_at(&self, primary: bool) -> f64 {
-        match self.s.is_many() && !primary {
+        match self.s.is_large_fleet() && !primary {
             true => FULL_AT.0,
-            false => FULL_AT.1 * (1.0 + f64::from(FEW) / f64::from(self.s.routers)),
+            false => FULL_AT.1 * (1.0 + f64::from(SMALL_FLEET_MAX_ROUTERS) / f64::from(self.s.router_count)),
         }
     }
 
@@ -783,20 +803,20 @@
     /// Part of the worth that a request of this customer has: the whole within its share. A router knows its
     /// own traffic only, however large a part of all that is: shares are told by what each asks here.
     fn share(&mut self, tenant: usize) -> f64 {
-        let Some(quota) = self.s.quotas.get(tenant) else { return 1.0 };
+        let Some(quota) = self.s.tenant_quotas.get(tenant) else { return 1.0 };
         self.asked.iter_mut().for_each(|asked| *asked *= 1.0 - GAIN / 5.0);
         self.asked[tenant] += 1.0;
-        let fair = quota / self.s.quotas.iter().sum::<f64>().max(1e-9);
+        let fair = quota / self.s.tenant_quotas.iter().sum::<f64>().max(1e-9);
         let within = (fair * self.asked.iter().sum::<f64>() / self.asked[tenant]).min(1.0);
-        within + (1.0 - within) * self.s.over_share_worth
+        within + (1.0 - within) * self.s.over_quota_weight
     }
 
     /// Ends a request that is not out, once nothing good can come of holding it.
     fn settle(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id).filter(|open| open.out == 0) else { return };
         let class = &self.s.classes[open.class];
-        let aim_left = (open.arrived.0 + class.aim.0 - self.now.0) as f64;
-        let hopeless = class.late_worth <= 0.0 && aim_left < self.pace[open.class].work / 2.0;
+        let aim_left = (open.arrived.0 + class.latency_objective.0 - self.now.0) as f64;
+        let hopeless = class.late_priority_weight <= 0.0 && aim_left < self.pace[open.class].work / 2.0;
         let over =
             self.now.0 >= open.deadline.0 - MARGIN_US || open.attempts >= self.s.max_attempts || open.spent;
         // What no host took in half its time had better be asked again: its client is told when. A write that
@@ -807,7 +827,8 @@
         if !hopeless && !over && !idle && self.may_repeat(open, None) {
             return;
         }
-        let harmless = matches!(class.repeat, Repeat::Safe | Repeat::Keyed(KeyScope::All));
+        let harmless =
+            matches!(class.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All));
         if harmless || open.may_have_run.is_none() {
             return self.refuse(id, actions);
         }
@@ -818,10 +839,10 @@
     /// Tells the client when to come back: soon while there is time left for a good answer, else late.
     fn refuse(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
-        let half = self.s.classes[open.class].aim.0 / 2;
+        let half = self.s.classes[open.class].latency_objective.0 / 2;
         let soon = self.now.0 < open.arrived.0 + half;
         let wait = if soon { self.s.max_retry_after.min(TimeDelta(half)) } else { self.s.max_retry_after };
-        actions.push(Action::Refuse { id, retry_after: self.s.retry_after.then_some(wait) });
+        actions.push(Action::Reject { id, retry_after: self.s.retry_after_allowed.then_some(wait) });
         self.close(id, actions);
     }
 
@@ -835,10 +856,11 @@
         let silent = host.is_some_and(|h| h.rest.failing());
         // Where all is late a copy only adds to it, and many routers each see too little to tell.
         let primary = host.is_some_and(|h| self.is_primary(h));
-        let calm = self.full_at(primary) / self.s.crowding();
+        let calm = self.full_at(primary) / self.s.fleet_size_factor();
         let calm = self.lateness(open.group, primary) < calm;
         let late = calm && (self.now.0 - attempt.sent.0) as f64 > LATE * self.pace[open.class].mean;
-        let may = self.s.second_copies && self.s.classes[open.class].repeat != Repeat::Unsafe;
+        let may =
+            self.s.hedging_allowed && self.s.classes[open.class].idempotency != Idempotency::NotIdempotent;
         if !may || attempt.dropped || !(late || silent) || self.retry_budget < 1.0 {
             return;
         }
@@ -860,7 +882,7 @@
         }
         // Of what hosts serve, not of what comes again after refusals; further attempts would add to that.
         let load = self.loads.get(&open.group).copied().unwrap_or_default();
-        let able = self.s.fall_multiple * part * load.part_of_one(self.needs_primary(open));
+        let able = self.s.slow_start_budget_multiple * part * load.part_of_one(self.needs_primary(open));
         open.attempts == 0 && Self::luck(open, id.0, 0) < COLD_SAFETY * able
     }
 
@@ -877,20 +899,20 @@
     /// a few do, or a failover costs a storm of probes; but once an aim while no primary is known, and soon
     /// the one that is or where only a proof lets a read go: what waits longer is lost all the same.
     fn probe(&mut self, id: HostId, actions: &mut Vec<Action>) -> bool {
-        let Some(host) = self.hosts.get(&id).filter(|h| self.s.can_ask() && self.usable(h)) else {
+        let Some(host) = self.hosts.get(&id).filter(|h| self.s.can_health_check() && self.usable(h)) else {
             return false;
         };
-        let gap = (PROBE_GAP_US as f64 * self.s.crowding()) as i64;
+        let gap = (PROBE_GAP_US as f64 * self.s.fleet_size_factor()) as i64;
         let gap = match self.primary(host.group) {
-            Some(primary) if primary == id || self.s.checks_reads().is_none() => PROBE_GAP_US,
+            Some(primary) if primary == id || self.s.replica_lag_wait().is_none() => PROBE_GAP_US,
             Some(_) => gap,
-            None => gap.min(self.s.shortest_aim()),
+            None => gap.min(self.s.shortest_latency_objective()),
         };
         let now = self.now;
         let early = host.heard == Some(now) || host.probed.is_some_and(|at| now.0 - at.0 < gap);
         if let Some(host) = self.hosts.get_mut(&id).filter(|h| !h.probing && !early) {
             (host.probing, host.wanted, host.probed) = (true, false, Some(now));
-            actions.push(Action::Probe { host: id });
+            actions.push(Action::HealthCheck { host: id });
         }
         self.hosts[&id].probing
     }
--- a/crates/decisions/src/policy/health.rs
+++ b/crates/decisions/src/policy/health.rs
@@ -5,19 +5,19 @@
     CROWDED, CROWD_GAIN, ERRING, ERRORS_FADE_US, GAIN, LATE, LATE_FADES_US, LIMIT, LIMIT_STEP, REST_US,
     SILENT,
 };
-use crate::interface::{Action, Freshness, HostId, HostState, Outcome, Reply, Role, Timestamp};
+use crate::interface::{Action, AttemptResult, Freshness, HostId, HostState, Outcome, Role, Timestamp};
 use std::collections::BTreeSet;
 
 impl Router {
     /// Listed hosts that get nothing, or only where there is no other: those that drain, rest or err.
     pub fn avoided(&self) -> usize {
         let bad = |h: &Host| !self.usable(h) || h.rest.rests(self.now) || self.errs(h) > ERRING.0;
-        self.hosts.values().filter(|h| h.listed != HostState::Deleted && bad(h)).count()
+        self.hosts.values().filter(|h| h.listed != HostState::Removed && bad(h)).count()
     }
 
-    pub(super) fn judge(&mut self, attempt: &Attempt, r: &Reply) {
-        let aim = self.s.classes[attempt.class].aim.0 as f64;
-        let floor = (LIMIT.1 / f64::from(self.s.routers)).max(1.0);
+    pub(super) fn judge(&mut self, attempt: &Attempt, r: &AttemptResult) {
+        let aim = self.s.classes[attempt.class].latency_objective.0 as f64;
+        let floor = (LIMIT.1 / f64::from(self.s.router_count)).max(1.0);
         let latency = r.latency.0 as f64;
         let Some(host) = self.hosts.get_mut(&attempt.host) else { return };
         if matches!(r.outcome, Outcome::Ok | Outcome::Error) {
@@ -27,19 +27,19 @@
         host.in_flight = host.in_flight.saturating_sub(1);
         match r.outcome {
             _ if self.s.classes[attempt.class].freshness != Freshness::Write => {}
-            Outcome::Miss => host.declined = Some(self.now),
+            Outcome::Misdirected => host.declined = Some(self.now),
             Outcome::Ok => host.declined = None,
             _ => {}
         }
         match r.outcome {
-            Outcome::Ok | Outcome::Miss | Outcome::Stale | Outcome::Error => {
+            Outcome::Ok | Outcome::Misdirected | Outcome::Stale | Outcome::Error => {
                 host.rest.answered();
                 host.alive = Some(self.now);
             }
             // A host that fails at once looks idle and would draw everything. Covers draining not yet listed,
             // full queues, dead processes. One that answered lately is not dead, only full: its first rest is
             // short, since it could serve most.
-            Outcome::Full | Outcome::Reset | Outcome::ConnectFailed => {
+            Outcome::Overloaded | Outcome::Reset | Outcome::ConnectFailed => {
                 let served = host.alive.is_some_and(|at| self.now.0 - at.0 < REST_US.1);
                 let dead = r.outcome == Outcome::ConnectFailed && !served;
                 let rest = if dead { REST_US.0 } else { self.pace[attempt.class].mean as i64 / 4 };
@@ -52,13 +52,15 @@
         }
         let Some(host) = self.hosts.get_mut(&attempt.host) else { return };
         let crowded = latency > CROWDED * aim;
-        if matches!(r.outcome, Outcome::Ok | Outcome::Full | Outcome::Timeout) {
-            let sample = if r.outcome == Outcome::Full { 2.0 } else { (latency / aim).min(3.0) };
+        if matches!(r.outcome, Outcome::Ok | Outcome::Overloaded | Outcome::Timeout) {
+            let sample = if r.outcome == Outcome::Overloaded { 2.0 } else { (latency / aim).min(3.0) };
             let primary = matches!(host.role, Some((Role::Primary, _)));
             host.late.learn(self.now, sample, CROWD_GAIN, LATE_FADES_US);
             self.crowd.learn(host.group, primary, self.now, sample);
         }
-        if r.outcome == Outcome::Full || (crowded && matches!(r.outcome, Outcome::Ok | Outcome::Timeout)) {
+        if r.outcome == Outcome::Overloaded
+            || (crowded && matches!(r.outcome, Outcome::Ok | Outcome::Timeout))
+        {
             host.limit = (host.limit * LIMIT_STEP.0).max(floor);
         } else if r.outcome == Outcome::Ok && f64::from(host.in_flight) + 2.0 > host.limit {
             host.limit = (host.limit * LIMIT_STEP.1).min(LIMIT.0);
@@ -66,7 +68,7 @@
         let pace = self.pace.get_mut(attempt.class).filter(|_| r.outcome == Outcome::Ok);
         let Some(pace) = pace else { return };
         let write = self.s.classes[attempt.class].freshness.needs_primary();
-        self.loads.entry(host.group).or_default().served(write, self.now, self.s.fall);
+        self.loads.entry(host.group).or_default().served(write, self.now, self.s.slow_start_budget_window);
         host.slowness += GAIN * ((latency / pace.mean.max(1.0)).min(5.0) - host.slowness);
         pace.mean += GAIN * (latency - pace.mean);
         if !crowded {
@@ -76,17 +78,17 @@
 
     /// A host that takes no connection, time and again, is full of idle ones, ours too: they are let go, and
     /// for a while each after its answer. Costs handshakes where it has really died: not if these cost worth.
-    pub(super) fn make_room(&mut self, r: &Reply, actions: &mut Vec<Action>) {
+    pub(super) fn make_room(&mut self, r: &AttemptResult, actions: &mut Vec<Action>) {
         let squeezed = self.squeezed.is_some_and(|at| self.now.0 - at.0 < REST_US.1);
         let serves = self.hosts.get(&r.host).is_some_and(|h| h.alive.is_some() && h.rest.refuses());
         if r.outcome == Outcome::ConnectFailed && serves && self.s.price_handshake <= 0.0 {
             self.squeezed = Some(self.now);
             if !squeezed {
                 let idle = self.hosts.iter().filter(|(_, h)| h.in_flight == 0 && h.alive.is_some());
-                actions.extend(idle.map(|(id, _)| Action::LetGo { host: *id }));
+                actions.extend(idle.map(|(id, _)| Action::CloseIdleConnections { host: *id }));
             }
         } else if squeezed && self.hosts.get(&r.host).is_some_and(|h| h.in_flight == 0) {
-            actions.push(Action::LetGo { host: r.host });
+            actions.push(Action::CloseIdleConnections { host: r.host });
         }
     }
 
--- a/crates/decisions/src/policy/rebase.rs
+++ b/crates/decisions/src/policy/rebase.rs
@@ -1,7 +1,7 @@
 //! What the router knows in the hosts' time, when the difference between that and its own is set anew.
 
 use super::Router;
-use crate::interface::{Position, Timestamp};
+use crate::interface::{LogPosition, Timestamp};
 
 impl Router {
     /// The hosts' clock turned out to be further ahead by `shift_us` than was held: what was derived from it moves. Whatever
@@ -12,7 +12,7 @@
         for host in self.hosts.values_mut() {
             if shift_us > 0 {
                 // Positions beyond the clock were not taken, and those that were may be anything.
-                host.known = Position::default();
+                host.known = LogPosition::default();
                 host.heard = None;
             }
             if host.start_is_listed {
@@ -23,7 +23,7 @@
             // Commits that were kept look older now than they are.
             self.sessions.shift(-shift_us);
             for open in self.open.values_mut().filter(|open| open.token.0 != i64::MIN) {
-                open.token = open.token.max(Position(now.0));
+                open.token = open.token.max(LogPosition(now.0));
             }
         }
     }
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -2,7 +2,7 @@
 //! drill from the simulator's first message.
 
 use crate::interface::{
-    Class, Freshness, KeyScope, ListRole, Repeat, Reports, Settings, TimeDelta, WhenBehind,
+    Freshness, Idempotency, KeyScope, LagPolicy, ListRole, LoadReports, RequestClass, Settings, TimeDelta,
 };
 use serde::Deserialize;
 
@@ -234,21 +234,21 @@
     let mut classes = Vec::with_capacity(p.grades.len());
     for (n, grade) in p.grades.iter().enumerate() {
         let bound = p.family_info.class_bound.get(n).copied();
-        classes.push(Class {
-            aim: span(grade.on_time),
+        classes.push(RequestClass {
+            latency_objective: span(grade.on_time),
             deadline: span(grade.deadline),
-            worth: grade.credit,
-            late_worth: grade.late_worth,
-            repeat: match grade.repeat {
-                RepeatWord::Pure => Repeat::Safe,
-                RepeatWord::SideEffect => Repeat::Unsafe,
-                RepeatWord::Token => Repeat::Keyed(match grade.group {
+            priority_weight: grade.credit,
+            late_priority_weight: grade.late_worth,
+            idempotency: match grade.repeat {
+                RepeatWord::Pure => Idempotency::Idempotent,
+                RepeatWord::SideEffect => Idempotency::NotIdempotent,
+                RepeatWord::Token => Idempotency::WithKey(match grade.group {
                     GroupWord::All => KeyScope::All,
                     GroupWord::Zone => KeyScope::Zone,
                     GroupWord::Cell => KeyScope::Group,
                 }),
             },
-            key_window: span(grade.window),
+            idempotency_key_window: span(grade.window),
             freshness: match p.family_info.freshness[n] {
                 FreshnessWord::Write => Freshness::Write,
                 FreshnessWord::Fresh => Freshness::Fresh,
@@ -268,48 +268,48 @@
         fields: p.report.fields.len(),
     };
     let settings = Settings {
-        routers: p.balancers,
+        router_count: p.balancers,
         zone: p.locality,
-        tick: span(p.tick),
+        timer_resolution: span(p.tick),
         classes,
-        quotas: p.customers.iter().map(|c| c.quota_per_s).collect(),
-        over_share_worth: p.over_share_worth,
+        tenant_quotas: p.customers.iter().map(|c| c.quota_per_s).collect(),
+        over_quota_weight: p.over_share_worth,
         goal_worst_class: p.goal.worst_class,
-        when_behind: match p.family_info.when_behind {
-            BehindWord::Off => WhenBehind::Off,
-            BehindWord::Refuse => WhenBehind::Refuse,
-            BehindWord::Wait => WhenBehind::Wait(span(p.family_info.wait)),
+        lag_policy: match p.family_info.when_behind {
+            BehindWord::Off => LagPolicy::ServeStale,
+            BehindWord::Refuse => LagPolicy::Reject,
+            BehindWord::Wait => LagPolicy::WaitThenReject(span(p.family_info.wait)),
         },
-        answers_stamped: p.family_info.answers_stamped,
+        responses_carry_position: p.family_info.answers_stamped,
         // Whoever passes answers on says so: a simulator does that by itself.
-        answers_checked: false,
-        remembered: matches!(p.family_info.write_marks, MarksWord::Remembered),
+        responses_verified: false,
+        write_positions_tracked: matches!(p.family_info.write_marks, MarksWord::Remembered),
         list_role: match p.family_info.role_in_list {
             ListRoleWord::Late => ListRole::Late,
             ListRoleWord::Start => ListRole::AtStart,
             ListRoleWord::Off => ListRole::Off,
         },
-        reports: match p.report.how {
-            ReportWord::Inline => Reports::Inline,
-            ReportWord::OnProbe => Reports::OnProbe,
-            ReportWord::Off => Reports::Off,
+        load_reports: match p.report.how {
+            ReportWord::Inline => LoadReports::Inline,
+            ReportWord::OnProbe => LoadReports::OnHealthCheck,
+            ReportWord::Off => LoadReports::Off,
         },
-        on_request: matches!(p.discovery, Discovery::OnRequest),
-        removal_not_binding: p.guarantees.removal_not_binding,
-        answer_slack: span(p.guarantees.answer_slack),
-        ask_within: span(p.guarantees.ask_within),
-        cold: span(p.guarantees.cold),
-        cold_from: p.guarantees.cold_from,
-        fall: span(p.guarantees.fall),
-        fall_multiple: p.guarantees.fall_multiple,
+        discovery_is_polled: matches!(p.discovery, Discovery::OnRequest),
+        removal_is_advisory: p.guarantees.removal_not_binding,
+        response_deadline_slack: span(p.guarantees.answer_slack),
+        discovery_poll_timeout: span(p.guarantees.ask_within),
+        slow_start_window: span(p.guarantees.cold),
+        slow_start_initial_fraction: p.guarantees.cold_from,
+        slow_start_budget_window: span(p.guarantees.fall),
+        slow_start_budget_multiple: p.guarantees.fall_multiple,
         max_attempts: p.limits.max_attempts,
         max_retry_after: span(p.limits.max_retry_after),
-        may_cancel: p.limits.may_cancel,
-        may_probe: p.limits.probes,
-        second_copies: p.limits.second_copies,
-        retry_after: p.limits.retry_after,
+        cancellation_allowed: p.limits.may_cancel,
+        health_checks_allowed: p.limits.probes,
+        hedging_allowed: p.limits.second_copies,
+        retry_after_allowed: p.limits.retry_after,
         price_cross_zone: p.prices.cross_zone,
-        price_probe: p.prices.probe,
+        price_health_check: p.prices.probe,
         price_waste: p.prices.waste,
         price_handshake: p.prices.handshake,
     };
--- a/crates/decisions/src/state/host_clock.rs
+++ b/crates/decisions/src/state/host_clock.rs
@@ -10,7 +10,7 @@
 //! The difference is chosen from above. If it is too large, positions look older than they are, and reads go to the
 //! primary; if it were too small, replicas would look fresher than they are.
 
-use crate::interface::{HostId, Position, Role, Timestamp};
+use crate::interface::{HostId, LogPosition, Role, Timestamp};
 use std::collections::BTreeMap;
 
 /// A position may be ahead of the clock by so much: the clocks' own steps, and rounding.
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sample {
     /// The position.
-    pub position: Position,
+    pub position: LogPosition,
     /// Who the host says it is.
     pub role: Option<Role>,
     /// When the last byte of the request was written; none for a report, which may be older than its request.
@@ -89,8 +89,8 @@
     }
 
     /// A position in this machine's time.
-    pub fn local_position(&self, position: Position) -> Position {
-        Position(position.0.saturating_sub(self.offset_us))
+    pub fn local_position(&self, position: LogPosition) -> LogPosition {
+        LogPosition(position.0.saturating_sub(self.offset_us))
     }
 
     /// How far the hosts' clock is held to be ahead, in microseconds.
--- a/crates/decisions/src/state/sessions.rs
+++ b/crates/decisions/src/state/sessions.rs
@@ -6,7 +6,7 @@
 //! worst it waits for, or goes to, one that has more than it needs.
 
 use super::unsure::Unsure;
-use crate::interface::{Position, SessionId, Timestamp};
+use crate::interface::{LogPosition, SessionId, Timestamp};
 use std::collections::BTreeMap;
 
 /// Generations that are kept. More forget more exactly, and make a look-up longer.
@@ -88,7 +88,7 @@
     }
 
     /// A session's write has been committed in a set.
-    pub fn remember(&mut self, session: SessionId, set: u32, position: Position) {
+    pub fn remember(&mut self, session: SessionId, set: u32, position: LogPosition) {
         let key = session.0;
         let mut position = position.0.max(NOWHERE + 1);
         if self.generations[0].get(key).is_none() {
@@ -129,10 +129,10 @@
     }
 
     /// What a read of a session in a set must see.
-    pub fn token(&self, session: SessionId, set: u32) -> Position {
+    pub fn token(&self, session: SessionId, set: u32) -> LogPosition {
         let known = self.generations.iter().find_map(|generation| generation.get(session.0));
         match known {
-            Some(position) => Position(position),
+            Some(position) => LogPosition(position),
             None => self.floor(set),
         }
     }
@@ -148,7 +148,7 @@
         &mut self,
         session: SessionId,
         set: u32,
-        commit: Option<Position>,
+        commit: Option<LogPosition>,
         later: Option<Timestamp>,
     ) {
         commit.into_iter().for_each(|commit| self.remember(session, set, commit));
@@ -156,9 +156,9 @@
     }
 
     /// What a read that comes now must see: all there is where a write of its session may have been committed unheard.
-    pub fn need(&self, session: Option<SessionId>, set: u32, now: Timestamp) -> Position {
+    pub fn need(&self, session: Option<SessionId>, set: u32, now: Timestamp) -> LogPosition {
         match session {
-            Some(session) if self.unsure.is_in_doubt(session, set, now) => Position(now.0),
+            Some(session) if self.unsure.is_in_doubt(session, set, now) => LogPosition(now.0),
             Some(session) => self.token(session, set),
             None => self.floor(set),
         }
@@ -176,8 +176,8 @@
     }
 
     /// What a session that is not known is held to have written in a set.
-    pub fn floor(&self, set: u32) -> Position {
-        Position(self.floors.get(&set).copied().unwrap_or(i64::MIN))
+    pub fn floor(&self, set: u32) -> LogPosition {
+        LogPosition(self.floors.get(&set).copied().unwrap_or(i64::MIN))
     }
 
     /// Sessions remembered.
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -12,14 +12,14 @@
     attempts: std::collections::BTreeMap<RequestId, u32>,
 }
 
-pub fn class(freshness: Freshness, repeat: Repeat) -> Class {
-    Class {
-        aim: TimeDelta(500 * MS),
+pub fn class(freshness: Freshness, repeat: Idempotency) -> RequestClass {
+    RequestClass {
+        latency_objective: TimeDelta(500 * MS),
         deadline: TimeDelta(2_000 * MS),
-        worth: 1.0,
-        late_worth: 0.2,
-        repeat,
-        key_window: TimeDelta(2_000 * MS),
+        priority_weight: 1.0,
+        late_priority_weight: 0.2,
+        idempotency: repeat,
+        idempotency_key_window: TimeDelta(2_000 * MS),
         freshness,
     }
 }
@@ -28,19 +28,19 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(Freshness::Any, Repeat::Safe),
-            class(Freshness::Session, Repeat::Safe),
-            class(Freshness::Bounded(TimeDelta(800 * MS)), Repeat::Safe),
-            class(Freshness::Write, Repeat::Unsafe),
-            class(Freshness::Fresh, Repeat::Safe),
-            class(Freshness::Write, Repeat::Keyed(KeyScope::Group)),
+            class(Freshness::Any, Idempotency::Idempotent),
+            class(Freshness::Session, Idempotency::Idempotent),
+            class(Freshness::Bounded(TimeDelta(800 * MS)), Idempotency::Idempotent),
+            class(Freshness::Write, Idempotency::NotIdempotent),
+            class(Freshness::Fresh, Idempotency::Idempotent),
+            class(Freshness::Write, Idempotency::WithKey(KeyScope::Group)),
         ],
         ..Settings::example()
     }
 }
 
-pub fn report(position: i64, role: Role) -> Option<Report> {
-    Some(Report { position: Some(Position(position)), role: Some(role) })
+pub fn report(position: i64, role: Role) -> Option<LoadReport> {
+    Some(LoadReport { position: Some(LogPosition(position)), role: Some(role) })
 }
 
 impl World {
@@ -48,8 +48,8 @@
     pub fn new(settings: Settings, hosts: u32) -> Self {
         let router = Router::new(settings, 1).unwrap();
         let mut world = Self { router, now: 100_000 * MS, next: 0, attempts: Default::default() };
-        let list = (0..hosts).map(|n| HostEntry::new(HostId(n), 0, HostState::Running)).collect();
-        world.event(Event::Hosts(ListKind::Restored, list));
+        let list = (0..hosts).map(|n| EndpointEntry::new(HostId(n), 0, HostState::Running)).collect();
+        world.event(Event::EndpointList(EndpointUpdate::Cached, list));
         world
     }
 
@@ -69,17 +69,17 @@
         actions
     }
 
-    pub fn probed(&mut self, host: u32, report: Option<Report>) -> Vec<Action> {
+    pub fn probed(&mut self, host: u32, report: Option<LoadReport>) -> Vec<Action> {
         let outcome = if report.is_some() { Outcome::Ok } else { Outcome::Timeout };
-        self.event(Event::Probed { host: HostId(host), outcome, latency: TimeDelta(MS), report })
+        self.event(Event::HealthChecked { host: HostId(host), outcome, latency: TimeDelta(MS), report })
     }
 
     pub fn ask(&mut self, class: usize, since_write: Option<i64>) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
         let since_write = since_write.map(TimeDelta);
-        let request = Request { since_write, ..Request::new(id, class, 0, 2_000 * MS) };
-        let actions = self.event(Event::Arrival(request));
+        let request = Request { time_since_write: since_write, ..Request::new(id, class, 0, 2_000 * MS) };
+        let actions = self.event(Event::RequestArrived(request));
         (id, actions)
     }
 
@@ -87,14 +87,14 @@
         let attempt = self.attempts.entry(id).or_insert(0);
         let number = *attempt;
         *attempt += 1;
-        let position = role.map(|_| Position(self.now - 10 * MS));
-        self.event(Event::Reply(Reply {
+        let position = role.map(|_| LogPosition(self.now - 10 * MS));
+        self.event(Event::AttemptEnded(AttemptResult {
             id,
             attempt: number,
             host: HostId(host),
             outcome,
             latency: TimeDelta(50 * MS),
-            closed: outcome == Outcome::Ok,
+            request_closed: outcome == Outcome::Ok,
             position,
             role,
             report: None,
@@ -112,14 +112,14 @@
     ) -> Vec<Action> {
         let ok = outcome == Outcome::Ok;
         let role = if host == 0 { Role::Primary } else { Role::Replica };
-        self.event(Event::Reply(Reply {
+        self.event(Event::AttemptEnded(AttemptResult {
             id,
             attempt: number,
             host: HostId(host),
             outcome,
             latency: TimeDelta(us),
-            closed: ok,
-            position: ok.then_some(Position(self.now - 5 * MS)),
+            request_closed: ok,
+            position: ok.then_some(LogPosition(self.now - 5 * MS)),
             role: ok.then_some(role),
             report: None,
         }))
@@ -138,7 +138,7 @@
 
 pub fn sends(actions: &[Action]) -> Vec<u32> {
     let host = |a: &Action| match a {
-        Action::Send { host, .. } => Some(host.0),
+        Action::Forward { host, .. } => Some(host.0),
         _ => None,
     };
     actions.iter().filter_map(host).collect()
@@ -146,12 +146,12 @@
 
 pub fn probes(actions: &[Action]) -> Vec<u32> {
     let host = |a: &Action| match a {
-        Action::Probe { host } => Some(host.0),
+        Action::HealthCheck { host } => Some(host.0),
         _ => None,
     };
     actions.iter().filter_map(host).collect()
 }
 
 pub fn finals(actions: &[Action]) -> Vec<&Action> {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).collect()
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).collect()
 }
--- a/crates/decisions/tests/failures.rs
+++ b/crates/decisions/tests/failures.rs
@@ -7,7 +7,7 @@
 /// A host that turns requests away at once looks idle; without its rest it would draw the next ones too.
 #[test]
 fn a_host_that_fails_at_once_rests() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Reset] {
+    for outcome in [Outcome::Overloaded, Outcome::ConnectFailed, Outcome::Reset] {
         let mut world = World::known(settings(), 3);
         let (id, sent) = world.ask(0, None);
         let bad = sends(&sent)[0];
@@ -36,22 +36,22 @@
 #[test]
 fn reads_seen_to_freeze_replicas_leave_half_of_them_free() {
     let mut settings = settings();
-    settings.classes[0].aim = TimeDelta(5_000 * MS);
-    settings.routers = 2;
+    settings.classes[0].latency_objective = TimeDelta(5_000 * MS);
+    settings.router_count = 2;
     let mut world = World::known(settings, 5);
     for _ in 0..40 {
         let (id, sent) = world.ask(0, None);
         let host = sends(&sent)[0];
         let stood = world.now - 10 * MS;
         world.now += 1_500 * MS;
-        world.event(Event::Reply(Reply {
+        world.event(Event::AttemptEnded(AttemptResult {
             id,
             attempt: 0,
             host: HostId(host),
             outcome: Outcome::Ok,
             latency: TimeDelta(1_500 * MS),
-            closed: true,
-            position: Some(Position(stood)),
+            request_closed: true,
+            position: Some(LogPosition(stood)),
             role: Some(Role::Replica),
             report: None,
         }));
@@ -82,7 +82,7 @@
 /// When the attempts at most hosts are overdue the cause is shared: nobody rests.
 #[test]
 fn a_shared_slowdown_makes_nobody_sick() {
-    let mut world = World::known(Settings { second_copies: false, ..settings() }, 5);
+    let mut world = World::known(Settings { hedging_allowed: false, ..settings() }, 5);
     world.ask(3, None);
     for _ in 0..4 {
         world.ask(0, None);
@@ -101,11 +101,20 @@
             let (id, sent) = world.ask(0, None);
             let host = HostId(sends(&sent)[0]);
             world.now += latency;
-            let position = Some(Position(world.now));
+            let position = Some(LogPosition(world.now));
             let (outcome, latency, role) = (Outcome::Ok, TimeDelta(latency), Some(Role::Replica));
-            let reply =
-                Reply { id, attempt: 0, host, outcome, latency, closed: true, position, role, report: None };
-            world.event(Event::Reply(reply));
+            let reply = AttemptResult {
+                id,
+                attempt: 0,
+                host,
+                outcome,
+                latency,
+                request_closed: true,
+                position,
+                role,
+                report: None,
+            };
+            world.event(Event::AttemptEnded(reply));
         }
         let first: Vec<u32> = (0..40).flat_map(|_| sends(&world.ask(0, None).1)).collect();
         first.iter().filter(|h| **h == 1).count()
@@ -120,7 +129,7 @@
         let mut world = World::known(settings(), 3);
         let (id, _) = world.ask(0, None);
         if begun {
-            world.event(Event::Begun { id, attempt: 0 });
+            world.event(Event::ResponseStarted { id, attempt: 0 });
         }
         sends(&world.wait(600)).len()
     };
@@ -131,7 +140,7 @@
 #[test]
 fn many_routers_ask_less_often_each() {
     let asked = |routers: u32| {
-        let mut world = World::new(Settings { routers, ..settings() }, 3);
+        let mut world = World::new(Settings { router_count: routers, ..settings() }, 3);
         let mut count = 0;
         world.ask(3, None);
         for _ in 0..50 {
@@ -152,10 +161,10 @@
         change(&mut settings);
         Router::new(settings, 1).expect_err("refused").key
     };
-    assert_eq!(key(|s| s.routers = 0), "routers");
+    assert_eq!(key(|s| s.router_count = 0), "routers");
     assert_eq!(key(|s| s.classes.clear()), "classes");
-    assert_eq!(key(|s| s.classes[1].aim = TimeDelta(0)), "classes[1].aim");
-    assert_eq!(key(|s| s.fall = TimeDelta(-1)), "fall");
+    assert_eq!(key(|s| s.classes[1].latency_objective = TimeDelta(0)), "classes[1].aim");
+    assert_eq!(key(|s| s.slow_start_budget_window = TimeDelta(-1)), "fall");
     assert_eq!(key(|s| s.max_attempts = 0), "max_attempts");
 }
 
@@ -165,13 +174,16 @@
 fn a_read_unsent_by_half_its_time_is_refused_with_advice() {
     let mut world = World::known(settings(), 2);
     world.now += 5_000 * MS;
-    world.event(Event::Hosts(ListKind::Update, vec![HostEntry::new(HostId(0), 0, HostState::Deleted)]));
+    world.event(Event::EndpointList(
+        EndpointUpdate::Delta,
+        vec![EndpointEntry::new(HostId(0), 0, HostState::Removed)],
+    ));
     let (id, sent) = world.ask(2, None);
     assert!(sends(&sent).is_empty() && finals(&sent).is_empty(), "held at first");
     assert!(finals(&world.wait(900)).is_empty());
     let ends = world.wait(100);
     assert!(
-        matches!(finals(&ends)[..], [Action::Refuse { id: of, retry_after: Some(_) }] if *of == id),
+        matches!(finals(&ends)[..], [Action::Reject { id: of, retry_after: Some(_) }] if *of == id),
         "{ends:?}"
     );
 }
@@ -180,9 +192,12 @@
 #[test]
 fn a_request_without_time_left_is_answered_at_once() {
     let mut world = World::known(settings(), 1);
-    world.event(Event::Hosts(ListKind::Update, vec![HostEntry::new(HostId(0), 0, HostState::Stopping)]));
+    world.event(Event::EndpointList(
+        EndpointUpdate::Delta,
+        vec![EndpointEntry::new(HostId(0), 0, HostState::Draining)],
+    ));
     let request = Request::new(RequestId(9), 3, 0, 3 * MS);
-    assert_eq!(finals(&world.event(Event::Arrival(request))).len(), 1);
+    assert_eq!(finals(&world.event(Event::RequestArrived(request))).len(), 1);
 }
 
 /// A host that fails at once is always the least busy: without memory of its errors it would draw everything.
@@ -212,7 +227,7 @@
     let (id, sent) = world.ask(5, None);
     assert_eq!(sends(&sent), [0]);
     world.now += 5 * MS;
-    let mut sent = sends(&world.reply(id, 0, Outcome::Miss, Some(Role::Replica)));
+    let mut sent = sends(&world.reply(id, 0, Outcome::Misdirected, Some(Role::Replica)));
     for _ in 0..5 {
         world.now += 10 * MS;
         sent.extend(sends(&world.probed(0, report(world.now, Role::Primary))));
@@ -230,7 +245,7 @@
     let mut world = World::known(settings(), 3);
     for n in 0..30 {
         let id = RequestId(1_000 + n);
-        let sent = world.event(Event::Arrival(Request::new(id, 0, 0, 60 * MS)));
+        let sent = world.event(Event::RequestArrived(Request::new(id, 0, 0, 60 * MS)));
         world.now += 60 * MS;
         world.attempt(id, 0, sends(&sent)[0], Outcome::Timeout, 60 * MS);
     }
@@ -248,11 +263,11 @@
     let (_, sent) = world.ask(5, None);
     assert_eq!(sends(&sent), [0; 0], "nobody is known to be the primary");
     let answers = world.wait(1_000);
-    assert!(matches!(finals(&answers)[..], [Action::Refuse { retry_after: Some(_), .. }]));
+    assert!(matches!(finals(&answers)[..], [Action::Reject { retry_after: Some(_), .. }]));
 
     let mut world = World::known(settings(), 2);
     let (id, _) = world.ask(5, None);
-    world.reply(id, 0, Outcome::Miss, Some(Role::Replica));
+    world.reply(id, 0, Outcome::Misdirected, Some(Role::Replica));
     assert!(finals(&world.wait(1_500)).is_empty());
 }
 
@@ -262,9 +277,9 @@
     let mut world = World::known(settings(), 2);
     let size = |world: &mut World, from: u32| {
         for n in from..from + 100 {
-            let list = (n..n + 2).map(|n| HostEntry::new(HostId(n), 0, HostState::Running)).collect();
+            let list = (n..n + 2).map(|n| EndpointEntry::new(HostId(n), 0, HostState::Running)).collect();
             world.now += 1_000 * MS;
-            world.event(Event::Hosts(ListKind::Replace, list));
+            world.event(Event::EndpointList(EndpointUpdate::Snapshot, list));
         }
         format!("{:?}", world.router).len()
     };
@@ -276,14 +291,14 @@
 /// the sets that nothing was forgotten of are not bound by it.
 #[test]
 fn a_session_that_is_forgotten_still_sees_its_write() {
-    let mut world = World::known(Settings { remembered: true, ..settings() }, 3);
+    let mut world = World::known(Settings { write_positions_tracked: true, ..settings() }, 3);
     // Both have been up for long: no cold start stands in the way.
-    let warm = |n| HostEntry {
-        online_since: Some(Timestamp(1)),
-        ..HostEntry::new(HostId(n), 1, HostState::Running)
+    let warm = |n| EndpointEntry {
+        started_at: Some(Timestamp(1)),
+        ..EndpointEntry::new(HostId(n), 1, HostState::Running)
     };
     let other = [10, 11].map(warm);
-    world.event(Event::Hosts(ListKind::Update, other.to_vec()));
+    world.event(Event::EndpointList(EndpointUpdate::Delta, other.to_vec()));
     world.probed(10, report(world.now, Role::Primary));
     world.probed(11, report(world.now - 10 * MS, Role::Replica));
     let of = |key: u64, id: u64, class, group| Request {
@@ -293,17 +308,26 @@
     for key in 0..30_000 {
         let written = of(key, key, 3, 0);
         let id = written.id;
-        assert_eq!(sends(&world.event(Event::Arrival(written))), [0]);
-        let (host, position, role) = (HostId(0), Some(Position(world.now)), Some(Role::Primary));
+        assert_eq!(sends(&world.event(Event::RequestArrived(written))), [0]);
+        let (host, position, role) = (HostId(0), Some(LogPosition(world.now)), Some(Role::Primary));
         let (outcome, latency) = (Outcome::Ok, TimeDelta(50 * MS));
-        let reply =
-            Reply { id, attempt: 0, host, outcome, latency, closed: true, position, role, report: None };
-        world.event(Event::Reply(reply));
+        let reply = AttemptResult {
+            id,
+            attempt: 0,
+            host,
+            outcome,
+            latency,
+            request_closed: true,
+            position,
+            role,
+            report: None,
+        };
+        world.event(Event::AttemptEnded(reply));
     }
     world.now += MS;
-    let first = world.event(Event::Arrival(of(0, 40_000, 1, 0)));
+    let first = world.event(Event::RequestArrived(of(0, 40_000, 1, 0)));
     assert!(sends(&first).iter().all(|host| *host == 0), "{first:?}");
-    let elsewhere = world.event(Event::Arrival(of(0, 40_001, 1, 1)));
+    let elsewhere = world.event(Event::RequestArrived(of(0, 40_001, 1, 1)));
     assert_eq!(sends(&elsewhere), [11]);
 }
 
@@ -317,10 +341,12 @@
     world.attempt(id, 0, host, Outcome::ConnectFailed, 5 * MS);
     assert_eq!(world.router.avoided(), 1, "one rests");
     let drained = (host + 1) % 4;
-    let list = |state| Event::Hosts(ListKind::Update, vec![HostEntry::new(HostId(drained), 0, state)]);
-    world.event(list(HostState::Stopping));
+    let list = |state| {
+        Event::EndpointList(EndpointUpdate::Delta, vec![EndpointEntry::new(HostId(drained), 0, state)])
+    };
+    world.event(list(HostState::Draining));
     assert_eq!(world.router.avoided(), 2, "one rests, one drains");
-    world.event(list(HostState::Deleted));
+    world.event(list(HostState::Removed));
     assert_eq!(world.router.avoided(), 1, "what the list names no more is not counted");
     world.event(list(HostState::Running));
     world.now += 4_000 * MS;
--- a/crates/decisions/tests/host_clock.rs
+++ b/crates/decisions/tests/host_clock.rs
@@ -1,7 +1,7 @@
 //! The difference between this machine's clock and the hosts': found whatever it is, and moved by no host alone.
 
 use proptest::prelude::*;
-use wheelpier_decisions::interface::{HostId, Position, Role, Timestamp};
+use wheelpier_decisions::interface::{HostId, LogPosition, Role, Timestamp};
 use wheelpier_decisions::state::host_clock::{HostClock, Sample, AHEAD_US};
 
 const SECOND: i64 = 1_000_000;
@@ -10,7 +10,7 @@
 /// An answer of a host that stands `lag` behind, which took `latency`, where the hosts' clock is `ahead` of this one.
 fn answer(role: Role, at: i64, ahead: i64, lag: i64, latency: i64) -> Sample {
     Sample {
-        position: Position(at + ahead - lag),
+        position: LogPosition(at + ahead - lag),
         role: Some(role),
         sent: Some(Timestamp(at)),
         received: Timestamp(at + latency),
@@ -77,7 +77,7 @@
         for (n, (there, back)) in latencies.iter().enumerate() {
             let at = START + n as i64 * SECOND / 5;
             let taken = Sample {
-                position: Position(at + there + ahead),
+                position: LogPosition(at + there + ahead),
                 role: Some(Role::Primary),
                 sent: Some(Timestamp(at)),
                 received: Timestamp(at + there + back),
--- a/crates/decisions/tests/legal.rs
+++ b/crates/decisions/tests/legal.rs
@@ -29,8 +29,8 @@
 fn run(seed: u64, change: fn(&mut Settings)) {
     let mut settings = settings();
     change(&mut settings);
-    let copies = settings.second_copies;
-    let slack = settings.answer_slack.0;
+    let copies = settings.hedging_allowed;
+    let slack = settings.response_deadline_slack.0;
     let mut world = World::known(settings.clone(), 5);
     let mut dice = Dice(seed);
     let mut asked: BTreeMap<RequestId, Asked> = BTreeMap::new();
@@ -55,10 +55,10 @@
             4 if step % 40 == 0 => {
                 let n = dice.roll(5) as usize;
                 drained[n] = !drained[n];
-                let state = if drained[n] { HostState::Stopping } else { HostState::Running };
-                let mut entry = HostEntry::new(HostId(n as u32), 0, state);
-                entry.online_since = Some(Timestamp(world.now));
-                actions.extend(world.event(Event::Hosts(ListKind::Update, vec![entry])));
+                let state = if drained[n] { HostState::Draining } else { HostState::Running };
+                let mut entry = EndpointEntry::new(HostId(n as u32), 0, state);
+                entry.started_at = Some(Timestamp(world.now));
+                actions.extend(world.event(Event::EndpointList(EndpointUpdate::Delta, vec![entry])));
             }
             5..=6 => {
                 let open: Vec<(RequestId, u32, u32, i64)> = asked
@@ -67,8 +67,14 @@
                     .collect();
                 if !open.is_empty() {
                     let (id, attempt, host, sent) = open[dice.roll(open.len() as u64) as usize];
-                    let all =
-                        [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::Miss];
+                    let all = [
+                        Outcome::Ok,
+                        Outcome::Ok,
+                        Outcome::Ok,
+                        Outcome::Error,
+                        Outcome::Overloaded,
+                        Outcome::Misdirected,
+                    ];
                     let outcome = all[dice.roll(all.len() as u64) as usize];
                     let a = asked.get_mut(&id).unwrap();
                     a.out.remove(&attempt);
@@ -76,11 +82,20 @@
                     a.done |= outcome == Outcome::Ok;
                     let closed = a.done;
                     let role = Some(if host == 0 { Role::Primary } else { Role::Replica });
-                    let position = Some(Position(world.now - 20 * MS));
+                    let position = Some(LogPosition(world.now - 20 * MS));
                     let (host, latency) = (HostId(host), TimeDelta(world.now - sent));
-                    let reply =
-                        Reply { id, attempt, host, outcome, latency, closed, position, role, report: None };
-                    actions.extend(world.event(Event::Reply(reply)));
+                    let reply = AttemptResult {
+                        id,
+                        attempt,
+                        host,
+                        outcome,
+                        latency,
+                        request_closed: closed,
+                        position,
+                        role,
+                        report: None,
+                    };
+                    actions.extend(world.event(Event::AttemptEnded(reply)));
                 }
             }
             _ => {}
@@ -97,27 +112,38 @@
             a.may_have_run = true;
             let (host, latency, closed) = (HostId(host), TimeDelta(world.now - sent), a.done);
             let (outcome, position, role) = (Outcome::Timeout, None, None);
-            let reply = Reply { id, attempt, host, outcome, latency, closed, position, role, report: None };
-            actions.extend(world.event(Event::Reply(reply)));
+            let reply = AttemptResult {
+                id,
+                attempt,
+                host,
+                outcome,
+                latency,
+                request_closed: closed,
+                position,
+                role,
+                report: None,
+            };
+            actions.extend(world.event(Event::AttemptEnded(reply)));
         }
         actions.extend(world.event(Event::Timer(0)));
         for action in actions {
             match action {
-                Action::Send { id, host, .. } => {
+                Action::Forward { id, host, .. } => {
                     let now = world.now;
                     let a = asked.get_mut(&id).unwrap();
                     assert!(!a.done, "sent after its end");
                     assert!(!drained[host.0 as usize], "sent to a draining host");
-                    let repeat = settings.classes[a.class].repeat;
+                    let repeat = settings.classes[a.class].idempotency;
                     assert!(copies || a.out.is_empty(), "two at once");
-                    assert!(repeat != Repeat::Unsafe || (a.out.is_empty() && !a.may_have_run));
+                    assert!(repeat != Idempotency::NotIdempotent || (a.out.is_empty() && !a.may_have_run));
                     assert!(a.attempts < settings.max_attempts);
                     a.out.insert(a.attempts, (host.0, now));
                     a.attempts += 1;
                 }
-                Action::Refuse { id, .. } => {
+                Action::Reject { id, .. } => {
                     let a = asked.get_mut(&id).unwrap();
-                    let harmless = settings.classes[a.class].repeat == Repeat::Safe || !a.may_have_run;
+                    let harmless =
+                        settings.classes[a.class].idempotency == Idempotency::Idempotent || !a.may_have_run;
                     assert!(!a.done && harmless, "a refusal promises that nothing ran");
                     a.done = true;
                 }
@@ -140,9 +166,9 @@
 fn the_rules_hold_on_random_legal_sequences() {
     for seed in 1..4 {
         run(seed, |_| {});
-        run(seed, |s| s.second_copies = false);
-        run(seed, |s| s.when_behind = WhenBehind::Wait(TimeDelta(100 * MS)));
-        run(seed, |s| (s.may_probe, s.may_cancel) = (false, false));
+        run(seed, |s| s.hedging_allowed = false);
+        run(seed, |s| s.lag_policy = LagPolicy::WaitThenReject(TimeDelta(100 * MS)));
+        run(seed, |s| (s.health_checks_allowed, s.cancellation_allowed) = (false, false));
         run(seed, |s| s.max_attempts = 1);
     }
 }
--- a/crates/decisions/tests/many.rs
+++ b/crates/decisions/tests/many.rs
@@ -6,9 +6,13 @@
 
 /// One of a hundred before hosts that check reads themselves and whose answers tell where they stand.
 fn one_of(routers: u32) -> Settings {
-    let mut settings = Settings { routers, when_behind: WhenBehind::Wait(TimeDelta(20 * MS)), ..settings() };
+    let mut settings = Settings {
+        router_count: routers,
+        lag_policy: LagPolicy::WaitThenReject(TimeDelta(20 * MS)),
+        ..settings()
+    };
     // What must not be repeated cannot ask a host with itself.
-    settings.classes[3].repeat = Repeat::Keyed(KeyScope::Group);
+    settings.classes[3].idempotency = Idempotency::WithKey(KeyScope::Group);
     settings
 }
 
@@ -27,7 +31,7 @@
             world.reply(id, 0, Outcome::Ok, Some(Role::Primary));
             break;
         }
-        actions = world.reply(id, to[0], Outcome::Miss, Some(Role::Replica));
+        actions = world.reply(id, to[0], Outcome::Misdirected, Some(Role::Replica));
     }
     let found = *asked.last().unwrap();
     assert_eq!(found, 0, "asked {asked:?}");
@@ -49,8 +53,8 @@
     let mut world = World::new(one_of(100), 2);
     let (id, actions) = world.ask(5, None);
     let first = sends(&actions)[0];
-    let second = sends(&world.reply(id, first, Outcome::Miss, Some(Role::Replica)))[0];
-    world.reply(id, second, Outcome::Miss, Some(Role::Replica));
+    let second = sends(&world.reply(id, first, Outcome::Misdirected, Some(Role::Replica)))[0];
+    world.reply(id, second, Outcome::Misdirected, Some(Role::Replica));
     assert!(sends(&world.wait(200)).is_empty());
     assert!(!sends(&world.wait(200)).is_empty());
 }
@@ -145,11 +149,11 @@
 /// and the few warm ones with all of the rest. Hosts that are gone are no part of its group.
 #[test]
 fn a_cold_host_gets_the_share_that_is_drawn_for_it() {
-    let mut world = World::known(Settings { cold: TimeDelta(18_000 * MS), ..one_of(100) }, 6);
-    let mut fresh = HostEntry::new(HostId(9), 0, HostState::Running);
-    fresh.online_since = Some(Timestamp(world.now));
-    let gone = (3..6).map(|n| HostEntry::new(HostId(n), 0, HostState::Deleted));
-    world.event(Event::Hosts(ListKind::Update, gone.chain([fresh]).collect()));
+    let mut world = World::known(Settings { slow_start_window: TimeDelta(18_000 * MS), ..one_of(100) }, 6);
+    let mut fresh = EndpointEntry::new(HostId(9), 0, HostState::Running);
+    fresh.started_at = Some(Timestamp(world.now));
+    let gone = (3..6).map(|n| EndpointEntry::new(HostId(n), 0, HostState::Removed));
+    world.event(Event::EndpointList(EndpointUpdate::Delta, gone.chain([fresh]).collect()));
     world.now += 7_000 * MS;
     let mut cold = 0;
     for _ in 0..600 {
@@ -181,7 +185,7 @@
                 then.extend(world.attempt(id, 0, *host, Outcome::ConnectFailed, MS));
             });
         }
-        assert_eq!(!then.iter().any(|a| matches!(a, Action::LetGo { .. })), kept);
+        assert_eq!(!then.iter().any(|a| matches!(a, Action::CloseIdleConnections { .. })), kept);
     }
 }
 
@@ -190,8 +194,15 @@
 /// until half of its time was over and refused: a quarter of them was served.
 #[test]
 fn a_write_that_must_not_be_repeated_goes_to_the_primary_that_is_known_where_nobody_can_be_asked() {
-    for (may_probe, reports) in [(false, Reports::OnProbe), (true, Reports::Off), (false, Reports::Off)] {
-        let settings = Settings { routers: 300, may_probe, reports, ..settings() };
+    for (may_probe, reports) in
+        [(false, LoadReports::OnHealthCheck), (true, LoadReports::Off), (false, LoadReports::Off)]
+    {
+        let settings = Settings {
+            router_count: 300,
+            health_checks_allowed: may_probe,
+            load_reports: reports,
+            ..settings()
+        };
         let mut world = World::new(settings, 3);
         let (id, actions) = world.ask(5, None);
         let host = sends(&actions)[0];
@@ -204,7 +215,7 @@
 /// Where it can be asked, it is asked before.
 #[test]
 fn a_write_that_must_not_be_repeated_waits_for_a_sign_of_life_where_there_can_be_one() {
-    let mut world = World::known(Settings { routers: 3, ..settings() }, 3);
+    let mut world = World::known(Settings { router_count: 3, ..settings() }, 3);
     world.wait(10_000);
     let (_, actions) = world.ask(3, None);
     assert_eq!((sends(&actions), probes(&actions)), (vec![], vec![0]));
--- a/crates/decisions/tests/ordinary.rs
+++ b/crates/decisions/tests/ordinary.rs
@@ -7,8 +7,8 @@
 #[test]
 fn a_fresh_router_asks_by_need() {
     let mut world = World::new(settings(), 0);
-    let list = (0..3).map(|n| HostEntry::new(HostId(n), 0, HostState::Running)).collect();
-    assert!(probes(&world.event(Event::Hosts(ListKind::Replace, list))).is_empty());
+    let list = (0..3).map(|n| EndpointEntry::new(HostId(n), 0, HostState::Running)).collect();
+    assert!(probes(&world.event(Event::EndpointList(EndpointUpdate::Snapshot, list))).is_empty());
     assert_eq!(probes(&world.ask(2, None).1).len(), 1, "a read waits for one");
     let asked = probes(&world.ask(3, None).1).len();
     assert_eq!(asked, 2, "a write asks all others, since nobody is known as primary");
--- a/crates/decisions/tests/retune.rs
+++ b/crates/decisions/tests/retune.rs
@@ -11,12 +11,12 @@
     let (id, before) = world.ask(added, None);
     assert_eq!(
         finals(&before),
-        [&Action::Refuse { id, retry_after: None }],
+        [&Action::Reject { id, retry_after: None }],
         "unknown before the new settings"
     );
     let (held, _) = world.ask(1, None);
     let mut more = settings();
-    more.classes.push(class(Freshness::Any, Repeat::Safe));
+    more.classes.push(class(Freshness::Any, Idempotency::Idempotent));
     world.router.retune(more);
     let (_, after) = world.ask(added, None);
     assert_eq!(sends(&after).len(), 1, "the new class is sent like any other read");
@@ -39,17 +39,17 @@
 /// asks beyond that waits behind the others.
 #[test]
 fn a_customer_that_the_new_settings_bring_has_a_share_of_its_own() {
-    let quotas = |all: &[f64]| Settings { quotas: all.to_vec(), over_share_worth: 0.1, ..settings() };
+    let quotas = |all: &[f64]| Settings { tenant_quotas: all.to_vec(), over_quota_weight: 0.1, ..settings() };
     let mut world = World::known(quotas(&[50.0]), 1);
     world.router.retune(quotas(&[50.0, 50.0]));
     let mut request = |n: u64, tenant: usize| {
         let request = Request { tenant, ..Request::new(RequestId(n), 0, 0, 2_000 * MS) };
-        world.event(Event::Arrival(request))
+        world.event(Event::RequestArrived(request))
     };
     let first: Vec<Action> = (0..200).flat_map(|n| request(n, 1)).collect();
     let out = sends(&first).len();
     assert!((1..100).contains(&out), "the rest is held: {out}");
     request(200, 0);
     let next = world.attempt(RequestId(0), 0, 0, Outcome::Ok, 50 * MS);
-    assert!(matches!(next[..], [Action::Send { id: RequestId(200), .. }, ..]), "{next:?}");
+    assert!(matches!(next[..], [Action::Forward { id: RequestId(200), .. }, ..]), "{next:?}");
 }
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -10,7 +10,7 @@
     let (id, actions) = world.ask(3, None);
     assert!(finals(&actions).is_empty());
     let done = world.wait(2_000);
-    assert!(matches!(finals(&done)[..], [Action::Refuse { id: it, .. }] if *it == id));
+    assert!(matches!(finals(&done)[..], [Action::Reject { id: it, .. }] if *it == id));
 }
 
 #[test]
@@ -39,7 +39,7 @@
     let mut world = World::known(settings(), 3);
     let (id, _) = world.ask(3, None);
     world.now += 200 * MS;
-    let missed = world.reply(id, 0, Outcome::Miss, Some(Role::Replica));
+    let missed = world.reply(id, 0, Outcome::Misdirected, Some(Role::Replica));
     assert!(sends(&missed).is_empty() && finals(&missed).is_empty());
     assert_eq!(probes(&missed), [1, 2]);
     assert_eq!(sends(&world.probed(2, report(world.now, Role::Primary))), [2]);
@@ -65,11 +65,11 @@
 fn nothing_goes_to_a_draining_or_dropped_host() {
     for drop in [false, true] {
         let mut world = World::known(settings(), 2);
-        let mut list = vec![HostEntry::new(HostId(0), 0, HostState::Running)];
+        let mut list = vec![EndpointEntry::new(HostId(0), 0, HostState::Running)];
         if !drop {
-            list.push(HostEntry::new(HostId(1), 0, HostState::Stopping));
+            list.push(EndpointEntry::new(HostId(1), 0, HostState::Draining));
         }
-        world.event(Event::Hosts(ListKind::Replace, list));
+        world.event(Event::EndpointList(EndpointUpdate::Snapshot, list));
         for _ in 0..5 {
             assert!(!sends(&world.ask(0, None).1).contains(&1));
         }
@@ -79,9 +79,9 @@
 #[test]
 fn a_restarted_host_is_sent_little_at_first() {
     let mut world = World::known(settings(), 3);
-    let mut entry = HostEntry::new(HostId(1), 0, HostState::Running);
-    entry.online_since = Some(Timestamp(world.now));
-    world.event(Event::Hosts(ListKind::Update, vec![entry]));
+    let mut entry = EndpointEntry::new(HostId(1), 0, HostState::Running);
+    entry.started_at = Some(Timestamp(world.now));
+    world.event(Event::EndpointList(EndpointUpdate::Delta, vec![entry]));
     let mut cold = 0;
     for _ in 0..8 {
         cold += sends(&world.ask(0, None).1).iter().filter(|h| **h == 1).count();
@@ -103,8 +103,8 @@
     let (id, sent) = world.ask(0, None);
     let host = sends(&sent)[0];
     world.reply(id, host, Outcome::Error, Some(Role::Replica));
-    world.event(Event::ClientLeft(id));
-    world.event(Event::ClientLeft(id));
+    world.event(Event::ClientDisconnected(id));
+    world.event(Event::ClientDisconnected(id));
     assert!(sends(&world.wait(100)).is_empty());
 }
 
@@ -113,7 +113,7 @@
     let mut world = World::new(settings(), 2);
     for data in [vec![], vec![0xFF; 256], b"0=primary".to_vec()] {
         for from in [0, 1, u32::MAX] {
-            assert!(world.event(Event::Peer { from, data: data.clone() }).is_empty());
+            assert!(world.event(Event::PeerMessage { from, data: data.clone() }).is_empty());
         }
     }
     assert!(sends(&world.ask(3, None).1).is_empty(), "no write without evidence of one's own");
@@ -128,10 +128,20 @@
     world.probed(1, report(world.now + 60_000 * MS, Role::Replica));
     let (id, sent) = world.ask(0, None);
     let host = HostId(sends(&sent)[0]);
-    let (position, role) = (Some(Position(world.now + 60_000 * MS)), Some(Role::Replica));
+    let (position, role) = (Some(LogPosition(world.now + 60_000 * MS)), Some(Role::Replica));
     let (outcome, latency) = (Outcome::Ok, TimeDelta(MS));
-    let reply = Reply { id, attempt: 0, host, outcome, latency, closed: true, position, role, report: None };
-    world.event(Event::Reply(reply));
+    let reply = AttemptResult {
+        id,
+        attempt: 0,
+        host,
+        outcome,
+        latency,
+        request_closed: true,
+        position,
+        role,
+        report: None,
+    };
+    world.event(Event::AttemptEnded(reply));
     world.now += 5_000 * MS;
     let (_, sent) = world.ask(1, Some(MS));
     assert!(!sends(&sent).contains(&1), "{sent:?}");
@@ -139,7 +149,7 @@
 
 fn until(actions: &[Action]) -> Vec<Option<Timestamp>> {
     let until = |a: &Action| match a {
-        Action::Send { until, .. } => Some(*until),
+        Action::Forward { write_by, .. } => Some(*write_by),
         _ => None,
     };
     actions.iter().filter_map(until).collect()
@@ -156,15 +166,15 @@
     // The primary stands at the present, and a host that checks turns away what it may not answer.
     let mut world = World::known(settings(), 1);
     assert_eq!(until(&world.ask(2, None).1), [None]);
-    let mut world = World::known(Settings { when_behind: WhenBehind::Refuse, ..settings() }, 2);
+    let mut world = World::known(Settings { lag_policy: LagPolicy::Reject, ..settings() }, 2);
     assert_eq!(until(&world.ask(2, None).1), [None]);
 }
 
 #[test]
 fn a_read_whose_answer_was_too_old_goes_elsewhere_only_if_it_may_run_twice() {
-    for (repeat, again) in [(Repeat::Safe, true), (Repeat::Unsafe, false)] {
+    for (repeat, again) in [(Idempotency::Idempotent, true), (Idempotency::NotIdempotent, false)] {
         let mut all = settings();
-        all.classes[2].repeat = repeat;
+        all.classes[2].idempotency = repeat;
         let mut world = World::known(all, 2);
         let (id, sent) = world.ask(2, None);
         assert_eq!(sends(&sent), [1]);
@@ -179,43 +189,55 @@
 #[test]
 fn what_an_answer_must_be_from_counts_from_the_last_byte_written() {
     let written = Timestamp(10_000 * MS);
-    let at = |ms: i64| Some(Position(ms * MS));
-    let bounded = Recent::of(Freshness::Bounded(TimeDelta(500 * MS)), Position(i64::MIN));
+    let at = |ms: i64| Some(LogPosition(ms * MS));
+    let bounded = ReadRequirement::for_class(Freshness::Bounded(TimeDelta(500 * MS)), LogPosition(i64::MIN));
     assert!(
-        bounded.met(at(9_500), written) && !bounded.met(at(9_499), written) && !bounded.met(None, written)
+        bounded.is_met_by(at(9_500), written)
+            && !bounded.is_met_by(at(9_499), written)
+            && !bounded.is_met_by(None, written)
     );
-    let session = Recent::of(Freshness::Session, Position(9_000 * MS));
+    let session = ReadRequirement::for_class(Freshness::Session, LogPosition(9_000 * MS));
     assert!(
-        session.met(at(9_000), written) && !session.met(at(8_999), written) && !session.met(None, written)
+        session.is_met_by(at(9_000), written)
+            && !session.is_met_by(at(8_999), written)
+            && !session.is_met_by(None, written)
     );
     for anything in [(Freshness::Any, i64::MIN), (Freshness::Session, i64::MIN), (Freshness::Write, i64::MIN)]
     {
-        assert!(Recent::of(anything.0, Position(anything.1)).met(None, written), "{anything:?}");
+        assert!(
+            ReadRequirement::for_class(anything.0, LogPosition(anything.1)).is_met_by(None, written),
+            "{anything:?}"
+        );
     }
 }
 
 /// A router before hosts that answer from what they have, with session 7 and its write out at the primary.
-fn writes_of_a_session(when_behind: WhenBehind) -> (World, RequestId) {
-    let mut all =
-        Settings { remembered: true, when_behind, reports: Reports::Off, may_probe: false, ..settings() };
+fn writes_of_a_session(when_behind: LagPolicy) -> (World, RequestId) {
+    let mut all = Settings {
+        write_positions_tracked: true,
+        lag_policy: when_behind,
+        load_reports: LoadReports::Off,
+        health_checks_allowed: false,
+        ..settings()
+    };
     all.classes[3].deadline = TimeDelta(1_000 * MS);
     let mut world = World::known(all, 3);
     let id = RequestId(900);
     let write = Request { session: Some(SessionId(7)), ..Request::new(id, 3, 0, 1_000 * MS) };
-    assert_eq!(sends(&world.event(Event::Arrival(write))), [0]);
+    assert_eq!(sends(&world.event(Event::RequestArrived(write))), [0]);
     (world, id)
 }
 
 fn read_of_a_session(world: &mut World, id: u64) -> Vec<u32> {
     let read = Request { session: Some(SessionId(7)), ..Request::new(RequestId(id), 1, 0, 1_000 * MS) };
-    sends(&world.event(Event::Arrival(read)))
+    sends(&world.event(Event::RequestArrived(read)))
 }
 
 /// Its host may have answered, and the answer be lost with the connection: nothing says that it was not committed.
 #[test]
 fn a_session_whose_write_is_out_or_ended_without_a_word_reads_at_the_primary() {
     for outcome in [Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
-        let (mut world, write) = writes_of_a_session(WhenBehind::Off);
+        let (mut world, write) = writes_of_a_session(LagPolicy::ServeStale);
         world.now += 100 * MS;
         assert_eq!(read_of_a_session(&mut world, 901), [0], "while it is out");
         world.attempt(write, 0, 0, outcome, 100 * MS);
@@ -228,10 +250,10 @@
 
 #[test]
 fn a_session_whose_write_never_ran_reads_anywhere() {
-    for outcome in [Outcome::ConnectFailed, Outcome::Full, Outcome::Moot] {
-        let (mut world, write) = writes_of_a_session(WhenBehind::Off);
+    for outcome in [Outcome::ConnectFailed, Outcome::Overloaded, Outcome::NotSent] {
+        let (mut world, write) = writes_of_a_session(LagPolicy::ServeStale);
         // Or it would be sent once more.
-        world.event(Event::ClientLeft(write));
+        world.event(Event::ClientDisconnected(write));
         world.attempt(write, 0, 0, outcome, 100 * MS);
         assert_ne!(read_of_a_session(&mut world, 901), [0], "{outcome:?}");
     }
@@ -240,8 +262,8 @@
 /// The client has gone, or its time is over, when the host's answer comes: the session's next read must see it.
 #[test]
 fn a_commit_counts_for_its_session_though_its_request_is_over() {
-    let (mut world, write) = writes_of_a_session(WhenBehind::Off);
-    world.event(Event::ClientLeft(write));
+    let (mut world, write) = writes_of_a_session(LagPolicy::ServeStale);
+    world.event(Event::ClientDisconnected(write));
     world.now += 100 * MS;
     world.attempt(write, 0, 0, Outcome::Ok, 100 * MS);
     world.now += MS;
@@ -250,6 +272,6 @@
 
 #[test]
 fn hosts_that_check_are_asked_as_ever_while_a_write_is_out() {
-    let (mut world, _) = writes_of_a_session(WhenBehind::Refuse);
+    let (mut world, _) = writes_of_a_session(LagPolicy::Reject);
     assert_ne!(read_of_a_session(&mut world, 901), [0]);
 }
--- a/crates/decisions/tests/scale.rs
+++ b/crates/decisions/tests/scale.rs
@@ -10,30 +10,30 @@
 }
 
 /// What a fleet of routers, one read each, sends to host 1 of four after `change` was listed.
-fn fleet(change: impl Fn(i64) -> Vec<HostEntry>) -> usize {
+fn fleet(change: impl Fn(i64) -> Vec<EndpointEntry>) -> usize {
     let mut sum = 0;
     for seed in 0..400 {
-        let settings = Settings { routers: 400, ..settings() };
+        let settings = Settings { router_count: 400, ..settings() };
         let mut world = World::known(settings.clone(), 4);
         world.router = Router::new(settings, seed).unwrap();
-        let list = (0..4).map(|n| HostEntry::new(HostId(n), 0, HostState::Running)).collect();
-        world.event(Event::Hosts(ListKind::Restored, list));
+        let list = (0..4).map(|n| EndpointEntry::new(HostId(n), 0, HostState::Running)).collect();
+        world.event(Event::EndpointList(EndpointUpdate::Cached, list));
         world.probed(0, report(world.now, Role::Primary));
-        world.event(Event::Hosts(ListKind::Update, change(world.now)));
+        world.event(Event::EndpointList(EndpointUpdate::Delta, change(world.now)));
         let (_, sent) = world.ask(0, None);
         sum += sends(&sent).iter().filter(|h| **h == 1).count();
     }
     sum
 }
 
-fn restarted(now: i64) -> HostEntry {
-    HostEntry { online_since: Some(Timestamp(now)), ..HostEntry::new(HostId(1), 0, HostState::Running) }
+fn restarted(now: i64) -> EndpointEntry {
+    EndpointEntry { started_at: Some(Timestamp(now)), ..EndpointEntry::new(HostId(1), 0, HostState::Running) }
 }
 
 /// Four hundred routers must not each grant a cold host its first request (incident if5d4a1).
 #[test]
 fn a_cold_host_gets_a_fraction_summed_over_all_routers() {
-    let gone = |n| HostEntry::new(HostId(n), 0, HostState::Deleted);
+    let gone = |n| EndpointEntry::new(HostId(n), 0, HostState::Removed);
     let cold = fleet(|now| vec![restarted(now), gone(2), gone(3)]);
     assert!(cold > 0 && cold * 10 < 400, "{cold} of 400");
 }
@@ -42,7 +42,7 @@
 #[test]
 fn a_cold_host_alone_in_its_group_does_not_take_all_of_it() {
     let cold = fleet(|now| {
-        let gone = |n| HostEntry::new(HostId(n), 0, HostState::Deleted);
+        let gone = |n| EndpointEntry::new(HostId(n), 0, HostState::Removed);
         vec![restarted(now), gone(2), gone(3), gone(0)]
     });
     assert!(cold > 0 && cold * 10 < 400, "{cold} of 400");
@@ -51,7 +51,7 @@
 /// Of equals each is chosen: requests at an idle router must not all fall on the same replica.
 #[test]
 fn equals_share_the_requests_of_an_idle_router() {
-    let mut world = World::known(Settings { routers: 400, ..settings() }, 4);
+    let mut world = World::known(Settings { router_count: 400, ..settings() }, 4);
     let mut count = [0; 4];
     for _ in 0..60 {
         world.now += 500 * MS;
@@ -66,7 +66,7 @@
 #[test]
 fn late_answers_let_in_only_a_part_of_what_comes() {
     let admitted = |latency: i64| {
-        let mut world = World::known(Settings { routers: 400, ..settings() }, 4);
+        let mut world = World::known(Settings { router_count: 400, ..settings() }, 4);
         let mut count = 0;
         for _ in 0..40 {
             world.now += 500 * MS;
@@ -99,7 +99,7 @@
 }
 
 fn let_go(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::LetGo { .. }))
+    actions.iter().any(|a| matches!(a, Action::CloseIdleConnections { .. }))
 }
 
 /// Asks so many times; hosts take no connection, but each answers after so many refusals. Whether one let any go.
@@ -176,8 +176,8 @@
 /// With many routers the member held for the primary is asked at once: the long gap is for searches only.
 #[test]
 fn a_write_asks_the_shown_primary_without_the_gap_of_many_routers() {
-    let when_behind = WhenBehind::Wait(TimeDelta(100 * MS));
-    let mut world = World::known(Settings { routers: 400, when_behind, ..settings() }, 2);
+    let when_behind = LagPolicy::WaitThenReject(TimeDelta(100 * MS));
+    let mut world = World::known(Settings { router_count: 400, lag_policy: when_behind, ..settings() }, 2);
     for _ in 0..3 {
         world.now += 1_200 * MS;
         assert_eq!(probes(&world.ask(3, None).1), [0]);
@@ -188,8 +188,8 @@
 /// Where hosts check reads, a fresh router tries a replica it never heard of instead of the primary.
 #[test]
 fn an_unheard_replica_is_tried_where_it_checks_reads() {
-    let when_behind = WhenBehind::Wait(TimeDelta(100 * MS));
-    let mut world = World::new(Settings { when_behind, ..settings() }, 3);
+    let when_behind = LagPolicy::WaitThenReject(TimeDelta(100 * MS));
+    let mut world = World::new(Settings { lag_policy: when_behind, ..settings() }, 3);
     world.probed(0, report(world.now, Role::Primary));
     assert!(matches!(sends(&world.ask(2, None).1)[..], [1 | 2]));
 }
@@ -199,7 +199,7 @@
 fn what_is_out_costs_few_timers() {
     let mut world = World::known(settings(), 2);
     world.ask(0, None);
-    let timers = world.wait(500).iter().filter(|a| matches!(a, Action::Timer { .. })).count();
+    let timers = world.wait(500).iter().filter(|a| matches!(a, Action::SetTimer { .. })).count();
     assert!(timers <= 10, "{timers}");
 }
 
@@ -207,7 +207,8 @@
 #[test]
 fn a_late_primary_is_spared_the_reads_that_can_wait() {
     let went = |latency: i64| {
-        let mut world = World::known(Settings { second_copies: false, may_probe: false, ..settings() }, 1);
+        let mut world =
+            World::known(Settings { hedging_allowed: false, health_checks_allowed: false, ..settings() }, 1);
         world.router.handle(Timestamp(world.now), Event::Timer(0), &mut Vec::new());
         let (id, sent) = world.ask(5, None);
         answer(&mut world, id, &sent, Outcome::Ok, latency);
@@ -221,7 +222,8 @@
 /// replica is fresh enough for (the second deployment's days on which replicas are cut off from their primary).
 #[test]
 fn an_idle_primary_is_spared_no_reads_however_long_their_work_takes() {
-    let mut world = World::known(Settings { second_copies: false, may_probe: false, ..settings() }, 1);
+    let mut world =
+        World::known(Settings { hedging_allowed: false, health_checks_allowed: false, ..settings() }, 1);
     let mut one = |latency: i64| {
         let (id, sent) = world.ask(2, None);
         let at_once = sends(&sent).len();
@@ -241,10 +243,13 @@
 #[test]
 fn a_customer_over_its_share_waits_behind_one_within() {
     let quotas = vec![50.0, 50.0];
-    let mut world = World::known(Settings { routers: 8, quotas, over_share_worth: 0.1, ..settings() }, 1);
+    let mut world = World::known(
+        Settings { router_count: 8, tenant_quotas: quotas, over_quota_weight: 0.1, ..settings() },
+        1,
+    );
     let mut request = |n: u64, tenant: usize| {
         let request = Request { tenant, ..Request::new(RequestId(n), 0, 0, 2_000 * MS) };
-        world.event(Event::Arrival(request))
+        world.event(Event::RequestArrived(request))
     };
     let mut first = Vec::new();
     for n in 0..200 {
@@ -253,5 +258,5 @@
     assert!((1..10).contains(&sends(&first).len()), "the rest is held");
     request(200, 1);
     let next = world.attempt(RequestId(0), 0, 0, Outcome::Ok, 50 * MS);
-    assert!(matches!(next[..], [Action::Send { id: RequestId(200), .. }, ..]), "{next:?}");
+    assert!(matches!(next[..], [Action::Forward { id: RequestId(200), .. }, ..]), "{next:?}");
 }
--- a/crates/decisions/tests/state.rs
+++ b/crates/decisions/tests/state.rs
@@ -6,7 +6,7 @@
 use wheelpier_decisions::state::heavy::HeavyHitters;
 use wheelpier_decisions::state::sessions::Sessions;
 use wheelpier_decisions::state::wheel::Wheel;
-use wheelpier_decisions::{Position, SessionId, Timestamp};
+use wheelpier_decisions::{LogPosition, SessionId, Timestamp};
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
@@ -23,7 +23,7 @@
         for ((session, position), shrink) in writes.into_iter().zip(shrinks) {
             // A session belongs to one set, as its key does.
             let set = session as u32 % 3;
-            sessions.remember(SessionId(session), set, Position(position));
+            sessions.remember(SessionId(session), set, LogPosition(position));
             let last = all.entry((session, set)).or_insert(position);
             *last = (*last).max(position);
             if shrink && position % 7 == 0 {
@@ -41,15 +41,15 @@
         let mut sessions = Sessions::new(400);
         let mut all = BTreeMap::new();
         for (session, position) in writes {
-            sessions.remember(SessionId(session), 0, Position(position));
+            sessions.remember(SessionId(session), 0, LogPosition(position));
             let last = all.entry(session).or_insert(position);
             *last = (*last).max(position);
         }
         for (session, last) in &all {
-            prop_assert_eq!(sessions.token(SessionId(*session), 0), Position(*last));
+            prop_assert_eq!(sessions.token(SessionId(*session), 0), LogPosition(*last));
         }
         let unknown = (0..).find(|n| !all.contains_key(n)).unwrap();
-        prop_assert_eq!(sessions.token(SessionId(unknown), 0), Position(i64::MIN));
+        prop_assert_eq!(sessions.token(SessionId(unknown), 0), LogPosition(i64::MIN));
     }
 
     /// Waits end at their tick, not before, and those cancelled never; in the order of a sorted list.
@@ -120,13 +120,13 @@
 #[test]
 fn a_forgotten_session_is_held_to_have_written_at_its_own_sets_floor() {
     let mut sessions = Sessions::new(4);
-    sessions.remember(SessionId(10), 0, Position(500));
-    sessions.remember(SessionId(11), 1, Position(900));
-    while sessions.shrink() > 0 || sessions.floor(0) == Position(i64::MIN) {
-        sessions.remember(SessionId(sessions.len() as u64 + 20), 2, Position(1));
+    sessions.remember(SessionId(10), 0, LogPosition(500));
+    sessions.remember(SessionId(11), 1, LogPosition(900));
+    while sessions.shrink() > 0 || sessions.floor(0) == LogPosition(i64::MIN) {
+        sessions.remember(SessionId(sessions.len() as u64 + 20), 2, LogPosition(1));
     }
-    assert_eq!(sessions.token(SessionId(10), 0), Position(500));
-    assert!(sessions.token(SessionId(99), 0) <= Position(500), "the other set's commit is none of its");
+    assert_eq!(sessions.token(SessionId(10), 0), LogPosition(500));
+    assert!(sessions.token(SessionId(99), 0) <= LogPosition(500), "the other set's commit is none of its");
 }
 
 /// A clock that advances by what each job takes.
--- a/crates/lab/benches/state.rs
+++ b/crates/lab/benches/state.rs
@@ -14,7 +14,7 @@
 use wheelpier_decisions::state::heavy::HeavyHitters;
 use wheelpier_decisions::state::sessions::Sessions;
 use wheelpier_decisions::state::wheel::Wheel;
-use wheelpier_decisions::{Position, SessionId, Timestamp};
+use wheelpier_decisions::{LogPosition, SessionId, Timestamp};
 
 const SIZES: [usize; 3] = [1_000, 100_000, 1_000_000];
 /// Operations in one measured round.
@@ -32,7 +32,7 @@
         let ids = numbers(size);
         // Reads of known sessions, and writes of new ones that push old ones out.
         let mut table = Sessions::new(size);
-        ids.iter().for_each(|id| table.remember(SessionId(*id), (*id % 8) as u32, Position(1)));
+        ids.iter().for_each(|id| table.remember(SessionId(*id), (*id % 8) as u32, LogPosition(1)));
         let mut next = 0;
         group.bench_function(BenchmarkId::new("generations/read", size), |b| {
             b.iter(|| {
@@ -47,7 +47,7 @@
             b.iter(|| {
                 for _ in 0..ROUND {
                     fresh = fresh.wrapping_add(0x9e37_79b9_7f4a_7c15);
-                    table.remember(SessionId(fresh), (fresh % 8) as u32, Position(2));
+                    table.remember(SessionId(fresh), (fresh % 8) as u32, LogPosition(2));
                 }
             });
         });
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -6,8 +6,9 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use wheelpier_decisions::{
-    settings, Action, Event, HostEntry, HostId, HostState, ListKind, Outcome, Position, Reply as Answer,
-    Report, Request, RequestId, Role, Router, SessionId, Settings, TimeDelta, Timestamp,
+    settings, Action, AttemptResult as Answer, EndpointEntry, EndpointUpdate, Event, HostId, HostState,
+    LoadReport, LogPosition, Outcome, Request, RequestId, Role, Router, SessionId, Settings, TimeDelta,
+    Timestamp,
 };
 use wheelpier_standin::checker::{Checker, RULES};
 use wheelpier_standin::host::State;
@@ -96,7 +97,7 @@
 /// When the settings cannot be read or no router takes them; the text says why.
 pub fn play(day: Day) -> Result<Tally, String> {
     let (mut settings, _) = settings::read(&day.spec.settings(day.rate).to_string())?;
-    settings.routers = day.routers as u32;
+    settings.router_count = day.routers as u32;
     (day.tune)(&mut settings);
     let hosts = day.spec.groups * day.spec.members;
     let mut listed = vec![(Status::Up, None); hosts];
@@ -187,22 +188,22 @@
         self.nodes[n].starts = starts.collect();
         let entries =
             listed.into_iter().map(|(host, status, started)| self.entry(host, status, started)).collect();
-        self.tell(n, Event::Hosts(ListKind::Restored, entries));
+        self.tell(n, Event::EndpointList(EndpointUpdate::Cached, entries));
         Ok(())
     }
 
-    fn entry(&self, host: usize, status: Status, started: Option<Micros>) -> HostEntry {
+    fn entry(&self, host: usize, status: Status, started: Option<Micros>) -> EndpointEntry {
         let state = match status {
             Status::Up => HostState::Running,
-            Status::Draining => HostState::Stopping,
-            Status::Removed => HostState::Deleted,
+            Status::Draining => HostState::Draining,
+            Status::Removed => HostState::Removed,
         };
         let group = self.world.group(host) as u32;
         let zone = self.world.zone(host) as u32;
-        HostEntry {
+        EndpointEntry {
             zone,
-            online_since: started.map(Timestamp),
-            ..HostEntry::new(HostId(host as u32), group, state)
+            started_at: started.map(Timestamp),
+            ..EndpointEntry::new(HostId(host as u32), group, state)
         }
     }
 
@@ -247,7 +248,7 @@
             session: reads.then(|| SessionId::of(&planned.session)),
             ..Request::new(RequestId(n as u64), planned.class, planned.group as u32, wait)
         };
-        self.tell(at, Event::Arrival(request));
+        self.tell(at, Event::RequestArrived(request));
     }
 
     /// The session as the world knows it: a read has to see only what its own proxy has acknowledged since it
@@ -316,7 +317,7 @@
                     self.nodes[router].starts.insert(host, started);
                 }
                 let entry = self.entry(host, status, started);
-                self.tell(router, Event::Hosts(ListKind::Update, vec![entry]));
+                self.tell(router, Event::EndpointList(EndpointUpdate::Delta, vec![entry]));
             }
             Own::Arrives { id, attempt, host, sent } => self.arrives(router, id, attempt, host, sent),
             Own::Reported { host, sent } => self.reported(router, host, sent),
@@ -342,18 +343,20 @@
 
     fn act(&mut self, router: usize, action: Action) {
         match action {
-            Action::Send { id, host, timeout, .. } => self.send(router, id.0, host.0 as usize, timeout),
-            Action::Refuse { id, .. } | Action::Fail { id } => self.answer(router, id.0, false),
-            Action::Cancel { id, attempt } => self.ended(router, id.0, attempt, Outcome::Cancelled, None),
-            Action::Timer { at, token } => self.later(router, at.0, Own::Rings(token)),
-            Action::Probe { host } => {
+            Action::Forward { id, host, timeout, .. } => self.send(router, id.0, host.0 as usize, timeout),
+            Action::Reject { id, .. } | Action::Fail { id } => self.answer(router, id.0, false),
+            Action::CancelAttempt { id, attempt } => {
+                self.ended(router, id.0, attempt, Outcome::Cancelled, None)
+            }
+            Action::SetTimer { at, token } => self.later(router, at.0, Own::Rings(token)),
+            Action::HealthCheck { host } => {
                 self.tally.probes += 1;
                 let (host, sent) = (host.0 as usize, self.now);
                 let way = self.way(router, host);
                 self.later(router, self.now + way, Own::Reported { host, sent });
             }
-            Action::LetGo { host } => drop(self.nodes[router].idle.remove(&(host.0 as usize))),
-            Action::Log(_) | Action::Watch(_) | Action::FetchList => {}
+            Action::CloseIdleConnections { host } => drop(self.nodes[router].idle.remove(&(host.0 as usize))),
+            Action::Log(_) | Action::WatchEndpoints(_) | Action::FetchEndpoints => {}
         }
     }
 
@@ -432,14 +435,14 @@
     fn reported(&mut self, router: usize, host: usize, sent: Micros) {
         let up = self.world.state(host) == State::Up;
         let role = if self.world.is_primary(host) { Role::Primary } else { Role::Replica };
-        let position = Some(Position(self.world.position(host, self.now).div_euclid(MS) * MS));
-        let report = up.then_some(Report { position, role: Some(role) });
+        let position = Some(LogPosition(self.world.position(host, self.now).div_euclid(MS) * MS));
+        let report = up.then_some(LoadReport { position, role: Some(role) });
         let outcome = if up { Outcome::Ok } else { Outcome::ConnectFailed };
         if up {
             self.nodes[router].idle.entry(host).or_default().push(self.now);
         }
         let latency = TimeDelta(self.now + WAY - sent);
-        self.tell(router, Event::Probed { host: HostId(host as u32), outcome, latency, report });
+        self.tell(router, Event::HealthChecked { host: HostId(host as u32), outcome, latency, report });
     }
 
     /// An attempt ends; `note` is the position told and whether it is a primary's.
@@ -455,10 +458,10 @@
         if matches!(outcome, Outcome::Timeout | Outcome::Cancelled) {
             out.ticket.into_iter().for_each(|ticket| self.world.cancel(ticket));
         }
-        if matches!(outcome, Outcome::Ok | Outcome::Miss | Outcome::Full | Outcome::Error) {
+        if matches!(outcome, Outcome::Ok | Outcome::Misdirected | Outcome::Overloaded | Outcome::Error) {
             self.nodes[router].idle.entry(out.host).or_default().push(self.now);
         }
-        self.tally.misses += u64::from(outcome == Outcome::Miss);
+        self.tally.misses += u64::from(outcome == Outcome::Misdirected);
         let waited = self.nodes[router].open.contains_key(&id);
         let reply = Answer {
             id: RequestId(id),
@@ -466,12 +469,12 @@
             host: HostId(out.host as u32),
             outcome,
             latency: TimeDelta(self.now - out.sent),
-            closed: outcome == Outcome::Ok || !waited,
-            position: note.map(|(position, _)| Position(position)),
+            request_closed: outcome == Outcome::Ok || !waited,
+            position: note.map(|(position, _)| LogPosition(position)),
             role: note.map(|(_, primary)| if primary { Role::Primary } else { Role::Replica }),
             report: None,
         };
-        self.tell(router, Event::Reply(reply));
+        self.tell(router, Event::AttemptEnded(reply));
         if outcome == Outcome::Ok {
             let planned = &self.plan[id as usize];
             let write = self.day.spec.classes[planned.class].freshness == Freshness::Write;
@@ -517,8 +520,8 @@
             }
             other => {
                 let outcome = match other {
-                    Reply::ReadOnly | Reply::Behind => Outcome::Miss,
-                    Reply::Full => Outcome::Full,
+                    Reply::ReadOnly | Reply::Behind => Outcome::Misdirected,
+                    Reply::Full => Outcome::Overloaded,
                     _ => Outcome::Error,
                 };
                 let position = self.world.position(host, self.now).div_euclid(MS) * MS;
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -23,7 +23,8 @@
         ..Spec::sapporo()
     };
     let rate = 0.6 * spec.capacity();
-    let tune = |settings: &mut Settings| (settings.price_probe, settings.price_handshake) = (0.08, 0.08);
+    let tune =
+        |settings: &mut Settings| (settings.price_health_check, settings.price_handshake) = (0.08, 0.08);
     Day {
         spec,
         routers,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::budget::plan::{ClassWorth, Figures, Plan};
 use crate::budget::Purpose;
-use crate::interface::{Class, Freshness, HostState, Repeat, Settings, WhenBehind};
+use crate::interface::{Freshness, HostState, Idempotency, LagPolicy, RequestClass, Settings};
 use crate::listing::{Listing, RawListing};
 use crate::pgwire;
 use crate::pipeline;
@@ -317,10 +317,10 @@
         let (names, classes) = renumbered(old, new_ones, |name| &name.name);
         // A tenant that is left out has no quota.
         let closed = self.names.tenants.iter().map(|name| TenantName { open: false, ..name.clone() });
-        let new_ones = new.names.tenants.into_iter().zip(new.settings.quotas);
+        let new_ones = new.names.tenants.into_iter().zip(new.settings.tenant_quotas);
         let (tenants, quotas) = renumbered(closed.map(|name| (name, 0.0)), new_ones, |name| &name.name);
         let mut merged = self.clone();
-        merged.settings = crate::interface::Settings { classes, quotas, ..new.settings };
+        merged.settings = crate::interface::Settings { classes, tenant_quotas: quotas, ..new.settings };
         (merged.names.classes, merged.names.tenants) = (names, tenants);
         merged.discovery = new.discovery;
         merged.max_attempts = new.max_attempts;
@@ -345,7 +345,8 @@
         let seed = seed(file.seed.as_ref())?;
         let text = file.settings.to_string();
         let (mut settings, reading) = settings::read(&text).map_err(|e| wrong("settings", e))?;
-        settings.answers_checked = settings.answers_stamped && settings.when_behind == WhenBehind::Off;
+        settings.responses_verified =
+            settings.responses_carry_position && settings.lag_policy == LagPolicy::ServeStale;
         crate::check::check(&settings).map_err(|e| wrong(&format!("settings.{}", e.key), e.problem))?;
         let more: SettingsNames = serde_json::from_value(file.settings).map_err(|e| wrong("settings", e))?;
         let seconds = |key: &str, value: f64| match Duration::try_from_secs_f64(value) {
@@ -369,8 +370,10 @@
         // Descriptors and memory bound the connections, whichever is shorter.
         let memory = file.limits.memory_mb.map(|mb| mb * MEMORY_SHARE * f64::from(1 << 20));
         let limits = bounded(descriptors::divide(sockets), memory, pgwire::MOST_STATEMENT);
-        let class =
-            |class: &Class| ClassWorth { worth: class.worth, write: class.freshness == Freshness::Write };
+        let class = |class: &RequestClass| ClassWorth {
+            worth: class.priority_weight,
+            write: class.freshness == Freshness::Write,
+        };
         let figures = Figures {
             total: file.limits.memory_mb.map_or(UNBOUNDED, |mb| (mb * ACCOUNTED * f64::from(1 << 20)) as u64),
             classes: settings.classes.iter().map(class).collect(),
@@ -403,7 +406,7 @@
             figures,
             plan,
             operator: Operator::default(),
-            known: known.filter(|list| list.entries.iter().any(|e| e.state != HostState::Deleted)),
+            known: known.filter(|list| list.entries.iter().any(|e| e.state != HostState::Removed)),
             settings,
             reading,
             names,
@@ -432,8 +435,8 @@
     serde_json::from_str(text).map_err(|e| wrong(&faulty(&e.to_string()), e))
 }
 
-fn class_name((named, class): (Named, &Class)) -> ClassName {
-    let keyed = matches!(class.repeat, Repeat::Keyed(_));
+fn class_name((named, class): (Named, &RequestClass)) -> ClassName {
+    let keyed = matches!(class.idempotency, Idempotency::WithKey(_));
     ClassName { name: named.name, write: class.freshness == Freshness::Write, keyed, open: true }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,18 +9,18 @@
 //! to the primary.
 //!
 //! ```
-//! use wheelpier::{Action, Event, HostEntry, HostId, HostState, ListKind, Recent, Request, RequestId};
-//! use wheelpier::{Router, Settings, Timestamp};
+//! use wheelpier::{Action, EndpointEntry, EndpointUpdate, Event, HostId, HostState};
+//! use wheelpier::{ReadRequirement, Request, RequestId, Router, Settings, Timestamp};
 //!
 //! let mut router = Router::new(Settings::example(), 7).expect("the settings are sensible");
 //! let mut actions = Vec::new();
-//! let host = HostEntry::new(HostId(0), 0, HostState::Running);
-//! router.handle(Timestamp(0), Event::Hosts(ListKind::Restored, vec![host]), &mut actions);
+//! let host = EndpointEntry::new(HostId(0), 0, HostState::Running);
+//! router.handle(Timestamp(0), Event::EndpointList(EndpointUpdate::Cached, vec![host]), &mut actions);
 //!
 //! let request = Request::new(RequestId(1), 0, 0, 1_000_000);
-//! router.handle(Timestamp(5_000), Event::Arrival(request), &mut actions);
+//! router.handle(Timestamp(5_000), Event::RequestArrived(request), &mut actions);
 //! let (id, host) = (RequestId(1), HostId(0));
-//! let sent = Action::Send { id, host, timeout: None, recent: Recent::Any, until: None };
+//! let sent = Action::Forward { id, host, timeout: None, requirement: ReadRequirement::Any, write_by: None };
 //! assert!(actions.contains(&sent));
 //! ```
 #![forbid(unsafe_code)]
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -118,8 +118,8 @@
     fn check(self, zones: &[String]) -> Result<Listed, EntryError> {
         let state = match self.status.as_str() {
             "up" => Ok(HostState::Running),
-            "draining" => Ok(HostState::Stopping),
-            "removed" => Ok(HostState::Deleted),
+            "draining" => Ok(HostState::Draining),
+            "removed" => Ok(HostState::Removed),
             other => Err(format!("`{other}` is no known status")),
         };
         let address = self.address.parse().map_err(|_| format!("`{}` is no address", self.address));
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -10,8 +10,9 @@
 use crate::config::Config;
 use crate::counters::{Counters, Ended};
 use crate::interface::{
-    Action, Event as Told, Freshness, HostEntry, HostId, HostState, KeyScope, ListKind, Outcome, Position,
-    Recent, Repeat, Reply, Report, RequestId, Role, SettingsError, TimeDelta, Timestamp,
+    Action, AttemptResult, EndpointEntry, EndpointUpdate, Event as Told, Freshness, HostId, HostState,
+    Idempotency, KeyScope, LoadReport, LogPosition, Outcome, ReadRequirement, RequestId, Role, SettingsError,
+    TimeDelta, Timestamp,
 };
 use crate::listing::{Listed, Listing};
 use crate::reasons::Reason;
@@ -48,7 +49,7 @@
     /// The host of each attempt.
     sent: Vec<HostId>,
     /// What an answer to it must be from.
-    recent: Recent,
+    recent: ReadRequirement,
     out: u32,
     write: bool,
     /// Its class, by number, as the settings at its arrival had it.
@@ -65,7 +66,7 @@
     /// Since when the list does not name it.
     gone: Option<Instant>,
     /// What the list last said of it.
-    entry: HostEntry,
+    entry: EndpointEntry,
 }
 
 enum Due {
@@ -141,7 +142,7 @@
 
     pub async fn run(mut self, mut mailbox: mpsc::Receiver<Event>) {
         if let Some(known) = self.config.known.take() {
-            self.list(known, ListKind::Restored).await;
+            self.list(known, EndpointUpdate::Cached).await;
         }
         loop {
             tokio::select! {
@@ -164,7 +165,7 @@
             Event::Arrival(arrival) => self.arrival(*arrival).await,
             Event::ClientLeft(id) => {
                 if self.close(id, Ended::Left).is_some() {
-                    self.tell(Told::ClientLeft(id)).await;
+                    self.tell(Told::ClientDisconnected(id)).await;
                 }
                 self.withdraw(id).await;
                 self.forget(id);
@@ -174,7 +175,7 @@
             Event::Probed(Probe { host, outcome, latency, report }) => {
                 self.back(host);
                 let report = report.map(|report| self.in_local_time(host, report));
-                self.tell(Told::Probed { host, outcome, latency, report }).await;
+                self.tell(Told::HealthChecked { host, outcome, latency, report }).await;
             }
             Event::Retune(config) => {
                 self.router.retune(config.settings.clone());
@@ -186,7 +187,7 @@
                 }
             }
             Event::List(list) => {
-                let kind = if list.whole { ListKind::Replace } else { ListKind::Update };
+                let kind = if list.whole { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
                 self.list(list, kind).await;
             }
         }
@@ -199,7 +200,7 @@
         self.counters.taken();
         let class = request.class;
         let settings = &self.config.settings;
-        let retry_after = settings.retry_after.then_some(settings.max_retry_after);
+        let retry_after = settings.retry_after_allowed.then_some(settings.max_retry_after);
         // Before the first list no group is known, but any may come.
         let refused = if self.groups.is_empty() {
             Some((Reason::NotReady, "the list of ledger hosts has not come yet"))
@@ -253,7 +254,7 @@
             last_call,
             is_tightened,
             sent: Vec::new(),
-            recent: Recent::Any,
+            recent: ReadRequirement::Any,
             out: 0,
             write,
             class,
@@ -261,9 +262,17 @@
         };
         self.table.insert(id, held);
         self.open += 1;
-        let request =
-            crate::interface::Request { id, class, group, tenant, since_write, again, ttl, session };
-        self.tell(Told::Arrival(request)).await;
+        let request = crate::interface::Request {
+            id,
+            class,
+            group,
+            tenant,
+            time_since_write: since_write,
+            is_client_retry: again,
+            timeout: ttl,
+            session,
+        };
+        self.tell(Told::RequestArrived(request)).await;
     }
 
     /// The answer to a request is due earlier than was said before.
@@ -306,9 +315,10 @@
         if let Some(held) = self.table.get_mut(&id) {
             held.last_call = None;
             let Held { sent, out, class, is_tightened, .. } = held;
-            let repeat = self.config.settings.classes.get(*class).map(|class| class.repeat);
+            let repeat = self.config.settings.classes.get(*class).map(|class| class.idempotency);
             // What no host ever had may be tried again, and what does no harm twice.
-            harmless = sent.is_empty() || matches!(repeat, Some(Repeat::Safe | Repeat::Keyed(KeyScope::All)));
+            harmless = sent.is_empty()
+                || matches!(repeat, Some(Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All)));
             if *is_tightened {
                 let what = format_args!("a request without an answer, sent {} times", sent.len());
                 self.rejections.record(Reason::Order, what);
@@ -316,14 +326,15 @@
                 tracing::warn!("request {}: no answer by its deadline; sent to {sent:?}, {out} out", id.0);
             }
         }
-        let retry_after = self.config.settings.retry_after.then_some(self.config.settings.max_retry_after);
+        let retry_after =
+            self.config.settings.retry_after_allowed.then_some(self.config.settings.max_retry_after);
         let (how, answer) = match harmless {
             true => (Ended::Refused, Answer::Refused { retry_after }),
             false => (Ended::Failed, Answer::Failed),
         };
         if let Some(client) = self.close(id, how) {
             mail(&client, id, answer);
-            self.tell(Told::ClientLeft(id)).await;
+            self.tell(Told::ClientDisconnected(id)).await;
         }
         self.withdraw(id).await;
         self.forget(id);
@@ -361,9 +372,19 @@
             self.note_clock(host, position, role, sent);
         }
         let position = position.map(|position| self.host_clock.local_position(position));
-        let reply = Reply { id, attempt, host, outcome, latency, closed, position, role, report: None };
+        let reply = AttemptResult {
+            id,
+            attempt,
+            host,
+            outcome,
+            latency,
+            request_closed: closed,
+            position,
+            role,
+            report: None,
+        };
         // The module first: its client's next read must find the commit known.
-        self.tell(Told::Reply(reply)).await;
+        self.tell(Told::AttemptEnded(reply)).await;
         if let Some((client, value)) = served {
             mail(&client, id, Answer::Served(value));
             self.withdraw(id).await;
@@ -373,15 +394,21 @@
 
     /// A report in this machine's time. What a host tells of its position is left out while it contradicts the clock; who
     /// it is still counts.
-    fn in_local_time(&mut self, host: HostId, report: Report) -> Report {
+    fn in_local_time(&mut self, host: HostId, report: LoadReport) -> LoadReport {
         let Some(position) = report.position else { return report };
         self.note_clock(host, position, report.role, None);
         let position = Some(self.host_clock.local_position(position));
-        Report { position: position.filter(|_| !self.host_clock.is_in_doubt(host)), ..report }
+        LoadReport { position: position.filter(|_| !self.host_clock.is_in_doubt(host)), ..report }
     }
 
     /// Looks at what a position tells of the hosts' clock, and moves what is known by it if it has to be set anew.
-    fn note_clock(&mut self, host: HostId, position: Position, role: Option<Role>, sent: Option<Timestamp>) {
+    fn note_clock(
+        &mut self,
+        host: HostId,
+        position: LogPosition,
+        role: Option<Role>,
+        sent: Option<Timestamp>,
+    ) {
         let received = self.clock.now();
         let Some(shift) = self.host_clock.note(host, Sample { position, role, sent, received }) else {
             return;
@@ -391,7 +418,7 @@
             self.host_clock.offset_us() / 1000
         );
         for member in self.members.values_mut() {
-            let since = &mut member.entry.online_since;
+            let since = &mut member.entry.started_at;
             *since = since.map(|since| Timestamp(since.0.saturating_sub(shift)));
         }
         self.router.rebase(received, shift);
@@ -400,11 +427,11 @@
     /// Whether an answer is too old for its request, where hosts leave that to us. The bound runs from the last byte of
     /// the query, which may have waited for its connection for long after the decision; a primary stands at the present.
     fn stale(&self, end: &AttemptEnd) -> bool {
-        let checked = self.config.settings.answers_checked && end.outcome == Outcome::Ok;
+        let checked = self.config.settings.responses_verified && end.outcome == Outcome::Ok;
         let held = self.table.get(&end.id).filter(|held| checked && !held.write);
         let Some((held, written)) = held.zip(end.written) else { return false };
         let told = end.position.map(|stamp| self.host_clock.local_position(stamp.rounded(false)));
-        end.role != Some(Role::Primary) && !held.recent.met(told, self.clock.at(written))
+        end.role != Some(Role::Primary) && !held.recent.is_met_by(told, self.clock.at(written))
     }
 
     fn writes(&self, id: RequestId) -> bool {
@@ -413,7 +440,7 @@
 
     // ---- The list --------------------------------------------------------------------------------------
 
-    async fn list(&mut self, list: Listing, kind: ListKind) {
+    async fn list(&mut self, list: Listing, kind: EndpointUpdate) {
         self.counters.list();
         let now = Instant::now();
         let mut entries = Vec::with_capacity(list.entries.len());
@@ -424,10 +451,18 @@
             self.groups.insert(listed.group);
             let Listed { group, zone, weight, state, since, .. } = listed;
             let since = since.map(|since| self.host_clock.local(since));
-            let entry = HostEntry { host, group, zone, weight, leader: false, state, online_since: since };
+            let entry = EndpointEntry {
+                host,
+                group,
+                zone,
+                weight,
+                listed_as_primary: false,
+                state,
+                started_at: since,
+            };
             if let Some(member) = self.members.get_mut(&host) {
                 member.entry = entry.clone();
-                member.gone = (listed.state == HostState::Deleted).then(|| member.gone.unwrap_or(now));
+                member.gone = (listed.state == HostState::Removed).then(|| member.gone.unwrap_or(now));
                 // A host's actor hears of it before any send that the module decides on from now on.
                 let protocol = self.config.operator.hosts.protocol(&listed.kind);
                 let Listed { address, state, .. } = listed;
@@ -437,12 +472,14 @@
         }
         // A whole list that says of a host what cannot be read still names it: all stays as it was.
         let unread = list.unread.iter().filter_map(|name| self.numbers.get(name));
-        for member in unread.filter_map(|host| self.members.get(host)).filter(|_| kind != ListKind::Update) {
+        for member in
+            unread.filter_map(|host| self.members.get(host)).filter(|_| kind != EndpointUpdate::Delta)
+        {
             if named.insert(member.entry.host) {
                 entries.push(member.entry.clone());
             }
         }
-        if kind != ListKind::Update {
+        if kind != EndpointUpdate::Delta {
             for (_, member) in self.members.iter_mut().filter(|(host, _)| !named.contains(*host)) {
                 member.gone.get_or_insert(now);
                 member.peer.tell(Command::Gone).await;
@@ -451,7 +488,7 @@
         self.retire(now);
         self.counters.discovered(self.members.values().filter(|m| m.gone.is_none()).count());
         let serves = entries.iter().any(|e| e.state == HostState::Running);
-        self.tell(Told::Hosts(kind, entries)).await;
+        self.tell(Told::EndpointList(kind, entries)).await;
         if serves {
             self.ready.send_replace(true);
         }
@@ -482,7 +519,7 @@
         self.numbers.insert(listed.name.clone(), host);
         let protocol = self.config.operator.hosts.protocol(&listed.kind);
         let peer = Peer::start(host, listed.address, protocol, self.pool.clone(), self.events.clone());
-        let entry = HostEntry::new(host, listed.group, listed.state);
+        let entry = EndpointEntry::new(host, listed.group, listed.state);
         self.members.insert(host, Member { peer, out: 0, gone: None, entry });
         host
     }
@@ -497,7 +534,7 @@
             let now = self.clock.now();
             tracing::trace!(at = now.0, "told {told:?}");
             // Which hosts are avoided changes with the list and with time: looked at when either is told.
-            let looks = matches!(told, Told::Hosts(..) | Told::Timer(_));
+            let looks = matches!(told, Told::EndpointList(..) | Told::Timer(_));
             self.router.handle(now, told, &mut actions);
             if looks {
                 self.counters.ejected(self.router.avoided());
@@ -512,11 +549,11 @@
 
     async fn act(&mut self, action: Action) {
         match action {
-            Action::Send { id, host, timeout, recent, until } => {
-                let until = until.map(|at| self.clock.moment(at));
-                self.send(id, host, timeout, recent, until).await;
+            Action::Forward { id, host, timeout, requirement, write_by } => {
+                let write_by = write_by.map(|at| self.clock.moment(at));
+                self.send(id, host, timeout, requirement, write_by).await;
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 if let Some(held) = self.table.get(&id) {
                     let class = self.config.names.classes.get(held.class).map_or("", |c| c.name.as_str());
                     let sent = held.sent.len();
@@ -526,30 +563,30 @@
                 self.answer(id, Ended::Refused, Answer::Refused { retry_after });
             }
             Action::Fail { id } => self.answer(id, Ended::Failed, Answer::Failed),
-            Action::Cancel { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 let host = self.table.get(&id).and_then(|held| held.sent.get(attempt as usize));
                 if let Some(member) = host.and_then(|host| self.members.get(host)) {
                     member.peer.tell(Command::Cancel { id, attempt }).await;
                 }
             }
-            Action::Probe { host } => {
+            Action::HealthCheck { host } => {
                 self.counters.probe();
                 if let Some(member) = self.members.get_mut(&host) {
                     member.out += 1;
                     member.peer.tell(Command::Probe { sent: Instant::now() }).await;
                 }
             }
-            Action::LetGo { host } => {
+            Action::CloseIdleConnections { host } => {
                 if let Some(member) = self.members.get(&host) {
                     member.peer.tell(Command::LetGo).await;
                 }
             }
-            Action::Timer { at, token } => {
+            Action::SetTimer { at, token } => {
                 self.timers.insert_at(Due::Ring(token), self.clock.moment(at));
             }
             Action::Log(line) => tracing::info!("{line}"),
             // The list is pushed here: the watch is always on.
-            Action::Watch(_) | Action::FetchList => {}
+            Action::WatchEndpoints(_) | Action::FetchEndpoints => {}
         }
     }
 
@@ -558,7 +595,7 @@
         id: RequestId,
         host: HostId,
         timeout: Option<TimeDelta>,
-        recent: Recent,
+        recent: ReadRequirement,
         until: Option<Instant>,
     ) {
         let now = Instant::now();
@@ -575,11 +612,21 @@
         let Some(member) = member.filter(|_| !moot) else {
             held.out -= 1;
             let closed = held.client.is_none();
-            self.counters.outcome(Outcome::Moot);
-            let (latency, outcome) = (TimeDelta(0), Outcome::Moot);
+            self.counters.outcome(Outcome::NotSent);
+            let (latency, outcome) = (TimeDelta(0), Outcome::NotSent);
             let (position, role, report) = (None, None, None);
-            let reply = Reply { id, attempt, host, outcome, latency, closed, position, role, report };
-            return self.next.push_back(Told::Reply(reply));
+            let reply = AttemptResult {
+                id,
+                attempt,
+                host,
+                outcome,
+                latency,
+                request_closed: closed,
+                position,
+                role,
+                report,
+            };
+            return self.next.push_back(Told::AttemptEnded(reply));
         };
         let timeout = timeout.map(|t| now + Duration::from_micros(t.0.max(0) as u64));
         let deadline = timeout.map_or(held.deadline, |at| at.min(held.deadline));
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -96,7 +96,7 @@
         Self {
             names: config.names.clone(),
             drain: Drain::of(Duration::from_micros(longest.unwrap_or(0).max(0) as u64)),
-            retry_after: config.settings.retry_after.then_some(config.settings.max_retry_after),
+            retry_after: config.settings.retry_after_allowed.then_some(config.settings.max_retry_after),
         }
     }
 }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,6 +1,8 @@
 //! What the actors say to each other, whatever protocol a client or a ledger host speaks. Types only.
 
-use crate::interface::{HostId, Outcome, Position, Report, RequestId, Role, SessionId, TimeDelta, Timestamp};
+use crate::interface::{
+    HostId, LoadReport, LogPosition, Outcome, RequestId, Role, SessionId, TimeDelta, Timestamp,
+};
 use crate::listing::Listing;
 use crate::net::socket::Presence;
 use crate::net::stream::Rest;
@@ -183,10 +185,10 @@
 
 impl Stamp {
     /// In whole milliseconds: a commit up, so that no read misses it; what is applied down, as a lower bound.
-    pub fn rounded(self, commit: bool) -> Position {
+    pub fn rounded(self, commit: bool) -> LogPosition {
         let ms = if commit { self.0.ceil() } else { self.0.floor() };
         // A host may write anything.
-        Position((ms as i64).saturating_mul(1000))
+        LogPosition((ms as i64).saturating_mul(1000))
     }
 }
 
@@ -211,5 +213,5 @@
     pub host: HostId,
     pub outcome: Outcome,
     pub latency: TimeDelta,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -173,7 +173,8 @@
             memory.clone(),
         );
         let core = core.map_err(io::Error::other)?;
-        let asking = Asking::new(config.settings.routers, config.settings.on_request, config.seed);
+        let asking =
+            Asking::new(config.settings.router_count, config.settings.discovery_is_polled, config.seed);
         let (files, file) = watch::channel(None);
         let drainer = tokio::spawn(drains(drain.subscribe(), terms.subscribe(), events.clone()));
         let retuner = tokio::spawn(retune(file, events.clone(), terms, drain.subscribe()));
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -45,7 +45,7 @@
         let connected = shortage::retried(until, || Socket::connect(place.address)).await;
         let stream = connected.ok_or(Outcome::ConnectFailed)?.map_err(|problem| {
             if shortage::is_local(&problem) {
-                Outcome::Moot
+                Outcome::NotSent
             } else {
                 Outcome::ConnectFailed
             }
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -1,6 +1,6 @@
 //! One request on a connection and what has come back for it, whatever protocol it came in.
 
-use crate::interface::{Outcome, Position, Report, Role};
+use crate::interface::{LoadReport, LogPosition, Outcome, Role};
 use crate::net::messages::{Stamp, Value};
 use bytes::{Bytes, BytesMut};
 use std::ops::Range;
@@ -179,7 +179,7 @@
     }
 
     /// The load report in the row.
-    pub fn report(&self) -> Option<Report> {
+    pub fn report(&self) -> Option<LoadReport> {
         let row = match &self.content {
             Content::None => return None,
             Content::Apart(content) => &content[..],
@@ -189,7 +189,7 @@
     }
 }
 
-fn report(text: &str) -> Option<Report> {
+fn report(text: &str) -> Option<LoadReport> {
     // One part that cannot be read makes the others doubtful too.
     let pair = |pair: &str| {
         let (name, value) = pair.split_once('=')?;
@@ -198,12 +198,12 @@
     };
     let pairs: Vec<(String, f64)> = text.split(',').map(pair).collect::<Option<_>>()?;
     let value = |name: &str| pairs.iter().find(|(n, _)| n == name).map(|(_, value)| *value);
-    let position = value("x0").map(|s| Position((s * 1e6).floor() as i64));
+    let position = value("x0").map(|s| LogPosition((s * 1e6).floor() as i64));
     let role = match value("x1") {
         Some(1.0) => Some(Role::Primary),
         Some(0.0) => Some(Role::Replica),
         Some(_) => return None,
         None => None,
     };
-    Some(Report { position, role })
+    Some(LoadReport { position, role })
 }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -94,11 +94,11 @@
             squeeze: Arc::new(watch::channel(()).0),
             connect_timeout: config.connect_timeout,
             retire_after: config.retire_after,
-            reports: config.settings.reports != crate::interface::Reports::Off,
+            reports: config.settings.load_reports != crate::interface::LoadReports::Off,
             counters,
             rejections,
             large,
-            may_stream: !config.settings.answers_checked,
+            may_stream: !config.settings.responses_verified,
         }
     }
 }
@@ -280,7 +280,7 @@
                     self.idle.clear();
                 }
                 self.running.send_replace(state == HostState::Running);
-                if state == HostState::Deleted {
+                if state == HostState::Removed {
                     self.idle.clear();
                 }
             }
@@ -366,12 +366,12 @@
                     pool.squeeze.send_replace(());
                     match timeout_at(give_up, permits.acquire_owned()).await {
                         Ok(Ok(permit)) => permit,
-                        _ => return Err(Outcome::Moot),
+                        _ => return Err(Outcome::NotSent),
                     }
                 }
             };
             let opened = Connection::open(*place, permit, give_up).await;
-            if matches!(opened, Err(Outcome::Moot)) {
+            if matches!(opened, Err(Outcome::NotSent)) {
                 let what = "this machine has no port, descriptor or buffer for a connection to a ledger host";
                 pool.rejections.record(Reason::Local, what);
             }
@@ -425,7 +425,7 @@
         tokio::select! {
             biased;
             Ok(()) = &mut cancelled => Err(Outcome::Cancelled),
-            () = withdrawn => Err(Outcome::Moot),
+            () = withdrawn => Err(Outcome::NotSent),
             done = work => done,
             () = sleep_until(a.deadline) => Err(Outcome::Timeout),
         }
@@ -441,13 +441,13 @@
         // It has run, but there is no room to pass its answer on.
         Ok(Some(_)) if exchange.large.is_some() => (Outcome::Error, false),
         Ok(Some(good)) => (exchange.outcome(), good),
-        Ok(None) => (Outcome::Moot, true),
+        Ok(None) => (Outcome::NotSent, true),
         // What the host has said whole counts, though the rest of its answer did not come in time.
         Err(Outcome::Timeout) if exchange.told() => (exchange.outcome(), false),
         // Stuck in the middle of the query: it never ran.
         Err(Outcome::Timeout) if exchange.written.is_none() => (Outcome::ConnectFailed, false),
         // Called off before it was whole: its connection closes, and it never runs.
-        Err(Outcome::Cancelled) if exchange.written.is_none() => (Outcome::Moot, false),
+        Err(Outcome::Cancelled) if exchange.written.is_none() => (Outcome::NotSent, false),
         Err(outcome) => (outcome, false),
     };
     let value = match large {
--- a/src/net/upstream/postgres.rs
+++ b/src/net/upstream/postgres.rs
@@ -22,7 +22,7 @@
     fn greeted(&mut self, read: &mut BytesMut, _out: &mut BytesMut) -> Result<bool, Outcome> {
         while let Some((message, length)) = BackendMessage::parse(read).map_err(|_| Outcome::ConnectFailed)? {
             match message {
-                BackendMessage::Error(fields) if fields.code == "53300" => return Err(Outcome::Full),
+                BackendMessage::Error(fields) if fields.code == "53300" => return Err(Outcome::Overloaded),
                 BackendMessage::Error(_) | BackendMessage::Authentication(false) => {
                     return Err(Outcome::ConnectFailed);
                 }
@@ -98,8 +98,8 @@
             exchange.keep(raw);
         }
         BackendMessage::Error(fields) => exchange.failed(match fields.code {
-            "25006" | "72000" => Outcome::Miss,
-            "53300" | "57P03" => Outcome::Full,
+            "25006" | "72000" => Outcome::Misdirected,
+            "53300" | "57P03" => Outcome::Overloaded,
             "XX000" => Outcome::Error,
             code => {
                 tracing::warn!("a ledger host answered {code}: {}", fields.message);
--- a/src/net/upstream/tds.rs
+++ b/src/net/upstream/tds.rs
@@ -65,7 +65,9 @@
                     self.packet = size;
                     self.assembler.agree(size);
                 }
-                Token::Error(notice) if numbers::FULL.contains(&notice.number) => return Err(Outcome::Full),
+                Token::Error(notice) if numbers::FULL.contains(&notice.number) => {
+                    return Err(Outcome::Overloaded)
+                }
                 Token::Error(_) => return Err(Outcome::ConnectFailed),
                 _ => {}
             }
@@ -199,8 +201,8 @@
 
 fn outcome(notice: &Notice) -> Outcome {
     match notice.number {
-        numbers::READ_ONLY | numbers::BEHIND => Outcome::Miss,
-        number if numbers::FULL.contains(&number) => Outcome::Full,
+        numbers::READ_ONLY | numbers::BEHIND => Outcome::Misdirected,
+        number if numbers::FULL.contains(&number) => Outcome::Overloaded,
         numbers::HOST_ERROR => Outcome::Error,
         number => {
             tracing::warn!("a ledger host answered {number}: {}", notice.message);
--- a/tests/sockets/proxy.rs
+++ b/tests/sockets/proxy.rs
@@ -781,12 +781,12 @@
     let config = wheelpier::config::Config::read(&text(one), |_| Some("127.0.0.1:1".to_owned())).unwrap();
     let new = config.retuned(&text(other)).unwrap();
     assert_eq!((new.names.tenant("acme"), new.names.tenant("shop")), (None, Some(1)));
-    assert_eq!(new.settings.quotas, [0.0, 30.0]);
+    assert_eq!(new.settings.tenant_quotas, [0.0, 30.0]);
     let none = new.retuned(&text("[]")).unwrap();
     assert!(new.names.has_tenants() && !none.names.has_tenants());
     let back = none.retuned(&text(one)).unwrap();
     assert_eq!((back.names.tenant("acme"), back.names.tenant("shop")), (Some(0), None));
-    assert_eq!(back.settings.quotas, [100.0, 0.0]);
+    assert_eq!(back.settings.tenant_quotas, [100.0, 0.0]);
 }
 
 /// New settings at SIGHUP: a class keeps its number, a new one comes behind, one left out takes no new requests and
