--- a/crates/decisions/src/membership/mod.rs
+++ b/crates/decisions/src/membership/mod.rs
@@ -6,14 +6,14 @@
 
 pub mod advice;
 pub mod agreement;
-mod asking;
 pub mod chronicle;
+mod discovery_retry;
 mod lease;
 pub mod member;
 pub mod post;
 pub mod steward;
 mod view;
 
-pub use asking::Asking;
+pub use discovery_retry::Asking;
 pub use lease::Terms;
 pub use view::{Change, Identity, Name, View, ELECTORS};
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -11,7 +11,7 @@
 use crate::interface::*;
 use crate::load::{Crowd, Faded, Group, Pace, Rest};
 use crate::state::host_clock::AHEAD_US;
-use crate::state::sessions::Sessions;
+use crate::state::session_positions::Sessions;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Held requests are looked at this often: a small part of any aim, and cheap.
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -1,9 +1,9 @@
 //! State made for the job: what it holds is bounded, and forgetting never makes a decision wrong.
 
 pub mod background;
-pub mod heavy;
+pub mod heavy_hitters;
 pub mod host_clock;
-pub mod sessions;
-pub mod telling;
-mod unsure;
-pub mod wheel;
+pub mod rate_limited_log;
+pub mod session_positions;
+pub mod timer_wheel;
+mod unconfirmed_writes;
--- a/crates/decisions/src/state/sessions.rs
+++ b/crates/decisions/src/state/session_positions.rs
@@ -5,7 +5,7 @@
 //! not known is held to have written then. So a read is never sent to a replica that lacks its session's write; at
 //! worst it waits for, or goes to, one that has more than it needs.
 
-use super::unsure::Unsure;
+use super::unconfirmed_writes::Unsure;
 use crate::interface::{LogPosition, SessionId, Timestamp};
 use std::collections::BTreeMap;
 
--- a/crates/decisions/tests/state.rs
+++ b/crates/decisions/tests/state.rs
@@ -3,9 +3,9 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 use wheelpier_decisions::state::background::{Background, Priority, Step};
-use wheelpier_decisions::state::heavy::HeavyHitters;
-use wheelpier_decisions::state::sessions::Sessions;
-use wheelpier_decisions::state::wheel::Wheel;
+use wheelpier_decisions::state::heavy_hitters::HeavyHitters;
+use wheelpier_decisions::state::session_positions::Sessions;
+use wheelpier_decisions::state::timer_wheel::Wheel;
 use wheelpier_decisions::{LogPosition, SessionId, Timestamp};
 
 proptest! {
--- a/crates/lab/benches/state.rs
+++ b/crates/testbench/benches/state.rs
@@ -11,9 +11,9 @@
 use std::task::Poll;
 use std::time::Duration;
 use tokio_util::time::DelayQueue;
-use wheelpier_decisions::state::heavy::HeavyHitters;
-use wheelpier_decisions::state::sessions::Sessions;
-use wheelpier_decisions::state::wheel::Wheel;
+use wheelpier_decisions::state::heavy_hitters::HeavyHitters;
+use wheelpier_decisions::state::session_positions::Sessions;
+use wheelpier_decisions::state::timer_wheel::Wheel;
 use wheelpier_decisions::{LogPosition, SessionId, Timestamp};
 
 const SIZES: [usize; 3] = [1_000, 100_000, 1_000_000];
--- a/crates/lab/src/membership.rs
+++ b/crates/testbench/src/membership.rs
@@ -33,7 +33,7 @@
     #[arg(long, default_value_t = 200.0)]
     rate: f64,
     /// Scripts of troubles, each played on a fleet of its own.
-    #[arg(long, default_value = "crates/lab/fleets")]
+    #[arg(long, default_value = "crates/testbench/fleets")]
     scripts: PathBuf,
     /// Where the history of the fleet under load goes, a line an event.
     #[arg(long)]
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -8,8 +8,8 @@
 
 use crate::budget::plan::{ClassWorth, Figures, Plan};
 use crate::budget::Purpose;
+use crate::endpoint_list::{Listing, RawListing};
 use crate::interface::{Freshness, HostState, Idempotency, LagPolicy, RequestClass, Settings};
-use crate::listing::{Listing, RawListing};
 use crate::pgwire;
 use crate::pipeline;
 use crate::protocol::Protocol;
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,8 +1,8 @@
 //! What the proxy has taken in, sent and answered.
 
 use crate::interface::Outcome;
-use crate::reasons::{Reason, REASONS};
-use crate::tally::Tally;
+use crate::peer_metrics::Tally;
+use crate::rejection_reason::{Reason, REASONS};
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, OnceLock};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -29,11 +29,11 @@
 pub mod cli;
 pub mod config;
 pub mod counters;
-pub mod listing;
+pub mod endpoint_list;
 pub mod net;
 pub use wheelpier_pgwire as pgwire;
+pub mod peer_metrics;
 pub mod protocol;
-pub mod reasons;
-pub mod tally;
+pub mod rejection_reason;
 
 pub use wheelpier_decisions::*;
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -9,13 +9,13 @@
 use crate::budget::Ticket;
 use crate::config::Config;
 use crate::counters::{Counters, Ended};
+use crate::endpoint_list::{Listed, Listing};
 use crate::interface::{
     Action, AttemptResult, EndpointEntry, EndpointUpdate, Event as Told, Freshness, HostId, HostState,
     Idempotency, KeyScope, LoadReport, LogPosition, Outcome, ReadRequirement, RequestId, Role, SettingsError,
     TimeDelta, Timestamp,
 };
-use crate::listing::{Listed, Listing};
-use crate::reasons::Reason;
+use crate::rejection_reason::Reason;
 use crate::state::host_clock::{HostClock, Sample};
 use crate::Router;
 use std::collections::{HashMap, HashSet, VecDeque};
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -3,7 +3,7 @@
 use super::messages::Event;
 use super::socket::Socket;
 use super::values::{Value, ValueError, Values};
-use crate::listing::RawListing;
+use crate::endpoint_list::RawListing;
 use crate::membership::Asking;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
--- a/src/net/frontend/client/requests.rs
+++ b/src/net/frontend/client/requests.rs
@@ -11,7 +11,7 @@
 use crate::net::socket::{is_ready, left};
 use crate::net::stream::{Part, Parts, Rest};
 use crate::pipeline::{Access, Demand, Started};
-use crate::reasons::Reason;
+use crate::rejection_reason::Reason;
 use bytes::{Bytes, BytesMut};
 use std::io;
 use std::sync::Arc;
--- a/src/net/frontend/client/waiting.rs
+++ b/src/net/frontend/client/waiting.rs
@@ -11,7 +11,7 @@
 use crate::net::messages::Mail;
 use crate::net::socket::Socket;
 use crate::net::socket::{left, unread};
-use crate::reasons::Reason;
+use crate::rejection_reason::Reason;
 use bytes::BytesMut;
 use std::io;
 use std::sync::Arc;
--- a/src/net/frontend/fault.rs
+++ b/src/net/frontend/fault.rs
@@ -4,7 +4,7 @@
 use crate::net::messages::Invalid;
 use crate::pgwire::{self, StatementError, WireError};
 use crate::protocol::Protocol;
-use crate::reasons::Reason;
+use crate::rejection_reason::Reason;
 use bytes::{BufMut, BytesMut};
 use wheelpier_tds::{
     numbers, put_done, put_error, put_message, Done, DoneKind, Notice, PacketType, Status, PACKET_SIZE,
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -26,7 +26,7 @@
 use crate::interface::{RequestId, TimeDelta};
 use crate::pipeline::Limits;
 use crate::protocol::Protocol;
-use crate::reasons::Reason;
+use crate::rejection_reason::Reason;
 use std::collections::VecDeque;
 use std::future::poll_fn;
 use std::io;
--- a/src/net/memory.rs
+++ b/src/net/memory.rs
@@ -6,7 +6,7 @@
 use crate::budget::{AccountId, Budget, Due, Purpose, Refused, Ticket, PURPOSES};
 use crate::interface::Timestamp;
 use crate::pgwire;
-use crate::state::telling::Telling;
+use crate::state::rate_limited_log::Telling;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,12 +1,12 @@
 //! What the actors say to each other, whatever protocol a client or a ledger host speaks. Types only.
 
+use crate::endpoint_list::Listing;
 use crate::interface::{
     HostId, LoadReport, LogPosition, Outcome, RequestId, Role, SessionId, TimeDelta, Timestamp,
 };
-use crate::listing::Listing;
 use crate::net::socket::Presence;
 use crate::net::stream::Rest;
-use crate::reasons::Reason;
+use crate::rejection_reason::Reason;
 use bytes::Bytes;
 use std::ops::Range;
 use std::time::Duration;
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -14,7 +14,7 @@
 use crate::membership::member::{Member, Output, Rules};
 use crate::membership::post::{Book, Dropped, Opened, Parcel, Post, Seal, LONGEST_DATAGRAM};
 use crate::membership::{advice, agreement, Identity, Name, Terms};
-use crate::tally::Tally;
+use crate::peer_metrics::Tally;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/src/net/peers/streams.rs
+++ b/src/net/peers/streams.rs
@@ -1,7 +1,7 @@
 //! Messages that are too long for a datagram: one a connection, its length before it (`docs/protocol/peers.md`).
 
 use crate::membership::post::{Parcel, LONGEST_STREAM};
-use crate::tally::Tally;
+use crate::peer_metrics::Tally;
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/net/rejections.rs
+++ b/src/net/rejections.rs
@@ -4,8 +4,8 @@
 use super::clock::Clock;
 use crate::counters::Counters;
 use crate::interface::Timestamp;
-use crate::reasons::Reason;
-use crate::state::telling::Telling;
+use crate::rejection_reason::Reason;
+use crate::state::rate_limited_log::Telling;
 use std::fmt::Display;
 use std::sync::{Arc, Mutex, PoisonError};
 
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -14,7 +14,7 @@
 use crate::counters::Counters;
 use crate::interface::{HostId, HostState, Outcome, RequestId, TimeDelta};
 use crate::protocol::Protocol;
-use crate::reasons::Reason;
+use crate::rejection_reason::Reason;
 use connection::{Connection, Place};
 use dialect::Ask;
 use exchange::Exchange;
