--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -36,7 +36,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("wheelpier-drill: {problem}");
+            eprintln!("wheelpier-simulator-adapter: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/adapter/tests/malformed.rs
+++ b/adapter/tests/malformed.rs
@@ -6,7 +6,7 @@
 const PARAMS: &str = r#"{"balancers":1,"grades":[{"credit":1,"deadline":1,"onTime":0.5,"repeat":"pure"}],"discovery":"pushed","familyInfo":{"freshness":["any"]},"guarantees":{},"limits":{"maxAttempts":3},"report":{"how":"off"},"newKey":[1]}"#;
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_wheelpier-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_wheelpier-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -1,5 +1,5 @@
 //! The operator's settings object, turned into the module's: the proxy reads it from its configuration, the
-//! drill from the simulator's first message.
+//! simulator adapter from the simulator's first message.
 
 use crate::interface::{
     Freshness, Idempotency, KeyScope, LagPolicy, ListRole, LoadReports, RequestClass, Settings, TimeDelta,
--- a/crates/emulator/src/net/tds.rs
+++ b/crates/emulator/src/net/tds.rs
@@ -43,7 +43,7 @@
                 let login = Login::parse(&message.payload).map_err(drop)?;
                 let size = (login.packet_size as usize).clamp(PACKET_SIZES.0, PACKET_SIZES.1);
                 put_environment(&mut payload, &Environment::PacketSize(size));
-                let program = "wheelpier-standin".to_owned();
+                let program = "wheelpier-emulator".to_owned();
                 put_login_ack(&mut payload, &LoginAck { version: version::V7_4, program });
                 put_done(&mut payload, DoneKind::Batch, Done::default());
                 self.put(&payload, out);
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -1,12 +1,12 @@
 //! The world by itself, and the checker with planted faults: each rule can be seen to break.
 
 use rstest::rstest;
-use wheelpier_standin::checker::{Checker, Rule};
-use wheelpier_standin::schedule::plan;
-use wheelpier_standin::script::Script;
-use wheelpier_standin::spec::{Spec, WhenBehind};
-use wheelpier_standin::world::{Effect, Query, Reply, Status, Trouble, World};
-use wheelpier_standin::{Micros, MS, SECOND};
+use wheelpier_emulator::checker::{Checker, Rule};
+use wheelpier_emulator::schedule::plan;
+use wheelpier_emulator::script::Script;
+use wheelpier_emulator::spec::{Spec, WhenBehind};
+use wheelpier_emulator::world::{Effect, Query, Reply, Status, Trouble, World};
+use wheelpier_emulator::{Micros, MS, SECOND};
 
 const START: Micros = 1_000_000 * SECOND;
 
--- a/crates/testbench/src/demo.rs
+++ b/crates/testbench/src/demo.rs
@@ -7,11 +7,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{interval_at, sleep, Instant};
-use wheelpier_standin::net::{Options, Wire};
-use wheelpier_standin::schedule::{plan, Planned};
-use wheelpier_standin::script::Script;
-use wheelpier_standin::spec::{Freshness, Spec};
-use wheelpier_standin::SECOND;
+use wheelpier_emulator::net::{Options, Wire};
+use wheelpier_emulator::schedule::{plan, Planned};
+use wheelpier_emulator::script::Script;
+use wheelpier_emulator::spec::{Freshness, Spec};
+use wheelpier_emulator::SECOND;
 
 /// Without an end of its own the load is planned so far ahead.
 const LONGEST: Duration = Duration::from_secs(3_600);
--- a/crates/testbench/src/fleet.rs
+++ b/crates/testbench/src/fleet.rs
@@ -10,12 +10,12 @@
     LoadReport, LogPosition, Outcome, Request, RequestId, Role, Router, SessionId, Settings, TimeDelta,
     Timestamp,
 };
-use wheelpier_standin::checker::{Checker, RULES};
-use wheelpier_standin::host::State;
-use wheelpier_standin::schedule::Planned;
-use wheelpier_standin::spec::Freshness;
-use wheelpier_standin::world::{Effect, Query, Reply, Status, Trouble, World};
-use wheelpier_standin::{Micros, MS, SECOND};
+use wheelpier_emulator::checker::{Checker, RULES};
+use wheelpier_emulator::host::State;
+use wheelpier_emulator::schedule::Planned;
+use wheelpier_emulator::spec::Freshness;
+use wheelpier_emulator::world::{Effect, Query, Reply, Status, Trouble, World};
+use wheelpier_emulator::{Micros, MS, SECOND};
 
 mod cold;
 mod day;
--- a/crates/testbench/src/fleet/cold.rs
+++ b/crates/testbench/src/fleet/cold.rs
@@ -1,8 +1,8 @@
 //! Load of cold hosts, from all proxies together, against the most that one may get.
 
 use std::collections::VecDeque;
-use wheelpier_standin::spec::Spec;
-use wheelpier_standin::Micros;
+use wheelpier_emulator::spec::Spec;
+use wheelpier_emulator::Micros;
 
 /// The highest load of one cold host in any span of [`Spec::fall`], in parts of the bound that holds at its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/testbench/src/fleet/day.rs
+++ b/crates/testbench/src/fleet/day.rs
@@ -1,10 +1,10 @@
 //! The day that a fleet plays: its hosts, its load and what happens.
 
 use wheelpier_decisions::Settings;
-use wheelpier_standin::schedule::{plan, Planned};
-use wheelpier_standin::spec::Spec;
-use wheelpier_standin::world::Trouble;
-use wheelpier_standin::Micros;
+use wheelpier_emulator::schedule::{plan, Planned};
+use wheelpier_emulator::spec::Spec;
+use wheelpier_emulator::world::Trouble;
+use wheelpier_emulator::Micros;
 
 /// What happens to the fleet itself, or to its hosts.
 #[derive(Clone, Debug)]
--- a/crates/testbench/src/fleet/tally.rs
+++ b/crates/testbench/src/fleet/tally.rs
@@ -2,8 +2,8 @@
 
 use super::cold::ColdPeak;
 use std::collections::BTreeMap;
-use wheelpier_standin::checker::Rule;
-use wheelpier_standin::Micros;
+use wheelpier_emulator::checker::Rule;
+use wheelpier_emulator::Micros;
 
 /// What became of a class's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/testbench/src/lib.rs
+++ b/crates/testbench/src/lib.rs
@@ -1,4 +1,4 @@
-//! `wheelpier-lab`: load, experiments and demonstrations on the stand-ins of this repository. All on loopback.
+//! `wheelpier-testbench`: load, experiments and demonstrations on the stand-ins of this repository. All on loopback.
 #![forbid(unsafe_code)]
 
 mod demo;
@@ -22,7 +22,7 @@
 
 /// Load, experiments and demonstrations on wheelpier's stand-ins.
 #[derive(Debug, Parser)]
-#[command(name = "wheelpier-lab", version, max_term_width = 100)]
+#[command(name = "wheelpier-testbench", version, max_term_width = 100)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -98,7 +98,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(problem) => {
-            eprintln!("wheelpier-lab: {problem}");
+            eprintln!("wheelpier-testbench: {problem}");
             ExitCode::from(2)
         }
     }
--- a/crates/testbench/src/load.rs
+++ b/crates/testbench/src/load.rs
@@ -10,11 +10,11 @@
 use tokio::sync::mpsc;
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::{sleep_until, timeout, Instant};
-use wheelpier_standin::net::client::{Answer, Client};
-use wheelpier_standin::net::{Clock, Told, Wire};
-use wheelpier_standin::schedule::Planned;
-use wheelpier_standin::spec::{Freshness, Spec};
-use wheelpier_standin::Micros;
+use wheelpier_emulator::net::client::{Answer, Client};
+use wheelpier_emulator::net::{Clock, Told, Wire};
+use wheelpier_emulator::schedule::Planned;
+use wheelpier_emulator::spec::{Freshness, Spec};
+use wheelpier_emulator::Micros;
 
 /// Beyond its deadline a client waits so long for an answer that breaks the rule.
 const PATIENCE: Duration = Duration::from_millis(500);
--- a/crates/testbench/src/main.rs
+++ b/crates/testbench/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    wheelpier_lab::main()
+    wheelpier_testbench::main()
 }
--- a/crates/testbench/src/members.rs
+++ b/crates/testbench/src/members.rs
@@ -14,8 +14,8 @@
 use wheelpier_decisions::membership::steward::Row;
 use wheelpier_decisions::membership::{Identity, Name, Terms, View};
 use wheelpier_decisions::Timestamp;
-use wheelpier_standin::link::Link;
-use wheelpier_standin::{MS, SECOND};
+use wheelpier_emulator::link::Link;
+use wheelpier_emulator::{MS, SECOND};
 
 /// What a datagram costs beside its message: addresses and lengths (28), who sends, the sequence and the fleet's mark (48).
 const AROUND: u64 = 76;
--- a/crates/testbench/src/membership.rs
+++ b/crates/testbench/src/membership.rs
@@ -11,11 +11,11 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
-use wheelpier_standin::net::{Clock, Installation, Options, Wire};
-use wheelpier_standin::schedule::plan;
-use wheelpier_standin::script::Script as Calm;
-use wheelpier_standin::spec::Spec;
-use wheelpier_standin::SECOND;
+use wheelpier_emulator::net::{Clock, Installation, Options, Wire};
+use wheelpier_emulator::schedule::plan;
+use wheelpier_emulator::script::Script as Calm;
+use wheelpier_emulator::spec::Spec;
+use wheelpier_emulator::SECOND;
 
 /// Processes, seed and time.
 #[derive(Debug, clap::Args)]
--- a/crates/testbench/src/parity.rs
+++ b/crates/testbench/src/parity.rs
@@ -5,11 +5,11 @@
 use crate::{runtime, table, LabError};
 use std::rc::Rc;
 use std::thread;
-use wheelpier_standin::net::{Options, Verdict, Wire};
-use wheelpier_standin::schedule::plan;
-use wheelpier_standin::script::Script;
-use wheelpier_standin::spec::Spec;
-use wheelpier_standin::SECOND;
+use wheelpier_emulator::net::{Options, Verdict, Wire};
+use wheelpier_emulator::schedule::plan;
+use wheelpier_emulator::script::Script;
+use wheelpier_emulator::spec::Spec;
+use wheelpier_emulator::SECOND;
 
 /// They fare alike if no figure differs by more than this, in per cent.
 const ALIKE: f64 = 5.0;
--- a/crates/testbench/src/processes.rs
+++ b/crates/testbench/src/processes.rs
@@ -16,10 +16,10 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 use wheelpier::cli::fleet::get;
-use wheelpier_standin::link::Link;
-use wheelpier_standin::net::relay::Relay;
-use wheelpier_standin::net::Clock;
-use wheelpier_standin::spec::Spec;
+use wheelpier_emulator::link::Link;
+use wheelpier_emulator::net::relay::Relay;
+use wheelpier_emulator::net::Clock;
+use wheelpier_emulator::spec::Spec;
 
 /// Fleets of this process, each with files of its own.
 static FLEETS: AtomicU64 = AtomicU64::new(0);
--- a/crates/testbench/src/rig.rs
+++ b/crates/testbench/src/rig.rs
@@ -12,7 +12,7 @@
 use wheelpier::counters::Counters;
 use wheelpier::net::{Control, Proxy};
 use wheelpier::protocol::Protocol;
-use wheelpier_standin::net::{Clock, Installation, Options, Wire};
+use wheelpier_emulator::net::{Clock, Installation, Options, Wire};
 
 /// What the proxy of an experiment is given.
 const MEMORY_MB: u32 = 192;
--- a/crates/testbench/src/scale.rs
+++ b/crates/testbench/src/scale.rs
@@ -4,7 +4,7 @@
 use crate::{table, LabError};
 use plotters::prelude::*;
 use std::path::PathBuf;
-use wheelpier_standin::SECOND;
+use wheelpier_emulator::SECOND;
 
 /// Members, seed and chart.
 #[derive(Debug, clap::Args)]
--- a/crates/testbench/src/soak/mod.rs
+++ b/crates/testbench/src/soak/mod.rs
@@ -1,4 +1,4 @@
-//! `wheelpier-lab soak`: drawn deployments on real processes of the program, under drawn faults, orders and signals, with
+//! `wheelpier-testbench soak`: drawn deployments on real processes of the program, under drawn faults, orders and signals, with
 //! clients that use their connections until they are ended. What was asked and answered is judged on one clock.
 
 mod client;
@@ -21,9 +21,9 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
-use wheelpier_standin::checker::Rule;
-use wheelpier_standin::net::{Clock, Installation, Options, Told, Wire};
-use wheelpier_standin::schedule::{self, Planned};
+use wheelpier_emulator::checker::Rule;
+use wheelpier_emulator::net::{Clock, Installation, Options, Told, Wire};
+use wheelpier_emulator::schedule::{self, Planned};
 
 /// Requests that are drawn for a second of a run: more than clients ask for.
 const DRAWN_A_SECOND: f64 = 3_000.0;
--- a/crates/testbench/src/soak/plan.rs
+++ b/crates/testbench/src/soak/plan.rs
@@ -5,10 +5,10 @@
 use rand_chacha::ChaCha8Rng;
 use std::fmt;
 use std::time::Duration;
-use wheelpier_standin::script::Script;
-use wheelpier_standin::spec::Spec;
-use wheelpier_standin::world::Trouble;
-use wheelpier_standin::SECOND;
+use wheelpier_emulator::script::Script;
+use wheelpier_emulator::spec::Spec;
+use wheelpier_emulator::world::Trouble;
+use wheelpier_emulator::SECOND;
 
 /// A kind of fault that may be left out, to make a failing seed smaller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
--- a/crates/testbench/src/starve.rs
+++ b/crates/testbench/src/starve.rs
@@ -13,13 +13,13 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
-use wheelpier_standin::net::client::Client;
-use wheelpier_standin::net::{Options, Verdict, Wire};
-use wheelpier_standin::schedule::plan;
-use wheelpier_standin::script::Script;
-use wheelpier_standin::spec::{Freshness, Spec};
-use wheelpier_standin::world::LARGE;
-use wheelpier_standin::SECOND;
+use wheelpier_emulator::net::client::Client;
+use wheelpier_emulator::net::{Options, Verdict, Wire};
+use wheelpier_emulator::schedule::plan;
+use wheelpier_emulator::script::Script;
+use wheelpier_emulator::spec::{Freshness, Spec};
+use wheelpier_emulator::world::LARGE;
+use wheelpier_emulator::SECOND;
 
 /// The head of a query as long as the longest, of which a byte a second comes.
 const BEGUN: [u8; 5] = [b'Q', 0, 1, 0xff, 0xff];
--- a/crates/testbench/src/trouble.rs
+++ b/crates/testbench/src/trouble.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 use wheelpier::membership::post::VERSION;
-use wheelpier_standin::link::Link;
-use wheelpier_standin::{MS, SECOND};
+use wheelpier_emulator::link::Link;
+use wheelpier_emulator::{MS, SECOND};
 
 /// A script.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
--- a/crates/testbench/tests/hostile.rs
+++ b/crates/testbench/tests/hostile.rs
@@ -1,5 +1,5 @@
 //! A member under a million messages that are no good: recorded, mutated, forged, too long, too short. Outside CI:
-//! `cargo test --release -p wheelpier-lab --test hostile -- --ignored --nocapture`.
+//! `cargo test --release -p wheelpier-testbench --test hostile -- --ignored --nocapture`.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -11,7 +11,7 @@
 use wheelpier::membership::post::{Book, Key, Post, Seal};
 use wheelpier::membership::{Identity, Name};
 use wheelpier::Timestamp;
-use wheelpier_lab::processes::Processes;
+use wheelpier_testbench::processes::Processes;
 
 const MESSAGES: u64 = 1_000_000;
 const PATIENCE: Duration = Duration::from_secs(40);
@@ -57,7 +57,7 @@
 #[tokio::test]
 #[ignore = "a million messages: outside CI"]
 async fn a_million_messages_that_are_no_good_change_nothing() {
-    let program = PathBuf::from(env!("CARGO_BIN_EXE_wheelpier-lab"));
+    let program = PathBuf::from(env!("CARGO_BIN_EXE_wheelpier-testbench"));
     let fleet = Processes::start(program, 3, 7).await.unwrap();
     fleet.until("all found the fleet", PATIENCE, |fleet| fleet.agree(&[0, 1, 2])).await;
     let (view, before) = (fleet.stands(0).0, fleet.memory(0).unwrap());
--- a/crates/testbench/tests/processes.rs
+++ b/crates/testbench/tests/processes.rs
@@ -5,15 +5,15 @@
 use rstest::rstest;
 use std::path::PathBuf;
 use std::time::Duration;
-use wheelpier_lab::history::What;
-use wheelpier_lab::processes::Processes;
-use wheelpier_lab::trouble::Script;
+use wheelpier_testbench::history::What;
+use wheelpier_testbench::processes::Processes;
+use wheelpier_testbench::trouble::Script;
 
 /// On a busy machine all takes longer.
 const PATIENCE: Duration = Duration::from_secs(40);
 
 async fn founded(members: usize, founders: usize, seed: u64) -> Processes {
-    let program = PathBuf::from(env!("CARGO_BIN_EXE_wheelpier-lab"));
+    let program = PathBuf::from(env!("CARGO_BIN_EXE_wheelpier-testbench"));
     let fleet = Processes::start_on(program, (members, founders), seed, None).await.unwrap();
     let all: Vec<usize> = (0..founders).collect();
     fleet.until("all found the fleet", PATIENCE, |fleet| fleet.agree(&all)).await;
--- a/crates/testbench/tests/soak.rs
+++ b/crates/testbench/tests/soak.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Output};
 
 fn soak(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_wheelpier-lab"))
+    Command::new(env!("CARGO_BIN_EXE_wheelpier-testbench"))
         .arg("soak")
         .args(arguments)
         .output()
