--- a/crates/decisions/src/budget/mod.rs
+++ b/crates/decisions/src/budget/mod.rs
@@ -6,7 +6,7 @@
 mod pool;
 
 pub use fair::{allocate, Claim};
-pub use pool::{AccountId, Pool, PoolError, Reason, Recall, Refusal, Terms, RECALL};
+pub use pool::{AccountId, AccountLimits, Pool, PoolError, PoolRejection, Reason, Recall, RECALL};
 
 use crate::interface::Timestamp;
 use std::fmt;
@@ -58,7 +58,7 @@
 
 /// What a purpose is given.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PurposeTerms {
+pub struct PurposeLimits {
     /// The most that it may use, in bytes.
     pub cap: u64,
     /// Bytes that the other purposes never borrow.
@@ -66,7 +66,7 @@
     /// Its part of what is left beyond the reserves.
     pub weight: u32,
     /// The accounts that share it.
-    pub accounts: Vec<Terms>,
+    pub accounts: Vec<AccountLimits>,
 }
 
 /// Settings of a budget that cannot work.
@@ -83,18 +83,18 @@
 /// A reservation that is refused: where room is lacking, why, and when to come again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no room for {purpose}")]
-pub struct Refused {
+pub struct BudgetExceeded {
     /// What for.
     pub purpose: Purpose,
     /// Whether the purpose itself has room, and the whole has none.
     pub whole: bool,
     /// Why, and when to come again.
-    pub refusal: Refusal,
+    pub rejection: PoolRejection,
 }
 
 /// Something to give back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Due {
+pub struct PendingRecall {
     /// Of which purpose.
     pub purpose: Purpose,
     /// Of which of its accounts; none where any of the purpose's will do.
@@ -120,7 +120,7 @@
 
 /// Reserved bytes, given back when this is dropped.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct Reservation {
     budget: Budget,
     purpose: Purpose,
     account: AccountId,
@@ -136,9 +136,9 @@
     ///
     /// # Errors
     /// When reserves do not fit into their cap.
-    pub fn new(cap: u64, terms: &[PurposeTerms; PURPOSES.len()]) -> Result<Self, BudgetError> {
-        let top: Vec<Terms> =
-            terms.iter().map(|t| Terms { weight: t.weight, reserve: t.reserve.min(t.cap) }).collect();
+    pub fn new(cap: u64, terms: &[PurposeLimits; PURPOSES.len()]) -> Result<Self, BudgetError> {
+        let top: Vec<AccountLimits> =
+            terms.iter().map(|t| AccountLimits { weight: t.weight, reserve: t.reserve.min(t.cap) }).collect();
         let whole = Pool::new(cap, &top).map_err(BudgetError::Whole)?;
         let pools = PURPOSES.iter().zip(terms).map(|(purpose, terms)| {
             Pool::new(terms.cap, &terms.accounts).map_err(|e| BudgetError::Purpose(*purpose, e))
@@ -163,9 +163,9 @@
         account: AccountId,
         bytes: u64,
         now: Timestamp,
-    ) -> Result<Ticket, Refused> {
+    ) -> Result<Reservation, BudgetExceeded> {
         self.tree().take(purpose, account, bytes, now)?;
-        Ok(Ticket { budget: self.clone(), purpose, account, bytes })
+        Ok(Reservation { budget: self.clone(), purpose, account, bytes })
     }
 
     /// Bytes in use for a purpose.
@@ -201,19 +201,19 @@
     }
 
     /// What has to be given back, by whatever time.
-    pub fn recalls(&self) -> Vec<Due> {
+    pub fn recalls(&self) -> Vec<PendingRecall> {
         self.overdue(Timestamp(i64::MAX))
     }
 
     /// What was to be given back by now and was not: it may be taken.
-    pub fn overdue(&self, now: Timestamp) -> Vec<Due> {
+    pub fn overdue(&self, now: Timestamp) -> Vec<PendingRecall> {
         let tree = self.tree();
         let top = tree.whole.overdue(now).into_iter().map(|recall| {
             let purpose = PURPOSES[recall.account.0];
-            Due { purpose, account: None, bytes: recall.bytes, by: recall.by }
+            PendingRecall { purpose, account: None, bytes: recall.bytes, by: recall.by }
         });
         let within = PURPOSES.into_iter().zip(&tree.pools).flat_map(|(purpose, pool)| {
-            let due = move |recall: Recall| Due {
+            let due = move |recall: Recall| PendingRecall {
                 purpose,
                 account: Some(recall.account),
                 bytes: recall.bytes,
@@ -237,17 +237,23 @@
 }
 
 impl Tree {
-    fn take(&mut self, purpose: Purpose, of: AccountId, bytes: u64, now: Timestamp) -> Result<(), Refused> {
+    fn take(
+        &mut self,
+        purpose: Purpose,
+        of: AccountId,
+        bytes: u64,
+        now: Timestamp,
+    ) -> Result<(), BudgetExceeded> {
         let mut recalls = Vec::new();
         let pool = &mut self.pools[purpose as usize];
-        if let Err(refusal) = pool.take(of, bytes, now, &mut recalls) {
+        if let Err(rejection) = pool.take(of, bytes, now, &mut recalls) {
             self.refusals[purpose as usize] += 1;
-            return Err(Refused { purpose, whole: false, refusal });
+            return Err(BudgetExceeded { purpose, whole: false, rejection });
         }
-        if let Err(refusal) = self.whole.take(account(purpose), bytes, now, &mut recalls) {
+        if let Err(rejection) = self.whole.take(account(purpose), bytes, now, &mut recalls) {
             self.pools[purpose as usize].give(of, bytes);
             self.refusals[purpose as usize] += 1;
-            return Err(Refused { purpose, whole: true, refusal });
+            return Err(BudgetExceeded { purpose, whole: true, rejection });
         }
         self.peak = self.peak.max(self.whole.used());
         Ok(())
@@ -259,7 +265,7 @@
     }
 }
 
-impl Ticket {
+impl Reservation {
     /// Whose it is.
     pub fn account(&self) -> AccountId {
         self.account
@@ -274,7 +280,7 @@
     ///
     /// # Errors
     /// When there is no room for more; it then stays as it is.
-    pub fn resize(&mut self, bytes: u64, now: Timestamp) -> Result<(), Refused> {
+    pub fn resize(&mut self, bytes: u64, now: Timestamp) -> Result<(), BudgetExceeded> {
         let mut tree = self.budget.tree();
         match bytes.checked_sub(self.bytes) {
             Some(more) => tree.take(self.purpose, self.account, more, now)?,
@@ -288,7 +294,7 @@
     ///
     /// # Errors
     /// When that account has no room for it; it then stays where it is.
-    pub fn assign(&mut self, account: AccountId, now: Timestamp) -> Result<(), Refused> {
+    pub fn assign(&mut self, account: AccountId, now: Timestamp) -> Result<(), BudgetExceeded> {
         if account == self.account {
             return Ok(());
         }
@@ -316,7 +322,7 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.budget.tree().give(self.purpose, self.account, self.bytes);
     }
--- a/crates/decisions/src/budget/plan.rs
+++ b/crates/decisions/src/budget/plan.rs
@@ -1,7 +1,7 @@
 //! From an installation's figures to the terms of each purpose: how the whole is divided where the operator says
 //! nothing, and what of what he says cannot hold.
 
-use super::{AccountId, Budget, BudgetError, Purpose, PurposeTerms, Terms, PURPOSES};
+use super::{AccountId, AccountLimits, Budget, BudgetError, Purpose, PurposeLimits, PURPOSES};
 use std::collections::BTreeMap;
 
 /// Parts of the whole that a purpose may use at the most, and that the others never borrow, in hundredths.
@@ -14,7 +14,7 @@
 
 /// A class, as far as memory goes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ClassWorth {
+pub struct ClassWeight {
     /// What a request of it is worth.
     pub worth: f64,
     /// Whether it writes: what clients have recorded must not be kept out by what they look up.
@@ -32,11 +32,11 @@
 
 /// What an installation gives.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct PlanInputs {
     /// All bytes that are accounted for.
     pub total: u64,
     /// The classes, in the module's order.
-    pub classes: Vec<ClassWorth>,
+    pub classes: Vec<ClassWeight>,
     /// The tenants' shares, in the module's order; one more account takes those that are not named.
     pub tenants: Vec<f64>,
     /// What the operator sets.
@@ -49,7 +49,7 @@
     /// All bytes that are accounted for.
     pub total: u64,
     /// In the order of [`PURPOSES`].
-    pub terms: [PurposeTerms; PURPOSES.len()],
+    pub terms: [PurposeLimits; PURPOSES.len()],
     classes: usize,
     tenants: usize,
 }
@@ -59,14 +59,14 @@
     ///
     /// # Errors
     /// When what the operator sets does not fit.
-    pub fn new(figures: &Figures) -> Result<Self, BudgetError> {
+    pub fn new(figures: &PlanInputs) -> Result<Self, BudgetError> {
         let (classes, tenants) = (figures.classes.len(), figures.tenants.len() + 1);
         let terms = PURPOSES.map(|purpose| {
             let (cap, reserve) = PARTS[purpose as usize];
             let set = figures.overrides.get(&purpose).copied().unwrap_or_default();
             let cap = set.cap.unwrap_or(part(figures.total, cap)).min(figures.total);
             let reserve = set.reserve.unwrap_or(part(figures.total, reserve)).min(cap);
-            PurposeTerms { cap, reserve, weight: 1, accounts: accounts(purpose, cap, figures) }
+            PurposeLimits { cap, reserve, weight: 1, accounts: accounts(purpose, cap, figures) }
         });
         let plan = Self { total: figures.total, terms, classes, tenants };
         plan.budget().map(|_| plan.clone())
@@ -86,21 +86,21 @@
     }
 
     /// The account of those who have not said yet what they want.
-    pub fn strangers(&self) -> AccountId {
+    pub fn unidentified_clients(&self) -> AccountId {
         AccountId(self.classes * self.tenants)
     }
 }
 
 /// The account of a purpose that is not shared.
-pub const SOLE: AccountId = AccountId(0);
+pub const ONLY_ACCOUNT: AccountId = AccountId(0);
 
 fn part(total: u64, hundredths: u64) -> u64 {
     (u128::from(total) * u128::from(hundredths) / 100) as u64
 }
 
-fn accounts(purpose: Purpose, cap: u64, figures: &Figures) -> Vec<Terms> {
+fn accounts(purpose: Purpose, cap: u64, figures: &PlanInputs) -> Vec<AccountLimits> {
     if !matches!(purpose, Purpose::ClientBuffers | Purpose::Requests | Purpose::UpstreamBuffers) {
-        return vec![Terms { weight: 1, reserve: 0 }];
+        return vec![AccountLimits { weight: 1, reserve: 0 }];
     }
     let writes = figures.classes.iter().filter(|class| class.write).count().max(1) as u64;
     let tenants = figures.tenants.iter().copied().chain([0.0]);
@@ -112,11 +112,11 @@
         for share in &shares {
             let part = share / sum;
             let weight = (class.worth.max(0.01) * part * FINENESS).round().clamp(1.0, 1e6) as u32;
-            accounts.push(Terms { weight, reserve: (reserve as f64 * part) as u64 });
+            accounts.push(AccountLimits { weight, reserve: (reserve as f64 * part) as u64 });
         }
     }
     // Strangers together weigh as much as the least account.
     let least = accounts.iter().map(|terms| terms.weight).min().unwrap_or(1);
-    accounts.push(Terms { weight: least, reserve: 0 });
+    accounts.push(AccountLimits { weight: least, reserve: 0 });
     accounts
 }
--- a/crates/decisions/src/budget/pool.rs
+++ b/crates/decisions/src/budget/pool.rs
@@ -9,7 +9,7 @@
 
 /// What an account is entitled to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct AccountLimits {
     /// Its part of what is left beyond the reserves; at least 1.
     pub weight: u32,
     /// Bytes that are never lent.
@@ -18,7 +18,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Account {
-    terms: Terms,
+    terms: AccountLimits,
     used: u64,
     /// Bytes that it has been told to give back, and by when.
     recalled: Option<(u64, Timestamp)>,
@@ -37,7 +37,7 @@
 
 /// A reservation that is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct PoolRejection {
     /// Why.
     pub reason: Reason,
     /// When to come again, counted from now; none where that is of no use.
@@ -83,12 +83,12 @@
     ///
     /// # Errors
     /// When the reserves do not fit into the cap.
-    pub fn new(cap: u64, terms: &[Terms]) -> Result<Self, PoolError> {
+    pub fn new(cap: u64, terms: &[AccountLimits]) -> Result<Self, PoolError> {
         let reserves = terms.iter().map(|t| t.reserve).fold(0, u64::saturating_add);
         if reserves > cap {
             return Err(PoolError { reserves, cap });
         }
-        let account = |terms: &Terms| Account { terms: *terms, used: 0, recalled: None };
+        let account = |terms: &AccountLimits| Account { terms: *terms, used: 0, recalled: None };
         Ok(Self { cap, used: 0, accounts: terms.iter().map(account).collect() })
     }
 
@@ -141,7 +141,7 @@
         bytes: u64,
         now: Timestamp,
         recalls: &mut Vec<Recall>,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), PoolRejection> {
         if bytes <= self.room(account) {
             if let Some(a) = self.accounts.get_mut(account.0) {
                 a.used += bytes;
@@ -150,17 +150,17 @@
             return Ok(());
         }
         if bytes > self.cap {
-            return Err(Refusal { reason: Reason::TooLarge, retry_after: None });
+            return Err(PoolRejection { reason: Reason::TooLarge, retry_after: None });
         }
         let shares = self.shares(account, bytes);
         let entitled = shares.get(account.0).is_some_and(|s| *s >= self.used_by(account) + bytes);
         if !entitled {
-            return Err(Refusal { reason: Reason::Full, retry_after: Some(AWAY) });
+            return Err(PoolRejection { reason: Reason::Full, retry_after: Some(AWAY) });
         }
         let lacking = bytes - self.room(account);
         let by = self.recall(&shares, lacking, now, recalls);
         let retry_after = Some(TimeDelta((by.0 - now.0).max(1)));
-        Err(Refusal { reason: Reason::Recalled, retry_after })
+        Err(PoolRejection { reason: Reason::Recalled, retry_after })
     }
 
     /// Tells those over their shares to give back so much in all, the furthest over first; by when all is back.
--- a/crates/decisions/src/membership/discovery_retry.rs
+++ b/crates/decisions/src/membership/discovery_retry.rs
@@ -39,7 +39,7 @@
 
 /// Draws the moments at which one proxy asks discovery.
 #[derive(Debug)]
-pub struct Asking {
+pub struct DiscoveryRetry {
     queues: bool,
     /// What the whole fleet's calls may take.
     fleet: Duration,
@@ -51,7 +51,7 @@
     random: ChaCha8Rng,
 }
 
-impl Asking {
+impl DiscoveryRetry {
     /// How many calls wait beside each other at the most, however lists come.
     pub const MOST_CALLS: usize = if PUSHED.1 > QUEUED.1 { PUSHED.1 } else { QUEUED.1 };
 
--- a/crates/decisions/src/membership/mod.rs
+++ b/crates/decisions/src/membership/mod.rs
@@ -14,6 +14,6 @@
 pub mod steward;
 mod view;
 
-pub use discovery_retry::Asking;
+pub use discovery_retry::DiscoveryRetry;
 pub use lease::Terms;
 pub use view::{Change, Identity, Name, View, ELECTORS};
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -11,7 +11,7 @@
 use crate::interface::*;
 use crate::load::{Crowd, Faded, Group, Pace, Rest};
 use crate::state::host_clock::AHEAD_US;
-use crate::state::session_positions::Sessions;
+use crate::state::session_positions::SessionPositions;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Held requests are looked at this often: a small part of any aim, and cheap.
@@ -170,7 +170,7 @@
     loads: BTreeMap<u32, Group>,
     /// The usual priority of reads, and of writes.
     usual: [f64; 2],
-    sessions: Sessions,
+    sessions: SessionPositions,
     retry_budget: f64,
     /// When a host that serves us last took no further connection.
     squeezed: Option<Timestamp>,
@@ -198,7 +198,7 @@
             groups: BTreeMap::new(),
             open: BTreeMap::new(),
             out: BTreeMap::new(),
-            sessions: Sessions::new(SESSIONS),
+            sessions: SessionPositions::new(SESSIONS),
             retry_budget: RETRY_BUDGET.1,
             squeezed: None,
             look_at: None,
--- a/crates/decisions/src/state/heavy_hitters.rs
+++ b/crates/decisions/src/state/heavy_hitters.rs
@@ -8,7 +8,7 @@
 
 /// A holder, and what it holds at the most and at the least.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heavy<T> {
+pub struct HeavyHitter<T> {
     /// Who.
     pub holder: T,
     /// At the most.
@@ -20,7 +20,7 @@
 /// The sketch.
 #[derive(Clone, Debug)]
 pub struct HeavyHitters<T> {
-    counters: Vec<Heavy<T>>,
+    counters: Vec<HeavyHitter<T>>,
     places: HashMap<T, usize>,
     most: usize,
     total: u64,
@@ -42,14 +42,14 @@
         }
         if self.counters.len() < self.most {
             self.places.insert(holder, self.counters.len());
-            self.counters.push(Heavy { holder, count: amount, error: 0 });
+            self.counters.push(HeavyHitter { holder, count: amount, error: 0 });
             return;
         }
         // The least counter goes to the newcomer, with all that it had counted.
         let least = (0..self.counters.len()).min_by_key(|at| self.counters[*at].count).unwrap_or(0);
         let counter = &mut self.counters[least];
         self.places.remove(&counter.holder);
-        *counter = Heavy { holder, count: counter.count + amount, error: counter.count };
+        *counter = HeavyHitter { holder, count: counter.count + amount, error: counter.count };
         self.places.insert(holder, least);
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// The heaviest, first those that hold most.
-    pub fn heaviest(&self, most: usize) -> Vec<Heavy<T>> {
+    pub fn heaviest(&self, most: usize) -> Vec<HeavyHitter<T>> {
         let mut all = self.counters.clone();
         all.sort_by_key(|counter| std::cmp::Reverse(counter.count));
         all.truncate(most);
--- a/crates/decisions/src/state/rate_limited_log.rs
+++ b/crates/decisions/src/state/rate_limited_log.rs
@@ -7,7 +7,7 @@
 
 /// Counts by kind what has not been said yet. As large as there are kinds.
 #[derive(Clone, Debug)]
-pub struct Telling<K> {
+pub struct RateLimitedLog<K> {
     span: Timestamp,
     kinds: BTreeMap<K, Kind>,
 }
@@ -18,7 +18,7 @@
     last: Option<Timestamp>,
 }
 
-impl<K: Ord> Telling<K> {
+impl<K: Ord> RateLimitedLog<K> {
     /// Each kind is said once in that span at the most.
     pub fn new(span: Timestamp) -> Self {
         Self { span, kinds: BTreeMap::new() }
@@ -44,7 +44,7 @@
 
     #[test]
     fn the_first_of_a_kind_is_told_at_once_and_the_others_are_counted() {
-        let mut telling = Telling::new(SPAN);
+        let mut telling = RateLimitedLog::new(SPAN);
         assert_eq!(telling.note(Timestamp(5), "a", 1), Some(1));
         assert_eq!(telling.note(Timestamp(6), "a", 1), None);
         assert_eq!(telling.note(Timestamp(7), "b", 1), Some(1));
@@ -55,7 +55,7 @@
 
     #[test]
     fn however_many_come_a_kind_is_told_once_in_a_span_and_none_is_forgotten() {
-        let mut telling = Telling::new(SPAN);
+        let mut telling = RateLimitedLog::new(SPAN);
         let told: Vec<u64> = (0..10_000).filter_map(|n| telling.note(Timestamp(n * 1_000), (), 1)).collect();
         assert_eq!(told.len(), 10);
         assert_eq!(told.iter().sum::<u64>() + telling.note(Timestamp(20_000_000), (), 1).unwrap(), 10_001);
--- a/crates/decisions/src/state/session_positions.rs
+++ b/crates/decisions/src/state/session_positions.rs
@@ -5,7 +5,7 @@
 //! not known is held to have written then. So a read is never sent to a replica that lacks its session's write; at
 //! worst it waits for, or goes to, one that has more than it needs.
 
-use super::unconfirmed_writes::Unsure;
+use super::unconfirmed_writes::UnconfirmedWrites;
 use crate::interface::{LogPosition, SessionId, Timestamp};
 use std::collections::BTreeMap;
 
@@ -68,23 +68,23 @@
 
 /// The sessions' last writes.
 #[derive(Clone, Debug)]
-pub struct Sessions {
+pub struct SessionPositions {
     /// The newest first; at most [`GENERATIONS`].
     generations: Vec<Generation>,
     /// Entries that a generation takes.
     each: usize,
     /// Sets' floors: the latest commit forgotten there.
     floors: BTreeMap<u32, i64>,
-    unsure: Unsure,
+    unsure: UnconfirmedWrites,
 }
 
-impl Sessions {
+impl SessionPositions {
     /// Remembers at least three quarters of so many sessions, and never more than all of them.
     pub fn new(entries: usize) -> Self {
         let each = (entries / GENERATIONS).max(1);
         let slots = (each * SLOTS_PER_ENTRY.0 / SLOTS_PER_ENTRY.1 + 1).next_power_of_two();
         let generations = vec![Generation::new(slots)];
-        Self { generations, each, floors: BTreeMap::new(), unsure: Unsure::default() }
+        Self { generations, each, floors: BTreeMap::new(), unsure: UnconfirmedWrites::default() }
     }
 
     /// A session's write has been committed in a set.
--- a/crates/decisions/src/state/timer_wheel.rs
+++ b/crates/decisions/src/state/timer_wheel.rs
@@ -12,7 +12,7 @@
 
 /// A wait that has been set; good for one cancelling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WaitKey {
+pub struct TimerKey {
     entry: u32,
     /// Tells a slab entry's successive uses apart.
     epoch: u32,
@@ -32,7 +32,7 @@
 
 /// The wheel.
 #[derive(Clone, Debug)]
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     entries: Vec<Entry<T>>,
     free: u32,
     /// The first entry of each slot, level by level.
@@ -46,7 +46,7 @@
     length: usize,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// An empty wheel whose waits are exact to a tick of so many microseconds: they end late by up to one, never early.
     pub fn new(tick: Timestamp, start: Timestamp) -> Self {
         let tick = tick.0.max(1);
@@ -72,7 +72,7 @@
     }
 
     /// Sets a wait that ends then.
-    pub fn set(&mut self, at: Timestamp, value: T) -> WaitKey {
+    pub fn set(&mut self, at: Timestamp, value: T) -> TimerKey {
         let at = (at.0.max(0) as u64).div_ceil(self.tick as u64).max(self.now + 1);
         let entry = match self.free {
             NONE => {
@@ -89,11 +89,11 @@
         let epoch = one.epoch;
         self.link(entry);
         self.length += 1;
-        WaitKey { entry, epoch }
+        TimerKey { entry, epoch }
     }
 
     /// Cancels a wait; its value, unless it has ended.
-    pub fn cancel(&mut self, key: WaitKey) -> Option<T> {
+    pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let entry = self.entries.get(key.entry as usize)?;
         if entry.epoch != key.epoch || entry.value.is_none() {
             return None;
--- a/crates/decisions/src/state/unconfirmed_writes.rs
+++ b/crates/decisions/src/state/unconfirmed_writes.rs
@@ -15,13 +15,13 @@
 
 /// The sessions in doubt, each with its set.
 #[derive(Clone, Debug, Default)]
-pub struct Unsure {
+pub struct UnconfirmedWrites {
     writes: BTreeMap<(u32, SessionId), Writes>,
     /// How many there were when those in no doubt any more were last looked for.
     swept: usize,
 }
 
-impl Unsure {
+impl UnconfirmedWrites {
     /// An attempt of a session's write is sent to a set.
     pub fn sent(&mut self, session: SessionId, set: u32, now: Timestamp) {
         if self.writes.len() > 2 * self.swept.max(16) {
@@ -52,7 +52,7 @@
 
     #[test]
     fn a_session_is_in_doubt_while_its_write_is_out_and_for_as_long_as_one_without_an_answer_may_count() {
-        let mut unsure = Unsure::default();
+        let mut unsure = UnconfirmedWrites::default();
         unsure.sent(ONE, 0, Timestamp(10));
         assert!(
             unsure.is_in_doubt(ONE, 0, Timestamp(1_000)) && !unsure.is_in_doubt(ONE, 1, Timestamp(1_000))
@@ -71,7 +71,7 @@
 
     #[test]
     fn what_is_in_no_doubt_any_more_is_forgotten() {
-        let mut unsure = Unsure::default();
+        let mut unsure = UnconfirmedWrites::default();
         for n in 0..10_000 {
             unsure.sent(SessionId(n), 0, Timestamp(n as i64 * 10));
             unsure.ended(SessionId(n), 0, Some(Timestamp(n as i64 * 10 + 100)));
--- a/crates/decisions/tests/budget.rs
+++ b/crates/decisions/tests/budget.rs
@@ -62,10 +62,10 @@
 }
 
 fn budget() -> Budget {
-    let accounts: Vec<Terms> =
-        [(1, 10), (2, 0), (4, 20)].map(|(weight, reserve)| Terms { weight, reserve }).to_vec();
+    let accounts: Vec<AccountLimits> =
+        [(1, 10), (2, 0), (4, 20)].map(|(weight, reserve)| AccountLimits { weight, reserve }).to_vec();
     let terms =
-        PURPOSES.map(|_| PurposeTerms { cap: 100, reserve: 30, weight: 1, accounts: accounts.clone() });
+        PURPOSES.map(|_| PurposeLimits { cap: 100, reserve: 30, weight: 1, accounts: accounts.clone() });
     Budget::new(400, &terms).unwrap()
 }
 
@@ -76,7 +76,7 @@
     fn any_sequence_keeps_the_caps_and_the_reserves_and_ends_at_zero(acts in prop::collection::vec(act(), 1..120)) {
         let budget = budget();
         let mut caps = [100u64; 7];
-        let mut tickets: Vec<(usize, usize, Ticket)> = Vec::new();
+        let mut tickets: Vec<(usize, usize, Reservation)> = Vec::new();
         for (now, act) in acts.into_iter().enumerate() {
             let now = Timestamp(now as i64 * 10_000);
             let before = PURPOSES.map(|purpose| budget.used(purpose));
@@ -138,8 +138,8 @@
 
 #[test]
 fn reserves_that_do_not_fit_are_refused_by_name() {
-    let accounts = vec![Terms { weight: 1, reserve: 101 }];
-    let mut terms = PURPOSES.map(|_| PurposeTerms { cap: 100, reserve: 0, weight: 1, accounts: Vec::new() });
+    let accounts = vec![AccountLimits { weight: 1, reserve: 101 }];
+    let mut terms = PURPOSES.map(|_| PurposeLimits { cap: 100, reserve: 0, weight: 1, accounts: Vec::new() });
     terms[Purpose::Copies as usize].accounts = accounts;
     let error = Budget::new(1_000, &terms).unwrap_err();
     assert_eq!(error.to_string(), "copies: the reserves add up to 101 bytes, the cap is 100");
@@ -148,17 +148,17 @@
 #[test]
 fn what_is_larger_than_the_cap_is_told_never_to_come_again() {
     let refused = budget().reserve(Purpose::Logs, AccountId(0), 101, Timestamp(0)).unwrap_err();
-    assert_eq!(refused.refusal, Refusal { reason: Reason::TooLarge, retry_after: None });
+    assert_eq!(refused.rejection, PoolRejection { reason: Reason::TooLarge, retry_after: None });
 }
 
 #[test]
 fn borrowers_are_told_once_and_by_the_time_that_was_given_first() {
-    let terms = [Terms { weight: 1, reserve: 0 }; 2];
+    let terms = [AccountLimits { weight: 1, reserve: 0 }; 2];
     let mut pool = Pool::new(100, &terms).unwrap();
     let mut recalls = Vec::new();
     pool.take(AccountId(0), 100, Timestamp(0), &mut recalls).unwrap();
     let refused = pool.take(AccountId(1), 30, Timestamp(0), &mut recalls).unwrap_err();
-    assert_eq!(refused, Refusal { reason: Reason::Recalled, retry_after: Some(RECALL) });
+    assert_eq!(refused, PoolRejection { reason: Reason::Recalled, retry_after: Some(RECALL) });
     let by = Timestamp(RECALL.0);
     assert_eq!(recalls, [Recall { account: AccountId(0), bytes: 30, by }]);
     let refused = pool.take(AccountId(1), 30, Timestamp(100_000), &mut recalls).unwrap_err();
@@ -176,7 +176,8 @@
 #[test]
 fn a_cap_below_what_is_in_use_recalls_the_rest() {
     let mut pool =
-        Pool::new(100, &[Terms { weight: 1, reserve: 10 }, Terms { weight: 3, reserve: 0 }]).unwrap();
+        Pool::new(100, &[AccountLimits { weight: 1, reserve: 10 }, AccountLimits { weight: 3, reserve: 0 }])
+            .unwrap();
     let mut recalls = Vec::new();
     pool.take(AccountId(0), 50, Timestamp(0), &mut recalls).unwrap();
     pool.take(AccountId(1), 40, Timestamp(0), &mut recalls).unwrap();
@@ -191,7 +192,7 @@
 /// fair share and asks gets it, once the borrowers have given back what they were told to; nobody else has to give.
 #[test]
 fn all_states_of_a_small_pool_return_what_is_borrowed() {
-    let terms = [(1, 1), (1, 0), (2, 2)].map(|(weight, reserve)| Terms { weight, reserve });
+    let terms = [(1, 1), (1, 0), (2, 2)].map(|(weight, reserve)| AccountLimits { weight, reserve });
     let mut seen = HashSet::from([[0u64; 3]]);
     let mut todo = VecDeque::from([Pool::new(6, &terms).unwrap()]);
     let (mut refused, mut returned) = (0, 0);
@@ -201,7 +202,7 @@
             let (mut next, mut recalls) = (pool.clone(), Vec::new());
             match next.take(account, bytes, Timestamp(0), &mut recalls) {
                 Ok(()) => assert!(recalls.is_empty() && next.used() <= 6),
-                Err(Refusal { reason: Reason::Recalled, .. }) => {
+                Err(PoolRejection { reason: Reason::Recalled, .. }) => {
                     returned += 1;
                     let total: u64 = recalls.iter().map(|recall| recall.bytes).sum();
                     assert!(
--- a/crates/decisions/tests/discovery/mod.rs
+++ b/crates/decisions/tests/discovery/mod.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
-use wheelpier_decisions::membership::Asking;
+use wheelpier_decisions::membership::DiscoveryRetry;
 
 /// A call that has queued for so long fails.
 const QUEUES: Duration = Duration::from_secs(2);
@@ -89,7 +89,7 @@
 }
 
 struct Proxy {
-    asking: Asking,
+    asking: DiscoveryRetry,
     began: Duration,
     /// Calls placed since then, and those of them that may still be answered.
     placed: usize,
@@ -112,7 +112,7 @@
 /// Plays such a day.
 pub fn play(day: Day, seed: u64) -> Found {
     let proxy = |n: u32| Proxy {
-        asking: Asking::new(day.routers, day.on_request, seed * 1_000 + u64::from(n)),
+        asking: DiscoveryRetry::new(day.routers, day.on_request, seed * 1_000 + u64::from(n)),
         began: Duration::ZERO,
         placed: 0,
         last: 0,
--- a/crates/decisions/tests/discovery_retry.rs
+++ b/crates/decisions/tests/discovery_retry.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use std::collections::{BinaryHeap, VecDeque};
 use std::{cmp::Reverse, time::Duration};
-use wheelpier_decisions::membership::Asking;
+use wheelpier_decisions::membership::DiscoveryRetry;
 
 /// A watch that shows no sign of life for so long is held to be dead (`src/net/discovery.rs`).
 const SILENCE: Duration = Duration::from_millis(2_500);
@@ -28,12 +28,12 @@
 
 /// When each proxy was told, if all ask anew from nothing; the last of them. `None`: not all within a minute.
 fn last_told(routers: u32, on_request: bool, first: bool) -> Option<Duration> {
-    let fleet = (0..routers).map(|n| Asking::new(routers, on_request, n.into())).collect();
+    let fleet = (0..routers).map(|n| DiscoveryRetry::new(routers, on_request, n.into())).collect();
     last_told_by(FAST, fleet, first)
 }
 
 /// The same of a discovery that takes so long for a call, one after the other.
-fn last_told_by(serves: Duration, mut fleet: Vec<Asking>, first: bool) -> Option<Duration> {
+fn last_told_by(serves: Duration, mut fleet: Vec<DiscoveryRetry>, first: bool) -> Option<Duration> {
     let most = WAITS.div_duration_f64(serves) as usize;
     let mut due = BinaryHeap::new();
     for (n, asking) in fleet.iter_mut().enumerate() {
@@ -84,7 +84,7 @@
 #[test]
 fn a_few_that_start_in_step_wait_for_a_discovery_that_is_slow() {
     for seed in 0..50 {
-        let fleet = (0..4).map(|n| Asking::new(4, true, seed * 4 + n)).collect();
+        let fleet = (0..4).map(|n| DiscoveryRetry::new(4, true, seed * 4 + n)).collect();
         let last = last_told_by(Duration::from_secs(1), fleet, true).expect("all are told");
         assert!(last <= Duration::from_secs(8), "seed {seed}: {last:?}");
     }
@@ -97,10 +97,10 @@
 
 #[test]
 fn a_few_proxies_ask_as_promptly_as_ever() {
-    let mut asking = Asking::new(4, true, 7);
+    let mut asking = DiscoveryRetry::new(4, true, 7);
     assert!(asking.first() <= Duration::from_millis(150));
     assert!((0..20).all(|_| asking.after_failure(false, Duration::ZERO) <= Duration::from_secs(1)));
-    let mut pushed = Asking::new(100, false, 7);
+    let mut pushed = DiscoveryRetry::new(100, false, 7);
     assert_eq!(pushed.first(), Duration::ZERO);
     // What an agent on the own machine gets when discovery returns is read well within the shortest grace, 0.5 s,
     // however long discovery was down.
@@ -117,7 +117,7 @@
 fn silence_and_one_call_that_hangs_leave_time_for_another() {
     let fleets = [1, 6].into_iter().flat_map(|routers| [(routers, true), (routers, false)]);
     for (seed, (routers, on_request)) in (0..100).flat_map(|seed| fleets.clone().map(move |f| (seed, f))) {
-        let mut asking = Asking::new(routers, on_request, seed);
+        let mut asking = DiscoveryRetry::new(routers, on_request, seed);
         let at = SILENCE + asking.after_failure(true, SILENCE) + asking.patience();
         assert!(asking.calls() > 1);
         assert!(at <= Duration::from_millis(5_250), "seed {seed}, {routers}, {on_request}: {at:?}");
@@ -128,7 +128,7 @@
 #[test]
 fn after_silence_many_leave_time_for_a_call_that_queues() {
     for (seed, routers) in (0..100).flat_map(|seed| [30, 300].map(move |routers| (seed, routers))) {
-        let mut asking = Asking::new(routers, true, seed);
+        let mut asking = DiscoveryRetry::new(routers, true, seed);
         let at = SILENCE + asking.after_failure(true, SILENCE);
         assert!(at <= Duration::from_secs(4), "seed {seed}, {routers}: {at:?}");
     }
@@ -243,7 +243,7 @@
 #[test]
 fn whoever_failed_together_does_not_ask_together() {
     let waits = |n| {
-        let mut asking = Asking::new(100, true, n);
+        let mut asking = DiscoveryRetry::new(100, true, n);
         (asking.after_failure(true, Duration::ZERO), asking.after_failure(false, Duration::ZERO))
     };
     let (mut first, mut second): (Vec<_>, Vec<_>) = (0..100).map(waits).unzip();
@@ -256,7 +256,7 @@
 
 #[test]
 fn failures_elsewhere_do_not_slow_a_new_address() {
-    let mut asking = Asking::new(2, true, 7);
+    let mut asking = DiscoveryRetry::new(2, true, 7);
     (0..10).for_each(|_| _ = asking.after_failure(false, Duration::ZERO));
     assert!(asking.after_failure(false, Duration::ZERO) >= Duration::from_millis(500));
     asking.anew();
--- a/crates/decisions/tests/plan.rs
+++ b/crates/decisions/tests/plan.rs
@@ -1,15 +1,15 @@
 //! How the whole is divided, and what of an operator's wishes cannot hold.
 
-use wheelpier_decisions::budget::plan::{ClassWorth, Figures, Override, Plan};
+use wheelpier_decisions::budget::plan::{ClassWeight, Override, Plan, PlanInputs};
 use wheelpier_decisions::budget::{AccountId, Purpose, PURPOSES};
 use wheelpier_decisions::Timestamp;
 
 const MB: u64 = 1 << 20;
 
-fn figures() -> Figures {
-    let class = |worth, write| ClassWorth { worth, write };
+fn figures() -> PlanInputs {
+    let class = |worth, write| ClassWeight { worth, write };
     let classes = vec![class(3.0, false), class(1.0, false), class(1.0, false), class(6.0, true)];
-    Figures { total: 100 * MB, classes, tenants: vec![0.57, 0.26, 0.17], ..Figures::default() }
+    PlanInputs { total: 100 * MB, classes, tenants: vec![0.57, 0.26, 0.17], ..PlanInputs::default() }
 }
 
 #[test]
@@ -21,7 +21,7 @@
             assert!(seen.insert(plan.account(class, tenant)));
         }
     }
-    assert!(seen.insert(plan.strangers()));
+    assert!(seen.insert(plan.unidentified_clients()));
     assert_eq!(seen.len(), plan.terms[Purpose::ClientBuffers as usize].accounts.len());
     // Who is not known is one of those that are not named.
     assert_eq!(plan.account(3, 99), plan.account(3, 3));
@@ -43,7 +43,9 @@
     let plan = Plan::new(&figures()).unwrap();
     let budget = plan.budget().unwrap();
     let mut crowd = Vec::new();
-    while let Ok(ticket) = budget.reserve(Purpose::ClientBuffers, plan.strangers(), 64 * 1024, Timestamp(0)) {
+    while let Ok(ticket) =
+        budget.reserve(Purpose::ClientBuffers, plan.unidentified_clients(), 64 * 1024, Timestamp(0))
+    {
         crowd.push(ticket);
     }
     assert!(crowd.len() > 100);
@@ -53,8 +55,8 @@
     assert!(written.iter().all(Result::is_ok));
     // A lookup has to wait, for a time that is told, until the crowd has given back.
     let refused = budget.reserve(Purpose::ClientBuffers, plan.account(0, 0), MB, Timestamp(0)).unwrap_err();
-    assert!(refused.refusal.retry_after.is_some());
-    assert!(budget.recalls().iter().any(|due| due.account == Some(plan.strangers())));
+    assert!(refused.rejection.retry_after.is_some());
+    assert!(budget.recalls().iter().any(|due| due.account == Some(plan.unidentified_clients())));
 }
 
 #[test]
@@ -73,7 +75,7 @@
 #[test]
 fn the_reserves_of_any_whole_fit() {
     for total in [0, 1, 99, 1_000, 32 * MB, u64::MAX / 2] {
-        let plan = Plan::new(&Figures { total, ..figures() }).unwrap();
+        let plan = Plan::new(&PlanInputs { total, ..figures() }).unwrap();
         let reserves: u64 = plan.terms.iter().map(|terms| terms.reserve).sum();
         assert!(reserves <= total && plan.terms.len() == PURPOSES.len());
     }
--- a/crates/decisions/tests/state.rs
+++ b/crates/decisions/tests/state.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, HashMap};
 use wheelpier_decisions::state::background::{Background, Priority, Step};
 use wheelpier_decisions::state::heavy_hitters::HeavyHitters;
-use wheelpier_decisions::state::session_positions::Sessions;
-use wheelpier_decisions::state::timer_wheel::Wheel;
+use wheelpier_decisions::state::session_positions::SessionPositions;
+use wheelpier_decisions::state::timer_wheel::TimerWheel;
 use wheelpier_decisions::{LogPosition, SessionId, Timestamp};
 
 proptest! {
@@ -18,7 +18,7 @@
         entries in 1usize..40,
         shrinks in prop::collection::vec(any::<bool>(), 300),
     ) {
-        let mut sessions = Sessions::new(entries);
+        let mut sessions = SessionPositions::new(entries);
         let mut all: HashMap<(u64, u32), i64> = HashMap::new();
         for ((session, position), shrink) in writes.into_iter().zip(shrinks) {
             // A session belongs to one set, as its key does.
@@ -38,7 +38,7 @@
 
     #[test]
     fn what_is_not_forgotten_is_exact(writes in prop::collection::vec((any::<u64>(), 0i64..1000), 1..100)) {
-        let mut sessions = Sessions::new(400);
+        let mut sessions = SessionPositions::new(400);
         let mut all = BTreeMap::new();
         for (session, position) in writes {
             sessions.remember(SessionId(session), 0, LogPosition(position));
@@ -58,7 +58,7 @@
         acts in prop::collection::vec((0i64..200_000, 0u8..4, 0i64..3_000_000_000), 1..200),
     ) {
         let tick = 1_000;
-        let mut wheel = Wheel::new(Timestamp(tick), Timestamp(0));
+        let mut wheel = TimerWheel::new(Timestamp(tick), Timestamp(0));
         let mut list: BTreeMap<(i64, usize), ()> = BTreeMap::new();
         let (mut keys, mut now) = (Vec::new(), 0);
         for (n, (step, act, wait)) in acts.into_iter().enumerate() {
@@ -119,7 +119,7 @@
 
 #[test]
 fn a_forgotten_session_is_held_to_have_written_at_its_own_sets_floor() {
-    let mut sessions = Sessions::new(4);
+    let mut sessions = SessionPositions::new(4);
     sessions.remember(SessionId(10), 0, LogPosition(500));
     sessions.remember(SessionId(11), 1, LogPosition(900));
     while sessions.shrink() > 0 || sessions.floor(0) == LogPosition(i64::MIN) {
--- a/crates/testbench/benches/proxy.rs
+++ b/crates/testbench/benches/proxy.rs
@@ -8,14 +8,14 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 use tokio::task::{yield_now, JoinSet, LocalSet};
-use wheelpier_testbench::rig::Rig;
-use wheelpier_testbench::runtime;
 use wheelpier_emulator::net::client::{Answer, Client};
 use wheelpier_emulator::net::{Options, Wire};
 use wheelpier_emulator::schedule::plan;
 use wheelpier_emulator::script::Script;
 use wheelpier_emulator::spec::Spec;
 use wheelpier_emulator::{Micros, SECOND};
+use wheelpier_testbench::rig::Rig;
+use wheelpier_testbench::runtime;
 
 const CLIENTS: usize = 24;
 const SPAN: Duration = Duration::from_secs(2);
--- a/crates/testbench/benches/state.rs
+++ b/crates/testbench/benches/state.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use tokio_util::time::DelayQueue;
 use wheelpier_decisions::state::heavy_hitters::HeavyHitters;
-use wheelpier_decisions::state::session_positions::Sessions;
-use wheelpier_decisions::state::timer_wheel::Wheel;
+use wheelpier_decisions::state::session_positions::SessionPositions;
+use wheelpier_decisions::state::timer_wheel::TimerWheel;
 use wheelpier_decisions::{LogPosition, SessionId, Timestamp};
 
 const SIZES: [usize; 3] = [1_000, 100_000, 1_000_000];
@@ -31,7 +31,7 @@
     for size in SIZES {
         let ids = numbers(size);
         // Reads of known sessions, and writes of new ones that push old ones out.
-        let mut table = Sessions::new(size);
+        let mut table = SessionPositions::new(size);
         ids.iter().for_each(|id| table.remember(SessionId(*id), (*id % 8) as u32, LogPosition(1)));
         let mut next = 0;
         group.bench_function(BenchmarkId::new("generations/read", size), |b| {
@@ -85,7 +85,7 @@
     for size in SIZES {
         let spans: Vec<i64> = numbers(size + ROUND).iter().map(|n| (n % 5_000_000) as i64 + 10_000).collect();
         group.bench_function(BenchmarkId::new("wheel/set+cancel", size), |b| {
-            let mut wheel = Wheel::new(Timestamp(1_000), Timestamp(0));
+            let mut wheel = TimerWheel::new(Timestamp(1_000), Timestamp(0));
             spans[..size].iter().for_each(|span| _ = wheel.set(Timestamp(*span), 0u64));
             b.iter(|| {
                 for span in &spans[size..] {
@@ -124,7 +124,7 @@
             );
         });
         group.bench_function(BenchmarkId::new("wheel/end", size), |b| {
-            let mut full = Wheel::new(Timestamp(1_000), Timestamp(0));
+            let mut full = TimerWheel::new(Timestamp(1_000), Timestamp(0));
             spans[..size].iter().for_each(|span| _ = full.set(Timestamp(*span), 0u64));
             b.iter_batched(
                 || full.clone(),
--- a/crates/testbench/src/soak/client.rs
+++ b/crates/testbench/src/soak/client.rs
@@ -12,11 +12,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
-use wheelpier_pgwire::{query, startup};
 use wheelpier_emulator::net::Told;
 use wheelpier_emulator::schedule::Planned;
 use wheelpier_emulator::spec::Freshness;
 use wheelpier_emulator::Micros;
+use wheelpier_pgwire::{query, startup};
 
 /// A session is open within this time, or its client goes elsewhere.
 const OPENS: Duration = Duration::from_secs(3);
--- a/crates/testbench/tests/deployments.rs
+++ b/crates/testbench/tests/deployments.rs
@@ -2,14 +2,14 @@
 
 use rstest::rstest;
 use std::rc::Rc;
-use wheelpier_testbench::load::{self, Target};
-use wheelpier_testbench::rig::Rig;
 use wheelpier_emulator::checker::Rule;
 use wheelpier_emulator::net::{Options, Wire};
 use wheelpier_emulator::schedule::plan;
 use wheelpier_emulator::script::Script;
 use wheelpier_emulator::spec::Spec;
 use wheelpier_emulator::SECOND;
+use wheelpier_testbench::load::{self, Target};
+use wheelpier_testbench::rig::Rig;
 
 const SECONDS: f64 = 8.0;
 const SEED: u64 = 11;
--- a/crates/testbench/tests/drivers.rs
+++ b/crates/testbench/tests/drivers.rs
@@ -3,10 +3,10 @@
 
 use std::net::SocketAddr;
 use tokio_util::compat::TokioAsyncWriteCompatExt;
-use wheelpier_testbench::rig::Rig;
 use wheelpier_emulator::net::{Options, Wire};
 use wheelpier_emulator::script::Script;
 use wheelpier_emulator::spec::Spec;
+use wheelpier_testbench::rig::Rig;
 
 /// Two ledger sets, the first of which speaks PostgreSQL's protocol and the second TDS.
 async fn rig() -> Rig {
--- a/crates/testbench/tests/fleet.rs
+++ b/crates/testbench/tests/fleet.rs
@@ -3,11 +3,11 @@
 
 use rstest::rstest;
 use wheelpier_decisions::Settings;
-use wheelpier_testbench::fleet::{play, Burst, ColdPeak, Day, Incident, Tally};
 use wheelpier_emulator::checker::Rule;
 use wheelpier_emulator::spec::{Spec, WhenBehind};
 use wheelpier_emulator::world::Trouble;
 use wheelpier_emulator::{Micros, MS, SECOND};
+use wheelpier_testbench::fleet::{play, Burst, ColdPeak, Day, Incident, Tally};
 
 const GROUPS: usize = 10;
 const MEMBERS: usize = 6;
--- a/crates/testbench/tests/members.rs
+++ b/crates/testbench/tests/members.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use wheelpier_testbench::members::{Fleet, Trouble};
 use wheelpier_emulator::{MS, SECOND};
+use wheelpier_testbench::members::{Fleet, Trouble};
 
 #[rstest]
 fn seeds_found_the_fleet_and_the_others_join(#[values(1, 2, 3, 5, 7, 20)] members: usize) {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -6,9 +6,9 @@
 pub use descriptors::OVERFLOW;
 pub use operator::{HostProtocols, Listener, Operator, OperatorError, Peers};
 
-use crate::budget::plan::{ClassWorth, Figures, Plan};
+use crate::budget::plan::{ClassWeight, Plan, PlanInputs};
 use crate::budget::Purpose;
-use crate::endpoint_list::{Listing, RawListing};
+use crate::endpoint_list::{EndpointList, RawEndpointList};
 use crate::interface::{Freshness, HostState, Idempotency, LagPolicy, RequestClass, Settings};
 use crate::pgwire;
 use crate::pipeline;
@@ -116,11 +116,11 @@
     /// Memory that messages may take, in bytes; none if it is not bounded.
     pub memory: Option<f64>,
     /// What the division of memory goes by.
-    figures: Figures,
+    figures: PlanInputs,
     /// How memory is divided by purpose.
     pub plan: Plan,
     /// The ledger hosts as last known.
-    pub known: Option<Listing>,
+    pub known: Option<EndpointList>,
     /// The module's settings.
     pub settings: Settings,
     /// How reports and stamps are read.
@@ -148,7 +148,7 @@
     seed: Option<serde_json::Value>,
     #[serde(default)]
     limits: FileLimits,
-    known: Option<RawListing>,
+    known: Option<RawEndpointList>,
     settings: serde_json::Value,
 }
 
@@ -370,15 +370,15 @@
         // Descriptors and memory bound the connections, whichever is shorter.
         let memory = file.limits.memory_mb.map(|mb| mb * MEMORY_SHARE * f64::from(1 << 20));
         let limits = bounded(descriptors::divide(sockets), memory, pgwire::MOST_STATEMENT);
-        let class = |class: &RequestClass| ClassWorth {
+        let class = |class: &RequestClass| ClassWeight {
             worth: class.priority_weight,
             write: class.freshness == Freshness::Write,
         };
-        let figures = Figures {
+        let figures = PlanInputs {
             total: file.limits.memory_mb.map_or(UNBOUNDED, |mb| (mb * ACCOUNTED * f64::from(1 << 20)) as u64),
             classes: settings.classes.iter().map(class).collect(),
             tenants: more.customers.iter().map(|c| c.share).collect(),
-            ..Figures::default()
+            ..PlanInputs::default()
         };
         let plan = Plan::new(&figures).map_err(|e| wrong("limits.memory_mb", e))?;
         let names = Names {
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -21,7 +21,7 @@
     /// What ledger hosts speak.
     pub hosts: HostProtocols,
     /// How memory is divided.
-    pub memory: MemoryTerms,
+    pub memory: MemorySettings,
     /// The fleet that this proxy is of; none: it speaks with no other proxy.
     pub peers: Option<Peers>,
 }
@@ -45,7 +45,7 @@
 
 /// What the operator sets of memory; the rest is divided as ever.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct MemoryTerms {
+pub struct MemorySettings {
     /// All that is accounted for, in bytes.
     pub total: Option<u64>,
     /// Caps and reserves by purpose.
@@ -295,7 +295,7 @@
     }
 }
 
-fn memory(raw: &RawMemory, fault: &Fault<'_>) -> Result<MemoryTerms, OperatorError> {
+fn memory(raw: &RawMemory, fault: &Fault<'_>) -> Result<MemorySettings, OperatorError> {
     let total = raw.total.as_ref().map(|text| fault.bytes(text, "memory.total")).transpose()?;
     let mut purposes = BTreeMap::new();
     for (name, terms) in &raw.purposes {
@@ -315,7 +315,7 @@
         }
         purposes.insert(purpose, Override { cap, reserve });
     }
-    Ok(MemoryTerms { total, purposes })
+    Ok(MemorySettings { total, purposes })
 }
 
 fn hosts(raw: RawHosts, fault: &Fault<'_>) -> Result<HostProtocols, OperatorError> {
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,8 +1,8 @@
 //! What the proxy has taken in, sent and answered.
 
 use crate::interface::Outcome;
-use crate::peer_metrics::Tally;
-use crate::rejection_reason::{Reason, REASONS};
+use crate::peer_metrics::PeerMetrics;
+use crate::rejection_reason::{RejectionReason, REJECTION_REASONS};
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, OnceLock};
@@ -13,7 +13,7 @@
     /// With a ledger host's value.
     Served,
     /// Refused; trying again is harmless.
-    Refused,
+    Rejected,
     /// Without an answer from a ledger host.
     Failed,
     /// The client left before.
@@ -26,7 +26,7 @@
     clients: AtomicU64,
     taken: AtomicU64,
     malformed: AtomicU64,
-    turned: [AtomicU64; REASONS.len()],
+    rejected: [AtomicU64; REJECTION_REASONS.len()],
     ended: [AtomicU64; 4],
     sent: AtomicU64,
     outcomes: [AtomicU64; 10],
@@ -46,7 +46,7 @@
     /// Configuration files taken, and turned down, at SIGHUP.
     sighup: [AtomicU64; 2],
     /// Of the fleet, where this proxy is of one.
-    fleet: OnceLock<Arc<Tally>>,
+    fleet: OnceLock<Arc<PeerMetrics>>,
 }
 
 /// The operators' names of the ends that are counted by class, in the order of [`Ended`].
@@ -67,7 +67,7 @@
     }
 
     /// A request has been taken.
-    pub fn taken(&self) {
+    pub fn request_accepted(&self) {
         add(&self.taken);
     }
 
@@ -82,8 +82,8 @@
     }
 
     /// Something was turned away for that reason.
-    pub fn turned(&self, reason: Reason) {
-        add(&self.turned[reason as usize]);
+    pub fn rejected(&self, reason: RejectionReason) {
+        add(&self.rejected[reason as usize]);
     }
 
     /// A request of the class of this number has ended; a class that was never named counts in the totals
@@ -131,7 +131,7 @@
     }
 
     /// This proxy is of a fleet, of which that is counted.
-    pub fn fleet(&self, tally: Arc<Tally>) {
+    pub fn fleet(&self, tally: Arc<PeerMetrics>) {
         let _ = self.fleet.set(tally);
     }
 
@@ -162,7 +162,7 @@
         let _ = writeln!(out, "gw.ejected={}", get(&self.ejected));
         let _ = writeln!(out, "gw.sighup_applied={applied}");
         let _ = writeln!(out, "gw.sighup_rejected={rejected}");
-        for (reason, counter) in REASONS.iter().zip(&self.turned) {
+        for (reason, counter) in REJECTION_REASONS.iter().zip(&self.rejected) {
             let _ = writeln!(out, "gw.turned.{reason}={}", get(counter));
         }
         if let Some(fleet) = self.fleet.get() {
@@ -172,7 +172,7 @@
     }
 
     /// An attempt has been handed to a ledger host.
-    pub fn sent(&self) {
+    pub fn attempt_sent(&self) {
         add(&self.sent);
     }
 
@@ -187,12 +187,12 @@
     }
 
     /// A ledger host is being probed.
-    pub fn probe(&self) {
+    pub fn health_check(&self) {
         add(&self.probes);
     }
 
     /// Discovery has told something.
-    pub fn list(&self) {
+    pub fn endpoint_list(&self) {
         add(&self.lists);
     }
 }
@@ -216,7 +216,8 @@
         }
         let (connects, probes, lists) = (get(&self.connects), get(&self.probes), get(&self.lists));
         write!(f, " connects={connects} probes={probes} lists={lists}")?;
-        let turned = REASONS.iter().zip(&self.turned).map(|(reason, counter)| (reason, get(counter)));
+        let turned =
+            REJECTION_REASONS.iter().zip(&self.rejected).map(|(reason, counter)| (reason, get(counter)));
         turned.filter(|(_, n)| *n > 0).try_for_each(|(reason, n)| write!(f, " turned_{reason}={n}"))
     }
 }
@@ -235,12 +236,12 @@
     fn each_class_counts_its_own_ends_under_the_operators_names() {
         let counters = Counters::default();
         counters.classes(["read", "write"]);
-        for (how, class) in [(Ended::Served, 0), (Ended::Served, 0), (Ended::Refused, 1)] {
-            counters.taken();
+        for (how, class) in [(Ended::Served, 0), (Ended::Served, 0), (Ended::Rejected, 1)] {
+            counters.request_accepted();
             counters.ended(how, class);
         }
         counters.classes(["read", "write", "report"]);
-        counters.taken();
+        counters.request_accepted();
         counters.ended(Ended::Failed, 2);
         assert_eq!(figure(&counters, "results.read.succeeded"), Some(2));
         assert_eq!(figure(&counters, "results.read.declined"), Some(0));
@@ -254,7 +255,7 @@
     fn what_is_taken_and_not_ended_is_outstanding_and_who_left_is_under_no_class() {
         let counters = Counters::default();
         for _ in 0..3 {
-            counters.taken();
+            counters.request_accepted();
         }
         counters.classes(["read"]);
         counters.ended(Ended::Left, 0);
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -8,20 +8,20 @@
 
 /// A version of the list, or what has changed since one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listing {
+pub struct EndpointList {
     /// Its version.
     pub index: u64,
     /// Whether it is the whole list.
     pub whole: bool,
     /// The hosts.
-    pub entries: Vec<Listed>,
+    pub entries: Vec<ListedEndpoint>,
     /// Hosts that it names, of which nothing else can be read: no news of them.
     pub unread: Vec<String>,
 }
 
 /// One host of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedEndpoint {
     /// Its name, the same at every proxy.
     pub name: String,
     /// Where it listens for this proxy.
@@ -42,7 +42,7 @@
 
 /// The list as discovery writes it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct RawListing {
+pub struct RawEndpointList {
     index: u64,
     #[serde(default)]
     snapshot: bool,
@@ -89,10 +89,10 @@
     pub problem: String,
 }
 
-impl RawListing {
+impl RawEndpointList {
     /// Turns names into numbers. An entry that cannot be read, or without a sensible address or state, is left out, and
     /// told.
-    pub fn check(self, zones: &[String]) -> (Listing, Vec<EntryError>) {
+    pub fn check(self, zones: &[String]) -> (EndpointList, Vec<EntryError>) {
         let (mut entries, mut problems) = (Vec::new(), Vec::new());
         for raw in self.endpoints {
             let entry: Result<RawEntry, _> = serde_json::from_str(raw.get());
@@ -104,7 +104,7 @@
             }
         }
         let unread = problems.iter().map(|problem| problem.name.clone()).collect();
-        (Listing { index: self.index, whole: self.snapshot, entries, unread }, problems)
+        (EndpointList { index: self.index, whole: self.snapshot, entries, unread }, problems)
     }
 }
 
@@ -115,7 +115,7 @@
 }
 
 impl RawEntry {
-    fn check(self, zones: &[String]) -> Result<Listed, EntryError> {
+    fn check(self, zones: &[String]) -> Result<ListedEndpoint, EntryError> {
         let state = match self.status.as_str() {
             "up" => Ok(HostState::Running),
             "draining" => Ok(HostState::Draining),
@@ -124,7 +124,7 @@
         };
         let address = self.address.parse().map_err(|_| format!("`{}` is no address", self.address));
         match (state, address) {
-            (Ok(state), Ok(address)) => Ok(Listed {
+            (Ok(state), Ok(address)) => Ok(ListedEndpoint {
                 // A zone that the settings do not name is none of ours.
                 zone: zones.iter().position(|z| *z == self.zone).unwrap_or(zones.len()) as u32,
                 since: Some(Timestamp((self.since_ms * 1e3) as i64)).filter(|at| at.0 > 0),
--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -4,7 +4,7 @@
 //! them at once, and nothing that it does waits for the module or a ledger host. What a call means is decided
 //! by [`call`], without I/O; the figures are the counters' and the drain's state is the door's.
 
-use super::peers::Questions;
+use super::peers::MembershipQueries;
 use super::shortage;
 use super::socket::Socket;
 use crate::counters::Counters;
@@ -72,7 +72,7 @@
 
 /// What the console reads and sets.
 #[derive(Clone, Debug)]
-pub(crate) struct Desk {
+pub(crate) struct AdminState {
     pub counters: Arc<Counters>,
     /// Whether the proxy can serve.
     pub ready: watch::Receiver<bool>,
@@ -83,10 +83,10 @@
     /// Since when SIGTERM drains it.
     pub draining: watch::Receiver<Option<Instant>>,
     /// Where the fleet is asked for, if there is one.
-    pub fleet: Option<Questions>,
+    pub fleet: Option<MembershipQueries>,
 }
 
-impl Desk {
+impl AdminState {
     /// Whether the empty query, the front's check, is to hear yes: ready, and not quiesced. During a drain by
     /// SIGTERM clients that still come are served.
     pub fn serving(&self) -> bool {
@@ -122,7 +122,7 @@
     }
 }
 
-impl Desk {
+impl AdminState {
     async fn hear(&self, call: Call) -> (StatusCode, String) {
         match &self.fleet {
             Some(fleet) if call == Call::Fleet => {
@@ -160,7 +160,7 @@
 }
 
 /// Answers callers until the task is ended, so many at once: each holds a descriptor.
-pub(crate) async fn serve(listener: TcpListener, desk: Desk, callers: usize) {
+pub(crate) async fn serve(listener: TcpListener, desk: AdminState, callers: usize) {
     let mut served = JoinSet::new();
     // Those who are served, the longest here first.
     let mut handles: VecDeque<AbortHandle> = VecDeque::new();
@@ -191,7 +191,7 @@
 }
 
 /// Answers one caller, or closes on it in time.
-async fn answer(stream: TcpStream, desk: Desk) {
+async fn answer(stream: TcpStream, desk: AdminState) {
     let service = hyper::service::service_fn(move |request: hyper::Request<Incoming>| {
         let (call, head) = (call(request.method(), request.uri().path()), request.method() == Method::HEAD);
         let desk = desk.clone();
@@ -232,8 +232,8 @@
         assert_eq!(call(&Method::GET, "/"), Call::Unknown);
     }
 
-    fn desk(ready: bool) -> Desk {
-        Desk {
+    fn desk(ready: bool) -> AdminState {
+        AdminState {
             counters: Arc::default(),
             ready: watch::channel(ready).1,
             quiesced: Arc::new(watch::channel(None).0),
@@ -247,7 +247,7 @@
     fn health_says_no_before_ready_and_while_quiesced_and_yes_after_resume() {
         let desk = desk(false);
         assert_eq!(desk.answer(Call::Health).0, StatusCode::SERVICE_UNAVAILABLE);
-        let desk = Desk { ready: watch::channel(true).1, ..desk };
+        let desk = AdminState { ready: watch::channel(true).1, ..desk };
         assert_eq!(desk.answer(Call::Health).0, StatusCode::OK);
         assert_eq!(desk.answer(Call::Quiesce).0, StatusCode::OK);
         let first = *desk.quiesced.borrow();
@@ -263,7 +263,7 @@
         use super::*;
         use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-        async fn console(ready: bool) -> (std::net::SocketAddr, Desk) {
+        async fn console(ready: bool) -> (std::net::SocketAddr, AdminState) {
             let listener = bind("127.0.0.1:0".parse().unwrap()).await.unwrap();
             let (address, desk) = (listener.local_addr().unwrap(), desk(ready));
             tokio::spawn(serve(listener, desk.clone(), 6));
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -2,20 +2,22 @@
 
 use super::clock::Clock;
 use super::memory::Memory;
-use super::messages::{Answer, Arrival, AttemptEnd, Event, Invalid, Mail, Probe, Request, Statement};
+use super::messages::{
+    Answer, Arrival, AttemptEnd, ClientMessage, CoreEvent, HealthCheckResult, Invalid, Request, Statement,
+};
 use super::rejections::Rejections;
 use super::socket::Presence;
 use super::upstream::{self, Command, Peer};
-use crate::budget::Ticket;
+use crate::budget::Reservation;
 use crate::config::Config;
 use crate::counters::{Counters, Ended};
-use crate::endpoint_list::{Listed, Listing};
+use crate::endpoint_list::{EndpointList, ListedEndpoint};
 use crate::interface::{
     Action, AttemptResult, EndpointEntry, EndpointUpdate, Event as Told, Freshness, HostId, HostState,
     Idempotency, KeyScope, LoadReport, LogPosition, Outcome, ReadRequirement, RequestId, Role, SettingsError,
     TimeDelta, Timestamp,
 };
-use crate::rejection_reason::Reason;
+use crate::rejection_reason::RejectionReason;
 use crate::state::host_clock::{HostClock, Sample};
 use crate::Router;
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -41,7 +43,7 @@
     statement: Statement,
     deadline: Instant,
     /// Where the answer goes; none once it went.
-    client: Option<mpsc::Sender<Mail>>,
+    client: Option<mpsc::Sender<ClientMessage>>,
     presence: Presence,
     last_call: Option<Key>,
     /// Its answer is due before its own deadline, since others behind it on its connection wait for it.
@@ -55,7 +57,7 @@
     /// Its class, by number, as the settings at its arrival had it.
     class: usize,
     /// What it costs to hold.
-    _room: Ticket,
+    _room: Reservation,
 }
 
 /// A ledger host's actor, and what keeps it.
@@ -79,7 +81,7 @@
     clock: Clock,
     /// What positions, starts and the times of writes are told in.
     host_clock: HostClock,
-    events: mpsc::Sender<Event>,
+    events: mpsc::Sender<CoreEvent>,
     members: HashMap<HostId, Member>,
     /// How many hosts there ever were: numbers are not used again.
     hosts: u32,
@@ -105,7 +107,7 @@
     pub fn new(
         config: Config,
         clock: Clock,
-        events: mpsc::Sender<Event>,
+        events: mpsc::Sender<CoreEvent>,
         ready: watch::Sender<bool>,
         counters: Arc<Counters>,
         rejections: Rejections,
@@ -140,7 +142,7 @@
         })
     }
 
-    pub async fn run(mut self, mut mailbox: mpsc::Receiver<Event>) {
+    pub async fn run(mut self, mut mailbox: mpsc::Receiver<CoreEvent>) {
         if let Some(known) = self.config.known.take() {
             self.list(known, EndpointUpdate::Cached).await;
         }
@@ -160,33 +162,33 @@
         }
     }
 
-    async fn event(&mut self, event: Event) {
+    async fn event(&mut self, event: CoreEvent) {
         match event {
-            Event::Arrival(arrival) => self.arrival(*arrival).await,
-            Event::ClientLeft(id) => {
+            CoreEvent::RequestArrived(arrival) => self.arrival(*arrival).await,
+            CoreEvent::ClientDisconnected(id) => {
                 if self.close(id, Ended::Left).is_some() {
                     self.tell(Told::ClientDisconnected(id)).await;
                 }
                 self.withdraw(id).await;
                 self.forget(id);
             }
-            Event::Tightened { id, due } => self.tighten(id, due),
-            Event::Ended(end) => self.ended(*end).await,
-            Event::Probed(Probe { host, outcome, latency, report }) => {
+            CoreEvent::DeadlineShortened { id, due } => self.tighten(id, due),
+            CoreEvent::AttemptEnded(end) => self.ended(*end).await,
+            CoreEvent::HealthChecked(HealthCheckResult { host, outcome, latency, report }) => {
                 self.back(host);
                 let report = report.map(|report| self.in_local_time(host, report));
                 self.tell(Told::HealthChecked { host, outcome, latency, report }).await;
             }
-            Event::Retune(config) => {
+            CoreEvent::Reconfigured(config) => {
                 self.router.retune(config.settings.clone());
                 self.config = *config;
             }
-            Event::Drains(by) => {
+            CoreEvent::DrainStarted(by) => {
                 for key in self.table.values().filter_map(|held| held.last_call.as_ref()) {
                     bring_forward(&mut self.timers, key, by);
                 }
             }
-            Event::List(list) => {
+            CoreEvent::EndpointList(list) => {
                 let kind = if list.whole { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
                 self.list(list, kind).await;
             }
@@ -197,22 +199,22 @@
 
     async fn arrival(&mut self, arrival: Arrival) {
         let Arrival { id, request, arrived, due, client, presence } = arrival;
-        self.counters.taken();
+        self.counters.request_accepted();
         let class = request.class;
         let settings = &self.config.settings;
         let retry_after = settings.retry_after_allowed.then_some(settings.max_retry_after);
         // Before the first list no group is known, but any may come.
         let refused = if self.groups.is_empty() {
-            Some((Reason::NotReady, "the list of ledger hosts has not come yet"))
+            Some((RejectionReason::NotReady, "the list of ledger hosts has not come yet"))
         } else if self.open >= self.config.most_held {
-            Some((Reason::Held, "as many requests are held as may be"))
+            Some((RejectionReason::Held, "as many requests are held as may be"))
         } else {
             None
         };
         if let Some((reason, what)) = refused {
             self.rejections.record(reason, what);
-            self.counters.ended(Ended::Refused, class);
-            return mail(&client, id, Answer::Refused { retry_after });
+            self.counters.ended(Ended::Rejected, class);
+            return mail(&client, id, Answer::Rejected { retry_after });
         }
         // The module would hold a request of a group that does not exist until its client leaves.
         if !self.groups.contains(&request.group) {
@@ -229,18 +231,27 @@
             Ok(room) => room,
             Err(refused) => {
                 self.names.remove(&request.name);
-                self.rejections.record(Reason::Memory, "there is no room for a request");
-                self.counters.ended(Ended::Refused, class);
-                let retry_after = retry_after.and(refused.refusal.retry_after);
-                return mail(&client, id, Answer::Refused { retry_after });
+                self.rejections.record(RejectionReason::Memory, "there is no room for a request");
+                self.counters.ended(Ended::Rejected, class);
+                let retry_after = retry_after.and(refused.rejection.retry_after);
+                return mail(&client, id, Answer::Rejected { retry_after });
             }
         };
-        let deadline = arrived + request.wait.saturating_sub(RESPONSE_MARGIN.min(request.wait / 10));
-        let last_call = last_call(arrived, due.min(arrived + request.wait));
+        let deadline = arrived + request.timeout.saturating_sub(RESPONSE_MARGIN.min(request.timeout / 10));
+        let last_call = last_call(arrived, due.min(arrived + request.timeout));
         let last_call = Some(self.timers.insert_at(Due::LastCall(id), last_call));
         let is_tightened = due < deadline;
         let ttl = micros(deadline.saturating_duration_since(Instant::now()));
-        let Request { tenant, group, session, again, last_write, name, statement, .. } = request;
+        let Request {
+            tenant,
+            group,
+            session,
+            is_client_retry: again,
+            last_write_at: last_write,
+            name,
+            statement,
+            ..
+        } = request;
         // One that stands ahead of the clock was made just now.
         let since_write =
             last_write.map(|at| TimeDelta((self.clock.at(arrived).0 - self.host_clock.local(at).0).max(1)));
@@ -284,7 +295,7 @@
     }
 
     /// Takes the way to the client of a request that ends now.
-    fn close(&mut self, id: RequestId, how: Ended) -> Option<mpsc::Sender<Mail>> {
+    fn close(&mut self, id: RequestId, how: Ended) -> Option<mpsc::Sender<ClientMessage>> {
         let held = self.table.get_mut(&id)?;
         let client = held.client.take()?;
         if let Some(key) = held.last_call.take() {
@@ -321,7 +332,7 @@
                 || matches!(repeat, Some(Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All)));
             if *is_tightened {
                 let what = format_args!("a request without an answer, sent {} times", sent.len());
-                self.rejections.record(Reason::Order, what);
+                self.rejections.record(RejectionReason::Order, what);
             } else {
                 tracing::warn!("request {}: no answer by its deadline; sent to {sent:?}, {out} out", id.0);
             }
@@ -329,7 +340,7 @@
         let retry_after =
             self.config.settings.retry_after_allowed.then_some(self.config.settings.max_retry_after);
         let (how, answer) = match harmless {
-            true => (Ended::Refused, Answer::Refused { retry_after }),
+            true => (Ended::Rejected, Answer::Rejected { retry_after }),
             false => (Ended::Failed, Answer::Failed),
         };
         if let Some(client) = self.close(id, how) {
@@ -440,8 +451,8 @@
 
     // ---- The list --------------------------------------------------------------------------------------
 
-    async fn list(&mut self, list: Listing, kind: EndpointUpdate) {
-        self.counters.list();
+    async fn list(&mut self, list: EndpointList, kind: EndpointUpdate) {
+        self.counters.endpoint_list();
         let now = Instant::now();
         let mut entries = Vec::with_capacity(list.entries.len());
         let mut named = HashSet::new();
@@ -449,7 +460,7 @@
             let host = self.number(&listed);
             named.insert(host);
             self.groups.insert(listed.group);
-            let Listed { group, zone, weight, state, since, .. } = listed;
+            let ListedEndpoint { group, zone, weight, state, since, .. } = listed;
             let since = since.map(|since| self.host_clock.local(since));
             let entry = EndpointEntry {
                 host,
@@ -465,8 +476,8 @@
                 member.gone = (listed.state == HostState::Removed).then(|| member.gone.unwrap_or(now));
                 // A host's actor hears of it before any send that the module decides on from now on.
                 let protocol = self.config.operator.hosts.protocol(&listed.kind);
-                let Listed { address, state, .. } = listed;
-                member.peer.tell(Command::Listed { address, protocol, state }).await;
+                let ListedEndpoint { address, state, .. } = listed;
+                member.peer.tell(Command::ListedEndpoint { address, protocol, state }).await;
             }
             entries.push(entry);
         }
@@ -510,7 +521,7 @@
     }
 
     /// The number of a host: one for each name, though its address may change, until it is let go.
-    fn number(&mut self, listed: &Listed) -> HostId {
+    fn number(&mut self, listed: &ListedEndpoint) -> HostId {
         if let Some(host) = self.numbers.get(&listed.name) {
             return *host;
         }
@@ -557,10 +568,12 @@
                 if let Some(held) = self.table.get(&id) {
                     let class = self.config.names.classes.get(held.class).map_or("", |c| c.name.as_str());
                     let sent = held.sent.len();
-                    self.rejections
-                        .record(Reason::Policy, format_args!("a request of `{class}`, sent {sent} times"));
+                    self.rejections.record(
+                        RejectionReason::Policy,
+                        format_args!("a request of `{class}`, sent {sent} times"),
+                    );
                 }
-                self.answer(id, Ended::Refused, Answer::Refused { retry_after });
+                self.answer(id, Ended::Rejected, Answer::Rejected { retry_after });
             }
             Action::Fail { id } => self.answer(id, Ended::Failed, Answer::Failed),
             Action::CancelAttempt { id, attempt } => {
@@ -570,7 +583,7 @@
                 }
             }
             Action::HealthCheck { host } => {
-                self.counters.probe();
+                self.counters.health_check();
                 if let Some(member) = self.members.get_mut(&host) {
                     member.out += 1;
                     member.peer.tell(Command::Probe { sent: Instant::now() }).await;
@@ -630,7 +643,7 @@
         };
         let timeout = timeout.map(|t| now + Duration::from_micros(t.0.max(0) as u64));
         let deadline = timeout.map_or(held.deadline, |at| at.min(held.deadline));
-        self.counters.sent();
+        self.counters.attempt_sent();
         let (statement, presence) = (held.statement.clone(), held.presence.clone());
         member.out += 1;
         let attempt = upstream::Attempt { id, attempt, statement, presence, sent: now, deadline, until };
@@ -652,9 +665,9 @@
     due - FINAL_REPLY_MARGIN.min(due.saturating_duration_since(since) / 20)
 }
 
-fn mail(client: &mpsc::Sender<Mail>, id: RequestId, answer: Answer) {
+fn mail(client: &mpsc::Sender<ClientMessage>, id: RequestId, answer: Answer) {
     // Fails only when the client has left: each request has one answer, and the mailbox holds those of all that run.
-    let _ = client.try_send(Mail::Answer(id, answer));
+    let _ = client.try_send(ClientMessage::Answer(id, answer));
 }
 
 fn micros(span: Duration) -> TimeDelta {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,10 +1,10 @@
 //! The actor that follows the list of ledger hosts: one watch after another, each until it ends or shows no sign of life.
 
-use super::messages::Event;
+use super::messages::CoreEvent;
 use super::socket::Socket;
 use super::values::{Value, ValueError, Values};
-use crate::endpoint_list::RawListing;
-use crate::membership::Asking;
+use crate::endpoint_list::RawEndpointList;
+use crate::membership::DiscoveryRetry;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
@@ -51,8 +51,8 @@
     mut address: watch::Receiver<SocketAddr>,
     zones: Vec<String>,
     mut since: Option<u64>,
-    mut asking: Asking,
-    events: mpsc::Sender<Event>,
+    mut asking: DiscoveryRetry,
+    events: mpsc::Sender<CoreEvent>,
 ) {
     let mut wait = asking.first();
     loop {
@@ -90,7 +90,7 @@
 
 /// Opens a watch from that version on. A call that is not answered has others beside it, as many as `asking` allows:
 /// the first answer counts.
-async fn open(address: SocketAddr, since: Option<u64>, asking: &Asking) -> Result<Watch, ListError> {
+async fn open(address: SocketAddr, since: Option<u64>, asking: &DiscoveryRetry) -> Result<Watch, ListError> {
     let mut calls = JoinSet::new();
     for _ in 0..asking.calls() {
         calls.spawn(call(address, since));
@@ -147,7 +147,7 @@
         mut self,
         zones: &[String],
         since: &mut Option<u64>,
-        events: &mpsc::Sender<Event>,
+        events: &mpsc::Sender<CoreEvent>,
     ) -> Result<(), ListError> {
         loop {
             let frame = timeout_at(self.alive + SILENCE, self.body.frame()).await;
@@ -155,13 +155,13 @@
             self.values.push(frame.data_ref().map_or(&[], |data| &data[..]));
             while let Some(value) = self.values.next()? {
                 if let Value::Object(text) = value {
-                    let (listing, problems) = serde_json::from_slice::<RawListing>(&text)?.check(zones);
+                    let (listing, problems) = serde_json::from_slice::<RawEndpointList>(&text)?.check(zones);
                     // One bad entry must not cost the others: the watch would be resumed before it again and again.
                     problems.iter().for_each(|problem| tracing::warn!("discovery: {problem}"));
                     // A watch that is dropped here, for another address, has not told this: the version stays behind.
                     let Ok(room) = events.reserve().await else { return Ok(()) };
                     *since = Some(listing.index);
-                    room.send(Event::List(listing));
+                    room.send(CoreEvent::EndpointList(listing));
                 }
                 self.alive = Instant::now();
             }
--- a/src/net/frontend/client/mod.rs
+++ b/src/net/frontend/client/mod.rs
@@ -15,10 +15,10 @@
 use super::postgres::Postgres;
 use super::tds::Tds;
 use super::Acceptor;
-use crate::budget::{AccountId, Ticket};
+use crate::budget::{AccountId, Reservation};
 use crate::interface::RequestId;
 use crate::net::memory::Reclaim;
-use crate::net::messages::Mail;
+use crate::net::messages::ClientMessage;
 use crate::net::socket::Socket;
 use crate::pipeline::{Limits, Pipeline};
 use crate::protocol::Protocol;
@@ -98,9 +98,9 @@
     /// Until it has asked for something: the same, if all seats are taken.
     pub idle_new_connection: Option<Arc<Notify>>,
     /// What its connection costs.
-    pub _connection: Ticket,
+    pub _connection: Reservation,
     /// What its buffers cost.
-    pub buffers: Ticket,
+    pub buffers: Reservation,
     /// What the log shows of it.
     pub entry: ConnectionEntry,
     /// Buffers that have to be given back.
@@ -112,14 +112,14 @@
     conversation: C,
     acceptor: Acceptor,
     id: I,
-    mailbox: mpsc::Receiver<Mail>,
-    address: mpsc::Sender<Mail>,
+    mailbox: mpsc::Receiver<ClientMessage>,
+    address: mpsc::Sender<ClientMessage>,
     read: BytesMut,
     out: BytesMut,
     /// Requests whose answers are not written yet.
     pipeline: Pipeline<Pending, Reply>,
     /// Memory for the answers of requests that run behind others.
-    answer_room: HashMap<RequestId, Ticket>,
+    answer_room: HashMap<RequestId, Reservation>,
     /// The client has ended its side.
     ended: bool,
     /// Why the connection ends once all requests are answered; nothing further is read then.
@@ -186,7 +186,7 @@
     let (read, out) = (BytesMut::with_capacity(1024), BytesMut::with_capacity(1024));
     let came = Instant::now();
     let admitted_over_limit = taken(&admission.seat) > acceptor.limit;
-    let account = acceptor.memory.strangers();
+    let account = acceptor.memory.unidentified_clients();
     let drains = DrainSignals::of(&acceptor);
     let mut client = Client {
         stream: stream.into(),
@@ -290,7 +290,7 @@
         // Buffers shrink a little with each message taken: only whole steps are worth accounting for.
         let bytes = (buffers + self.pipeline.waiting_bytes()).next_multiple_of(STEP) as u64;
         let held = self.acceptor.memory.hold(&mut self.admission.buffers, self.account, bytes);
-        held.map_err(|refused| Fault::Refused(refused.refusal.retry_after))
+        held.map_err(|refused| Fault::Refused(refused.rejection.retry_after))
     }
 
     fn full(&self) -> bool {
--- a/src/net/frontend/client/requests.rs
+++ b/src/net/frontend/client/requests.rs
@@ -7,11 +7,11 @@
 use crate::net::frontend::conversation::{Conversation, Step};
 use crate::net::frontend::fault::Fault;
 use crate::net::frontend::request;
-use crate::net::messages::{Answer, Arrival, Event, Request, Value};
+use crate::net::messages::{Answer, Arrival, CoreEvent, Request, Value};
 use crate::net::socket::{is_ready, left};
 use crate::net::stream::{Part, Parts, Rest};
 use crate::pipeline::{Access, Demand, Started};
-use crate::rejection_reason::Reason;
+use crate::rejection_reason::RejectionReason;
 use bytes::{Bytes, BytesMut};
 use std::io;
 use std::sync::Arc;
@@ -107,7 +107,7 @@
                 bytes = value.messages.as_ref().unwrap_or(&value.content).len();
                 Reply::Value(value)
             }
-            Answer::Refused { retry_after } => Reply::Fault(Fault::Refused(retry_after)),
+            Answer::Rejected { retry_after } => Reply::Fault(Fault::Refused(retry_after)),
             Answer::Failed => Reply::Fault(Fault::Failed),
             Answer::Invalid(problem) => {
                 let fault = Fault::Invalid(problem);
@@ -191,13 +191,13 @@
         }
         if self.full() {
             // Without a time to come back at, a crowd would be back at once.
-            self.acceptor.rejections.record(Reason::Seat, "all seats are taken");
+            self.acceptor.rejections.record(RejectionReason::Seat, "all seats are taken");
             return self.push_reply(Reply::Fault(Fault::Refused(self.acceptor.retry_after())));
         }
         let demand = Demand {
             id: (self.id)(),
             access: request.session.map(|key| Access { group: request.group, key, write: request.write }),
-            deadline: self.acceptor.clock.at(self.read_at + request.wait),
+            deadline: self.acceptor.clock.at(self.read_at + request.timeout),
             bytes: request.statement.text.len(),
         };
         self.pipeline.push(demand, Pending { request, arrived: self.read_at });
@@ -238,7 +238,7 @@
     async fn tighten(&mut self) -> Result<(), Over> {
         for tightened in self.pipeline.tightened() {
             let due = self.acceptor.clock.moment(tightened.due);
-            self.send(Event::Tightened { id: tightened.id, due }).await?;
+            self.send(CoreEvent::DeadlineShortened { id: tightened.id, due }).await?;
         }
         Ok(())
     }
@@ -257,12 +257,12 @@
             self.acceptor.counters.pipelined();
         }
         if let Some(by) = self.acceptor.answers() {
-            request.wait = request.wait.min(by.saturating_duration_since(arrived));
+            request.timeout = request.timeout.min(by.saturating_duration_since(arrived));
         }
         let due = self.acceptor.clock.moment(due);
         let (client, presence) = (self.address.clone(), self.stream.presence());
         let arrival = Arrival { id, request, arrived, due, client, presence };
-        self.send(Event::Arrival(Box::new(arrival))).await?;
+        self.send(CoreEvent::RequestArrived(Box::new(arrival))).await?;
         Ok(true)
     }
 
@@ -340,10 +340,10 @@
     async fn withdraw(&mut self, id: RequestId) {
         self.answer_room.remove(&id);
         // Fails only when the module has ended.
-        let _ = self.send(Event::ClientLeft(id)).await;
+        let _ = self.send(CoreEvent::ClientDisconnected(id)).await;
     }
 
-    async fn send(&self, event: Event) -> Result<(), Over> {
+    async fn send(&self, event: CoreEvent) -> Result<(), Over> {
         self.acceptor.events.send(event).await.map_err(|_| Over::Closed(CloseReason::ModuleEnded))
     }
 }
--- a/src/net/frontend/client/waiting.rs
+++ b/src/net/frontend/client/waiting.rs
@@ -8,10 +8,10 @@
 use crate::net::frontend::conversation::Conversation;
 use crate::net::frontend::fault::Fault;
 use crate::net::memory::Reclaim;
-use crate::net::messages::Mail;
+use crate::net::messages::ClientMessage;
 use crate::net::socket::Socket;
 use crate::net::socket::{left, unread};
-use crate::rejection_reason::Reason;
+use crate::rejection_reason::RejectionReason;
 use bytes::BytesMut;
 use std::io;
 use std::sync::Arc;
@@ -84,7 +84,7 @@
         let Self { stream, read, mailbox, registration, drains, .. } = self;
         tokio::select! {
             biased;
-            Some(Mail::Answer(id, answer)) = mailbox.recv() => self.take_answer(id, answer),
+            Some(ClientMessage::Answer(id, answer)) = mailbox.recv() => self.take_answer(id, answer),
             read = take_in(stream, read, intake), if !self.ended => match read {
                 Ok(1..) if intake == Intake::Notice => self.finish_now(),
                 read => self.take_bytes(read).await?,
@@ -124,7 +124,7 @@
                 }
             }
             () = notified(signals.idle_new_connection.as_deref()) => {
-                self.acceptor.rejections.record(Reason::Seat, "a new connection that asked for nothing made room");
+                self.acceptor.rejections.record(RejectionReason::Seat, "a new connection that asked for nothing made room");
                 return Err(Over::Seat(Fault::Refused(self.acceptor.retry_after())));
             }
             () = reached(closes), if closes.is_some() => {
--- a/src/net/frontend/fault.rs
+++ b/src/net/frontend/fault.rs
@@ -4,7 +4,7 @@
 use crate::net::messages::Invalid;
 use crate::pgwire::{self, StatementError, WireError};
 use crate::protocol::Protocol;
-use crate::rejection_reason::Reason;
+use crate::rejection_reason::RejectionReason;
 use bytes::{BufMut, BytesMut};
 use wheelpier_tds::{
     numbers, put_done, put_error, put_message, Done, DoneKind, Notice, PacketType, Status, PACKET_SIZE,
@@ -101,20 +101,20 @@
     }
 
     /// As figures and logs name it; none where nothing is turned away, or where whoever did so has told.
-    pub fn reason(&self) -> Option<Reason> {
+    pub fn reason(&self) -> Option<RejectionReason> {
         Some(match self {
             Self::Refused(_) | Self::Failed | Self::Left | Self::Cancelled => return None,
-            Self::NotReady => Reason::NotReady,
-            Self::Encoding => Reason::Encoding,
-            Self::Statement(StatementError::Form) | Self::Syntax(_) => Reason::Form,
-            Self::Statement(StatementError::Lacks(_)) => Reason::Lacks,
-            Self::Statement(StatementError::Twice(_)) => Reason::Twice,
-            Self::Statement(StatementError::Value(_)) => Reason::Value,
+            Self::NotReady => RejectionReason::NotReady,
+            Self::Encoding => RejectionReason::Encoding,
+            Self::Statement(StatementError::Form) | Self::Syntax(_) => RejectionReason::Form,
+            Self::Statement(StatementError::Lacks(_)) => RejectionReason::Lacks,
+            Self::Statement(StatementError::Twice(_)) => RejectionReason::Twice,
+            Self::Statement(StatementError::Value(_)) => RejectionReason::Value,
             Self::Invalid(problem) => problem.reason(),
-            Self::Unsupported(_) | Self::Foreign(_) => Reason::Unsupported,
-            Self::TooLong => Reason::TooLong,
-            Self::Broken(_) => Reason::Broken,
-            Self::Login(_) => Reason::Login,
+            Self::Unsupported(_) | Self::Foreign(_) => RejectionReason::Unsupported,
+            Self::TooLong => RejectionReason::TooLong,
+            Self::Broken(_) => RejectionReason::Broken,
+            Self::Login(_) => RejectionReason::Login,
         })
     }
 
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -14,9 +14,9 @@
 pub(crate) use connections::{report_drains, ConnectionRegistry};
 
 use super::clock::Clock;
-use super::console::Desk;
+use super::console::AdminState;
 use super::memory::{Memory, Reclaim};
-use super::messages::Event;
+use super::messages::CoreEvent;
 use super::rejections::Rejections;
 use super::shortage;
 use crate::config::{Config, Names, OVERFLOW};
@@ -26,7 +26,7 @@
 use crate::interface::{RequestId, TimeDelta};
 use crate::pipeline::Limits;
 use crate::protocol::Protocol;
-use crate::rejection_reason::Reason;
+use crate::rejection_reason::RejectionReason;
 use std::collections::VecDeque;
 use std::future::poll_fn;
 use std::io;
@@ -57,11 +57,11 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Acceptor {
     pub clock: Clock,
-    pub events: mpsc::Sender<Event>,
+    pub events: mpsc::Sender<CoreEvent>,
     /// What of the settings concerns clients; new at SIGHUP.
-    pub terms: watch::Receiver<Arc<Terms>>,
+    pub terms: watch::Receiver<Arc<FrontendSettings>>,
     /// Whether the empty query hears yes, and since when the console drains.
-    pub desk: Desk,
+    pub desk: AdminState,
     /// When SIGTERM came.
     pub draining: watch::Receiver<Option<Instant>>,
     pub counters: Arc<Counters>,
@@ -79,7 +79,7 @@
 
 /// What of the settings concerns clients.
 #[derive(Clone, Debug)]
-pub(crate) struct Terms {
+pub(crate) struct FrontendSettings {
     /// What classes and tenants are called.
     pub names: Names,
     /// When a drain does what.
@@ -88,7 +88,7 @@
     pub retry_after: Option<TimeDelta>,
 }
 
-impl Terms {
+impl FrontendSettings {
     /// The terms in a configuration. Classes that take no more requests have no part in the drain's spans.
     pub fn of(config: &Config) -> Self {
         let classes = config.names.classes.iter().zip(&config.settings.classes);
@@ -271,9 +271,9 @@
                     let room = match taken < acceptor.limit + OVERFLOW {
                         true => {
                             let room = acceptor.memory.connection().ok().zip(acceptor.memory.buffers().ok());
-                            room.ok_or(Reason::Memory)
+                            room.ok_or(RejectionReason::Memory)
                         }
-                        false => Err(Reason::Seat),
+                        false => Err(RejectionReason::Seat),
                     };
                     if let Err(reason) = room {
                         acceptor.rejections.record(reason, "a connection is closed at the acceptor");
@@ -302,7 +302,7 @@
                     }
                 }
                 Err(problem) if shortage::is_exhausted(&problem) => {
-                    acceptor.rejections.record(Reason::Local, format_args!("accept: {problem}"));
+                    acceptor.rejections.record(RejectionReason::Local, format_args!("accept: {problem}"));
                     pressure.send_replace(());
                     rests_until = Some(Instant::now() + ACCEPT_BACKOFF);
                 }
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -43,9 +43,9 @@
         group: comment.group,
         write,
         session,
-        again: comment.again,
-        last_write,
-        wait: Duration::try_from_secs_f64(comment.wait_ms / 1e3).map_or(MOST_WAIT, |d| d.min(MOST_WAIT)),
+        is_client_retry: comment.again,
+        last_write_at: last_write,
+        timeout: Duration::try_from_secs_f64(comment.wait_ms / 1e3).map_or(MOST_WAIT, |d| d.min(MOST_WAIT)),
         name: comment.id,
         statement: Statement { wait_at: comment.wait_at, value_at, text },
     })
--- a/src/net/memory.rs
+++ b/src/net/memory.rs
@@ -2,11 +2,11 @@
 //! not given back in time.
 
 use super::clock::Clock;
-use crate::budget::plan::{Plan, SOLE};
-use crate::budget::{AccountId, Budget, Due, Purpose, Refused, Ticket, PURPOSES};
+use crate::budget::plan::{Plan, ONLY_ACCOUNT};
+use crate::budget::{AccountId, Budget, BudgetExceeded, PendingRecall, Purpose, Reservation, PURPOSES};
 use crate::interface::Timestamp;
 use crate::pgwire;
-use crate::state::rate_limited_log::Telling;
+use crate::state::rate_limited_log::RateLimitedLog;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
 use std::time::Duration;
@@ -58,11 +58,11 @@
     }
 
     /// The account of those who have not said what they want.
-    pub fn strangers(&self) -> AccountId {
-        self.plan.strangers()
+    pub fn unidentified_clients(&self) -> AccountId {
+        self.plan.unidentified_clients()
     }
 
-    fn told<T>(&self, taken: Result<T, Refused>) -> Result<T, Refused> {
+    fn told<T>(&self, taken: Result<T, BudgetExceeded>) -> Result<T, BudgetExceeded> {
         if taken.is_err() {
             self.refused.notify_one();
         }
@@ -73,23 +73,28 @@
     ///
     /// # Errors
     /// When there is none.
-    pub fn connection(&self) -> Result<Ticket, Refused> {
-        self.told(self.budget.reserve(Purpose::Connections, SOLE, CONNECTION, self.clock.now()))
+    pub fn connection(&self) -> Result<Reservation, BudgetExceeded> {
+        self.told(self.budget.reserve(Purpose::Connections, ONLY_ACCOUNT, CONNECTION, self.clock.now()))
     }
 
     /// Room for a client's buffers, of which none are there yet.
     ///
     /// # Errors
     /// Never: nothing always fits.
-    pub fn buffers(&self) -> Result<Ticket, Refused> {
-        self.budget.reserve(Purpose::ClientBuffers, self.strangers(), 0, self.clock.now())
+    pub fn buffers(&self) -> Result<Reservation, BudgetExceeded> {
+        self.budget.reserve(Purpose::ClientBuffers, self.unidentified_clients(), 0, self.clock.now())
     }
 
     /// Makes a ticket stand for so many bytes of an account.
     ///
     /// # Errors
     /// When there is no room; the ticket then stands for what it did.
-    pub fn hold(&self, ticket: &mut Ticket, account: AccountId, bytes: u64) -> Result<(), Refused> {
+    pub fn hold(
+        &self,
+        ticket: &mut Reservation,
+        account: AccountId,
+        bytes: u64,
+    ) -> Result<(), BudgetExceeded> {
         if ticket.bytes() == bytes && ticket.account() == account {
             return Ok(());
         }
@@ -106,7 +111,12 @@
     ///
     /// # Errors
     /// When there is none.
-    pub fn request(&self, class: usize, tenant: usize, statement: usize) -> Result<Ticket, Refused> {
+    pub fn request(
+        &self,
+        class: usize,
+        tenant: usize,
+        statement: usize,
+    ) -> Result<Reservation, BudgetExceeded> {
         let (account, bytes) = (self.account(class, tenant), statement as u64 + REQUEST);
         self.told(self.budget.reserve(Purpose::Requests, account, bytes, self.clock.now()))
     }
@@ -115,7 +125,7 @@
     ///
     /// # Errors
     /// When there is none.
-    pub fn answer(&self, class: usize, tenant: usize) -> Result<Ticket, Refused> {
+    pub fn answer(&self, class: usize, tenant: usize) -> Result<Reservation, BudgetExceeded> {
         let account = self.account(class, tenant);
         let bytes = pgwire::MOST_ANSWER as u64;
         self.told(self.budget.reserve(Purpose::UpstreamBuffers, account, bytes, self.clock.now()))
@@ -131,9 +141,14 @@
     ///
     /// # Errors
     /// When there is none.
-    pub fn large_answer(&self, bytes: usize) -> Result<Ticket, Refused> {
+    pub fn large_answer(&self, bytes: usize) -> Result<Reservation, BudgetExceeded> {
         let now = self.clock.now();
-        self.told(self.budget.reserve(Purpose::UpstreamBuffers, self.strangers(), bytes as u64, now))
+        self.told(self.budget.reserve(
+            Purpose::UpstreamBuffers,
+            self.unidentified_clients(),
+            bytes as u64,
+            now,
+        ))
     }
 
     /// Watches the recalls for ever: what is not given back in time is taken from clients' buffers.
@@ -162,7 +177,7 @@
     }
 }
 
-fn reclaim(due: &Due) -> Option<Arc<Reclaim>> {
+fn reclaim(due: &PendingRecall) -> Option<Arc<Reclaim>> {
     let account = due.account.filter(|_| due.purpose == Purpose::ClientBuffers)?;
     Some(Arc::new(Reclaim { account, left: AtomicU64::new(due.bytes) }))
 }
@@ -170,12 +185,12 @@
 /// Refusals as the log has them.
 struct Refusals {
     seen: [u64; PURPOSES.len()],
-    telling: Telling<Purpose>,
+    telling: RateLimitedLog<Purpose>,
 }
 
 impl Refusals {
     fn new() -> Self {
-        Self { seen: [0; PURPOSES.len()], telling: Telling::new(LOGGED) }
+        Self { seen: [0; PURPOSES.len()], telling: RateLimitedLog::new(LOGGED) }
     }
 
     fn note(&mut self, budget: &Budget, now: Timestamp) {
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,12 +1,12 @@
 //! What the actors say to each other, whatever protocol a client or a ledger host speaks. Types only.
 
-use crate::endpoint_list::Listing;
+use crate::endpoint_list::EndpointList;
 use crate::interface::{
     HostId, LoadReport, LogPosition, Outcome, RequestId, Role, SessionId, TimeDelta, Timestamp,
 };
 use crate::net::socket::Presence;
 use crate::net::stream::Rest;
-use crate::rejection_reason::Reason;
+use crate::rejection_reason::RejectionReason;
 use bytes::Bytes;
 use std::ops::Range;
 use std::time::Duration;
@@ -61,11 +61,11 @@
     /// The session, if the statement names one.
     pub session: Option<SessionId>,
     /// Whether the client marks it as a retry.
-    pub again: bool,
+    pub is_client_retry: bool,
     /// When the session's last write was, on the hosts' clock, where the client tells.
-    pub last_write: Option<Timestamp>,
+    pub last_write_at: Option<Timestamp>,
     /// How long the client waits.
-    pub wait: Duration,
+    pub timeout: Duration,
     /// The client's own name for it: none that is open may bear the same.
     pub name: String,
     /// What goes to the ledger host.
@@ -90,7 +90,7 @@
     /// A ledger host's value, as it wrote it.
     Served(Value),
     /// Refused: trying again is harmless, after that time if there is one.
-    Refused {
+    Rejected {
         /// How long the client should stay away.
         retry_after: Option<TimeDelta>,
     },
@@ -127,43 +127,43 @@
 
 impl Invalid {
     /// As figures and logs name it.
-    pub fn reason(&self) -> Reason {
+    pub fn reason(&self) -> RejectionReason {
         match self {
-            Self::Class(_) => Reason::Class,
-            Self::Kind { .. } => Reason::Kind,
-            Self::Group(_) => Reason::Group,
-            Self::Id => Reason::Id,
-            Self::Parameter(_) => Reason::Value,
+            Self::Class(_) => RejectionReason::Class,
+            Self::Kind { .. } => RejectionReason::Kind,
+            Self::Group(_) => RejectionReason::Group,
+            Self::Id => RejectionReason::Id,
+            Self::Parameter(_) => RejectionReason::Value,
         }
     }
 }
 
 /// What a client's actor is sent.
 #[derive(Debug)]
-pub(crate) enum Mail {
+pub(crate) enum ClientMessage {
     /// The answer to its request.
     Answer(RequestId, Answer),
 }
 
 /// What the module's actor is told.
 #[derive(Debug)]
-pub(crate) enum Event {
+pub(crate) enum CoreEvent {
     /// A client asks.
-    Arrival(Box<Arrival>),
+    RequestArrived(Box<Arrival>),
     /// A client has left before its answer.
-    ClientLeft(RequestId),
+    ClientDisconnected(RequestId),
     /// The answer to a request is due earlier than was said at its arrival: others behind it on its connection wait for it.
-    Tightened { id: RequestId, due: Instant },
+    DeadlineShortened { id: RequestId, due: Instant },
     /// An attempt has ended.
-    Ended(Box<AttemptEnd>),
+    AttemptEnded(Box<AttemptEnd>),
     /// A probe has ended.
-    Probed(Probe),
+    HealthChecked(HealthCheckResult),
     /// The list has changed.
-    List(Listing),
+    EndpointList(EndpointList),
     /// The configuration was read anew at SIGHUP: the module takes its settings.
-    Retune(Box<crate::config::Config>),
+    Reconfigured(Box<crate::config::Config>),
     /// A drain has begun: what is held is answered by then at the latest.
-    Drains(Instant),
+    DrainStarted(Instant),
 }
 
 /// A request that has come.
@@ -174,16 +174,16 @@
     pub arrived: Instant,
     /// By when it has to be answered, for those behind it on its connection too.
     pub due: Instant,
-    pub client: mpsc::Sender<Mail>,
+    pub client: mpsc::Sender<ClientMessage>,
     /// Whether its client is still there.
     pub presence: Presence,
 }
 
 /// A position as a host writes it, in Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Stamp(pub f64);
+pub(crate) struct ReportedPosition(pub f64);
 
-impl Stamp {
+impl ReportedPosition {
     /// In whole milliseconds: a commit up, so that no read misses it; what is applied down, as a lower bound.
     pub fn rounded(self, commit: bool) -> LogPosition {
         let ms = if commit { self.0.ceil() } else { self.0.floor() };
@@ -202,14 +202,14 @@
     pub latency: TimeDelta,
     /// When its last byte was written, if it was.
     pub written: Option<Instant>,
-    pub position: Option<Stamp>,
+    pub position: Option<ReportedPosition>,
     pub role: Option<Role>,
     pub value: Option<Value>,
 }
 
 /// The end of a probe.
 #[derive(Debug)]
-pub(crate) struct Probe {
+pub(crate) struct HealthCheckResult {
     pub host: HostId,
     pub outcome: Outcome,
     pub latency: TimeDelta,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -22,8 +22,8 @@
 use crate::budget::Budget;
 use crate::config::Config;
 use crate::counters::Counters;
-use crate::membership::Asking;
-use crate::peer_metrics::Tally;
+use crate::membership::DiscoveryRetry;
+use crate::peer_metrics::PeerMetrics;
 use crate::protocol::Protocol;
 use frontend::Listeners;
 use memory::Memory;
@@ -64,7 +64,7 @@
     config: Config,
     listeners: Listeners,
     console: Option<tokio::net::TcpListener>,
-    station: Option<peers::Station>,
+    station: Option<peers::PeerListener>,
     counters: Arc<Counters>,
     budget: Budget,
 }
@@ -81,7 +81,7 @@
             None => None,
         };
         let station = match &config.operator.peers {
-            Some(peers) => Some(peers::Station::bind(peers.listen).await?),
+            Some(peers) => Some(peers::PeerListener::bind(peers.listen).await?),
             None => None,
         };
         let budget = config.plan.budget().map_err(io::Error::other)?;
@@ -127,10 +127,10 @@
         let (drain, draining) = watch::channel(None);
         let (quiesce, _) = watch::channel(None);
         let drain_changes = Arc::new(watch::channel(()).0);
-        let (terms, agreed) = watch::channel(Arc::new(frontend::Terms::of(&config)));
+        let (terms, agreed) = watch::channel(Arc::new(frontend::FrontendSettings::of(&config)));
         let clock = clock::Clock::start();
         let fleet = fleet(&config, station, clock, &counters, &draining)?;
-        let desk = console::Desk {
+        let desk = console::AdminState {
             counters: Arc::clone(&counters),
             ready: is_ready.clone(),
             quiesced: Arc::new(quiesce),
@@ -173,8 +173,11 @@
             memory.clone(),
         );
         let core = core.map_err(io::Error::other)?;
-        let asking =
-            Asking::new(config.settings.router_count, config.settings.discovery_is_polled, config.seed);
+        let asking = DiscoveryRetry::new(
+            config.settings.router_count,
+            config.settings.discovery_is_polled,
+            config.seed,
+        );
         let (files, file) = watch::channel(None);
         let drainer = tokio::spawn(drains(drain.subscribe(), terms.subscribe(), events.clone()));
         let retuner = tokio::spawn(retune(file, events.clone(), terms, drain.subscribe()));
@@ -235,13 +238,13 @@
 /// This proxy's part in the fleet, where the operator's file names one.
 fn fleet(
     config: &Config,
-    station: Option<peers::Station>,
+    station: Option<peers::PeerListener>,
     clock: clock::Clock,
     counters: &Counters,
     draining: &watch::Receiver<Option<tokio::time::Instant>>,
-) -> io::Result<Option<(peers::Questions, tokio::task::JoinHandle<()>)>> {
+) -> io::Result<Option<(peers::MembershipQueries, tokio::task::JoinHandle<()>)>> {
     let Some((station, peers)) = station.zip(config.operator.peers.clone()) else { return Ok(None) };
-    let tally = Arc::new(Tally::default());
+    let tally = Arc::new(PeerMetrics::default());
     counters.fleet(Arc::clone(&tally));
     let (name, draining) = (config.name.clone(), draining.clone());
     let streams = config.limits.streams;
@@ -251,13 +254,13 @@
 /// Tells the module of a drain: what waits for hosts that hang has its answer before SIGKILL.
 async fn drains(
     mut draining: watch::Receiver<Option<tokio::time::Instant>>,
-    terms: watch::Receiver<Arc<frontend::Terms>>,
-    events: mpsc::Sender<messages::Event>,
+    terms: watch::Receiver<Arc<frontend::FrontendSettings>>,
+    events: mpsc::Sender<messages::CoreEvent>,
 ) {
     let Ok(Some(since)) = draining.wait_for(Option::is_some).await.map(|since| *since) else { return };
     let by = since + terms.borrow().drain.answers;
     // Fails only when the module has ended, and then so does the process.
-    let _ = events.send(messages::Event::Drains(by)).await;
+    let _ = events.send(messages::CoreEvent::DrainStarted(by)).await;
 }
 
 /// Hands each file that was read anew to the module, and then to the acceptor: a request of a new class must find it there.
@@ -265,14 +268,14 @@
 /// sent SIGTERM counts by the settings of that moment.
 async fn retune(
     mut file: watch::Receiver<Option<Config>>,
-    events: mpsc::Sender<messages::Event>,
-    terms: watch::Sender<Arc<frontend::Terms>>,
+    events: mpsc::Sender<messages::CoreEvent>,
+    terms: watch::Sender<Arc<frontend::FrontendSettings>>,
     draining: watch::Receiver<Option<tokio::time::Instant>>,
 ) {
     while file.changed().await.is_ok() {
         let Some(new) = file.borrow_and_update().clone() else { continue };
-        let mut agreed = frontend::Terms::of(&new);
-        if events.send(messages::Event::Retune(Box::new(new))).await.is_err() {
+        let mut agreed = frontend::FrontendSettings::of(&new);
+        if events.send(messages::CoreEvent::Reconfigured(Box::new(new))).await.is_err() {
             return;
         }
         if draining.borrow().is_some() {
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -14,7 +14,7 @@
 use crate::membership::member::{Member, Output, Rules};
 use crate::membership::post::{Book, Dropped, Opened, Parcel, Post, Seal, LONGEST_DATAGRAM};
 use crate::membership::{advice, agreement, Identity, Name, Terms};
-use crate::peer_metrics::Tally;
+use crate::peer_metrics::PeerMetrics;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,17 +23,17 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep_until, Instant};
 
-/// Questions that may wait.
+/// MembershipQueries that may wait.
 const QUESTIONS: usize = 16;
 
 /// The sockets, before anything is said on them.
 #[derive(Debug)]
-pub(crate) struct Station {
+pub(crate) struct PeerListener {
     datagrams: UdpSocket,
     streams: TcpListener,
 }
 
-impl Station {
+impl PeerListener {
     /// Listens for datagrams and streams on one port.
     ///
     /// # Errors
@@ -47,7 +47,7 @@
 }
 
 /// Where the console asks for the fleet.
-pub(crate) type Questions = mpsc::Sender<oneshot::Sender<Fleet>>;
+pub(crate) type MembershipQueries = mpsc::Sender<oneshot::Sender<Fleet>>;
 
 /// What the actor is given.
 pub(crate) struct Start {
@@ -56,7 +56,7 @@
     /// Streams at once, in each direction.
     pub streams: usize,
     pub clock: Clock,
-    pub tally: Arc<Tally>,
+    pub tally: Arc<PeerMetrics>,
     pub draining: watch::Receiver<Option<Instant>>,
 }
 
@@ -64,7 +64,10 @@
 ///
 /// # Errors
 /// When the system has no random numbers.
-pub(crate) fn start(station: Station, start: Start) -> io::Result<(Questions, tokio::task::JoinHandle<()>)> {
+pub(crate) fn start(
+    station: PeerListener,
+    start: Start,
+) -> io::Result<(MembershipQueries, tokio::task::JoinHandle<()>)> {
     let (questions, asked) = mpsc::channel(QUESTIONS);
     let actor = Actor::new(&station, &start)?;
     let run = tokio::spawn(actor.run(station, asked, start.draining));
@@ -85,7 +88,7 @@
     member: Member,
     post: Post,
     chronicle: Chronicle,
-    tally: Arc<Tally>,
+    tally: Arc<PeerMetrics>,
     streams: Streams,
     /// The messages that the present turn has for others.
     out: Vec<Parcel>,
@@ -93,7 +96,7 @@
 }
 
 impl Actor {
-    fn new(station: &Station, start: &Start) -> io::Result<Self> {
+    fn new(station: &PeerListener, start: &Start) -> io::Result<Self> {
         let random = || getrandom::u64().map_err(|e| io::Error::other(format!("random numbers: {e}")));
         let peers = &start.peers;
         // Without what an earlier process has voted for, this one must be another life. Its number only has to differ:
@@ -122,11 +125,11 @@
 
     async fn run(
         mut self,
-        station: Station,
+        station: PeerListener,
         mut asked: mpsc::Receiver<oneshot::Sender<Fleet>>,
         mut draining: watch::Receiver<Option<Instant>>,
     ) {
-        let Station { datagrams, streams } = station;
+        let PeerListener { datagrams, streams } = station;
         let mut arrived = self.streams.listen(streams);
         // One byte more than may come shows what is too long.
         let mut room = [0; LONGEST_DATAGRAM + 1];
--- a/src/net/peers/streams.rs
+++ b/src/net/peers/streams.rs
@@ -1,7 +1,7 @@
 //! Messages that are too long for a datagram: one a connection, its length before it (`docs/protocol/peers.md`).
 
 use crate::membership::post::{Parcel, LONGEST_STREAM};
-use crate::peer_metrics::Tally;
+use crate::peer_metrics::PeerMetrics;
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,11 +20,11 @@
     writers: Arc<Semaphore>,
     /// Streams at once, in each direction.
     at_once: usize,
-    tally: Arc<Tally>,
+    tally: Arc<PeerMetrics>,
 }
 
 impl Streams {
-    pub fn new(at_once: usize, tally: Arc<Tally>) -> Self {
+    pub fn new(at_once: usize, tally: Arc<PeerMetrics>) -> Self {
         Self { writers: Arc::new(Semaphore::new(at_once)), at_once, tally }
     }
 
@@ -57,7 +57,12 @@
 }
 
 /// Ends with the actor, whose mailbox it fills.
-async fn accept(listener: TcpListener, at_once: usize, sender: mpsc::Sender<Vec<u8>>, tally: Arc<Tally>) {
+async fn accept(
+    listener: TcpListener,
+    at_once: usize,
+    sender: mpsc::Sender<Vec<u8>>,
+    tally: Arc<PeerMetrics>,
+) {
     let seats = Arc::new(Semaphore::new(at_once));
     loop {
         let accepted = tokio::select! {
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -1,7 +1,7 @@
 //! One request on a connection and what has come back for it, whatever protocol it came in.
 
 use crate::interface::{LoadReport, LogPosition, Outcome, Role};
-use crate::net::messages::{Stamp, Value};
+use crate::net::messages::{ReportedPosition, Value};
 use bytes::{Bytes, BytesMut};
 use std::ops::Range;
 use tokio::time::Instant;
@@ -11,7 +11,7 @@
 pub(super) struct Exchange {
     /// When the request's last byte was written.
     pub written: Option<Instant>,
-    pub position: Option<Stamp>,
+    pub position: Option<ReportedPosition>,
     pub role: Option<Role>,
     /// What brought the value, as it came.
     messages: BytesMut,
@@ -135,7 +135,7 @@
     /// The position up to which the host stands, or at which it committed, as it writes it.
     pub fn stamp(&mut self, text: &str) {
         match text.parse::<f64>().ok().filter(|ms| ms.is_finite() && *ms >= 0.0) {
-            Some(ms) => self.position = Some(Stamp(ms)).filter(|_| ms > 0.0),
+            Some(ms) => self.position = Some(ReportedPosition(ms)).filter(|_| ms > 0.0),
             None => self.spoil(),
         }
     }
--- a/src/net/upstream/large.rs
+++ b/src/net/upstream/large.rs
@@ -3,7 +3,7 @@
 
 use super::connection::Connection;
 use super::exchange::Exchange;
-use crate::budget::Ticket;
+use crate::budget::Reservation;
 use crate::net::memory::Memory;
 use crate::net::stream::{self, Rest, Sender, HELD, PART};
 use bytes::Bytes;
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(super) struct Slot {
     _permit: OwnedSemaphorePermit,
-    _ticket: Ticket,
+    _ticket: Reservation,
 }
 
 impl LargeAnswers {
--- a/src/net/upstream/large/tests.rs
+++ b/src/net/upstream/large/tests.rs
@@ -1,5 +1,5 @@
 use super::LargeAnswers;
-use crate::budget::plan::{Figures, Override, Plan};
+use crate::budget::plan::{Override, Plan, PlanInputs};
 use crate::budget::{Budget, Purpose};
 use crate::net::clock::Clock;
 use crate::net::memory::Memory;
@@ -12,7 +12,7 @@
 pub(in crate::net::upstream) fn slots(number: usize) -> (LargeAnswers, Budget) {
     let buffers = Override { cap: Some(2 * (number * HELD) as u64), reserve: Some(0) };
     let overrides = BTreeMap::from([(Purpose::UpstreamBuffers, buffers)]);
-    let figures = Figures { total: 64 << 20, overrides, ..Figures::default() };
+    let figures = PlanInputs { total: 64 << 20, overrides, ..PlanInputs::default() };
     let plan = Plan::new(&figures).unwrap();
     let budget = plan.budget().unwrap();
     (LargeAnswers::new(Memory::new(budget.clone(), plan, Clock::start())), budget)
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -7,14 +7,14 @@
 mod postgres;
 mod tds;
 
-use super::messages::{AttemptEnd, Event, Probe, Statement, Value};
+use super::messages::{AttemptEnd, CoreEvent, HealthCheckResult, Statement, Value};
 use super::rejections::Rejections;
 use super::socket::Presence;
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::interface::{HostId, HostState, Outcome, RequestId, TimeDelta};
 use crate::protocol::Protocol;
-use crate::rejection_reason::Reason;
+use crate::rejection_reason::RejectionReason;
 use connection::{Connection, Place};
 use dialect::Ask;
 use exchange::Exchange;
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub(crate) enum Command {
     /// The list names the host.
-    Listed { address: SocketAddr, protocol: Protocol, state: HostState },
+    ListedEndpoint { address: SocketAddr, protocol: Protocol, state: HostState },
     /// The list names it no longer.
     Gone,
     /// Sends a request.
@@ -113,7 +113,7 @@
         address: SocketAddr,
         protocol: Protocol,
         pool: Pool,
-        events: mpsc::Sender<Event>,
+        events: mpsc::Sender<CoreEvent>,
     ) -> Self {
         let (commands, mailbox) = mpsc::channel(MAILBOX);
         let running = watch::channel(true).0;
@@ -144,7 +144,7 @@
 /// What a task of a host's actor brings back: its connection, if that is still good, and what to tell.
 struct Done {
     connection: Option<Connection>,
-    event: Event,
+    event: CoreEvent,
 }
 
 /// What a task has to bring back. If it panics that is told for it: the module would wait for good.
@@ -159,7 +159,7 @@
     fn lost(self, host: HostId) -> Done {
         let since = |sent: Instant| TimeDelta(sent.elapsed().as_micros() as i64);
         let event = match self {
-            Self::Attempt { id, attempt, sent } => Event::Ended(Box::new(AttemptEnd {
+            Self::Attempt { id, attempt, sent } => CoreEvent::AttemptEnded(Box::new(AttemptEnd {
                 id,
                 attempt,
                 host,
@@ -170,9 +170,12 @@
                 role: None,
                 value: None,
             })),
-            Self::Probe { sent } => {
-                Event::Probed(Probe { host, outcome: Outcome::Reset, latency: since(sent), report: None })
-            }
+            Self::Probe { sent } => CoreEvent::HealthChecked(HealthCheckResult {
+                host,
+                outcome: Outcome::Reset,
+                latency: since(sent),
+                report: None,
+            }),
         };
         Done { connection: None, event }
     }
@@ -218,14 +221,14 @@
     /// What each task is to bring back.
     owed: HashMap<tokio::task::Id, Owed>,
     /// What the module's actor has had no room for yet.
-    tell: VecDeque<Event>,
+    tell: VecDeque<CoreEvent>,
 }
 
 impl Host {
     async fn run(
         mut self,
         mut mailbox: mpsc::Receiver<Command>,
-        events: mpsc::Sender<Event>,
+        events: mpsc::Sender<CoreEvent>,
         mut squeezed: watch::Receiver<()>,
     ) {
         loop {
@@ -262,7 +265,7 @@
     }
 
     fn done(&mut self, done: Done) {
-        if let Event::Ended(end) = &done.event {
+        if let CoreEvent::AttemptEnded(end) = &done.event {
             self.out.remove(&(end.id, end.attempt));
         }
         if let Some(connection) = done.connection.filter(|c| c.place() == self.place) {
@@ -273,7 +276,7 @@
 
     fn command(&mut self, command: Command) {
         match command {
-            Command::Listed { address, protocol, state } => {
+            Command::ListedEndpoint { address, protocol, state } => {
                 let place = Place { address, protocol };
                 if place != self.place {
                     self.place = place;
@@ -373,7 +376,7 @@
             let opened = Connection::open(*place, permit, give_up).await;
             if matches!(opened, Err(Outcome::NotSent)) {
                 let what = "this machine has no port, descriptor or buffer for a connection to a ledger host";
-                pool.rejections.record(Reason::Local, what);
+                pool.rejections.record(RejectionReason::Local, what);
             }
             opened
         };
@@ -459,7 +462,7 @@
     };
     let (id, attempt) = (a.id, a.attempt);
     let end = AttemptEnd { id, attempt, host, outcome, latency, written, position, role, value };
-    Done { connection: connection.filter(|_| good), event: Event::Ended(Box::new(end)) }
+    Done { connection: connection.filter(|_| good), event: CoreEvent::AttemptEnded(Box::new(end)) }
 }
 
 async fn probe(host: HostId, sent: Instant, mut way: Way) -> Done {
@@ -479,7 +482,7 @@
     };
     let report = exchange.report().filter(|_| outcome == Outcome::Ok);
     let latency = TimeDelta(sent.elapsed().as_micros() as i64);
-    let event = Event::Probed(Probe { host, outcome, latency, report });
+    let event = CoreEvent::HealthChecked(HealthCheckResult { host, outcome, latency, report });
     Done { connection: connection.filter(|_| good), event }
 }
 
@@ -529,11 +532,11 @@
         let mut outcomes = Vec::new();
         for _ in 0..2 {
             outcomes.push(match told.recv().await.unwrap() {
-                Event::Ended(end) => {
+                CoreEvent::AttemptEnded(end) => {
                     assert_eq!((end.id, end.attempt, end.host), (RequestId(5), 1, HostId(3)));
                     ("attempt", end.outcome)
                 }
-                Event::Probed(probe) => ("probe", probe.outcome),
+                CoreEvent::HealthChecked(probe) => ("probe", probe.outcome),
                 other => panic!("{other:?}"),
             });
         }
--- a/src/peer_metrics.rs
+++ b/src/peer_metrics.rs
@@ -6,7 +6,7 @@
 
 /// Running totals since the start, and where this process stands.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct PeerMetrics {
     sent: [AtomicU64; 2],
     received: [AtomicU64; 2],
     dropped: [AtomicU64; DROPPED.len()],
@@ -22,7 +22,7 @@
     pair[1].fetch_add(bytes as u64, Relaxed);
 }
 
-impl Tally {
+impl PeerMetrics {
     /// A message of so many bytes goes out.
     pub fn sent(&self, bytes: usize) {
         count(&self.sent, bytes);
--- a/src/rejection_reason.rs
+++ b/src/rejection_reason.rs
@@ -4,7 +4,7 @@
 
 /// A reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reason {
+pub enum RejectionReason {
     /// The statement is not UTF-8.
     Encoding,
     /// The statement is none of those that are served.
@@ -48,30 +48,30 @@
 }
 
 /// All of them, in their order.
-pub const REASONS: [Reason; 20] = [
-    Reason::Encoding,
-    Reason::Form,
-    Reason::Lacks,
-    Reason::Twice,
-    Reason::Value,
-    Reason::Class,
-    Reason::Kind,
-    Reason::Group,
-    Reason::Id,
-    Reason::Unsupported,
-    Reason::TooLong,
-    Reason::Broken,
-    Reason::Login,
-    Reason::NotReady,
-    Reason::Held,
-    Reason::Memory,
-    Reason::Seat,
-    Reason::Policy,
-    Reason::Order,
-    Reason::Local,
+pub const REJECTION_REASONS: [RejectionReason; 20] = [
+    RejectionReason::Encoding,
+    RejectionReason::Form,
+    RejectionReason::Lacks,
+    RejectionReason::Twice,
+    RejectionReason::Value,
+    RejectionReason::Class,
+    RejectionReason::Kind,
+    RejectionReason::Group,
+    RejectionReason::Id,
+    RejectionReason::Unsupported,
+    RejectionReason::TooLong,
+    RejectionReason::Broken,
+    RejectionReason::Login,
+    RejectionReason::NotReady,
+    RejectionReason::Held,
+    RejectionReason::Memory,
+    RejectionReason::Seat,
+    RejectionReason::Policy,
+    RejectionReason::Order,
+    RejectionReason::Local,
 ];
 
-impl fmt::Display for Reason {
+impl fmt::Display for RejectionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Encoding => "encoding",
@@ -104,7 +104,7 @@
 
     #[test]
     fn each_reason_stands_at_its_own_place() {
-        for (n, reason) in REASONS.into_iter().enumerate() {
+        for (n, reason) in REJECTION_REASONS.into_iter().enumerate() {
             assert_eq!(reason as usize, n);
         }
     }
