--- a/crates/decisions/src/load/mod.rs
+++ b/crates/decisions/src/load/mod.rs
@@ -1,13 +1,13 @@
 //! What is known of loads and faults, and how fast that grows old. What follows from it is the module's to decide.
 
-mod crowd;
-mod faded;
-mod group;
-mod pace;
-mod rest;
+mod circuit_breaker;
+mod decaying_average;
+mod group_latency;
+mod group_traffic;
+mod latency_estimate;
 
-pub use crowd::Crowd;
-pub use faded::Faded;
-pub use group::Group;
-pub use pace::Pace;
-pub use rest::Rest;
+pub use circuit_breaker::Rest;
+pub use decaying_average::Faded;
+pub use group_latency::Crowd;
+pub use group_traffic::Group;
+pub use latency_estimate::Pace;
