--- /dev/null
+++ b/crates/decisions/src/load/decaying_average/tests.rs
@@ -0,0 +1,26 @@
+use super::*;
+
+const TIME_CONSTANT_US: f64 = 3e6;
+
+fn after(gap_us: i64, samples: i64) -> f64 {
+    let mut average = DecayingAverage::default();
+    (1..=samples)
+        .for_each(|n| average.record(Timestamp(1_000_000_000 + n * gap_us), 1.0, 0.1, TIME_CONSTANT_US));
+    average.value_at(Timestamp(1_000_000_000 + samples * gap_us), TIME_CONSTANT_US)
+}
+
+#[test]
+fn one_sample_counts_where_few_come_and_little_where_many_do() {
+    assert!(after(4_000_000, 1) > 0.7);
+    let mut average = DecayingAverage::default();
+    average.record(Timestamp(1_000_000_000), 0.0, 0.1, TIME_CONSTANT_US);
+    average.record(Timestamp(1_000_010_000), 1.0, 0.1, TIME_CONSTANT_US);
+    assert!(average.value_at(Timestamp(1_000_010_000), TIME_CONSTANT_US) < 0.11);
+}
+
+#[test]
+fn without_samples_it_decays() {
+    let mut average = DecayingAverage::default();
+    average.record(Timestamp(1_000_000_000), 1.0, 0.1, TIME_CONSTANT_US);
+    assert!(average.value_at(Timestamp(1_009_000_000), TIME_CONSTANT_US) < 0.06);
+}
--- a/crates/decisions/src/load/group_latency.rs
+++ b/crates/decisions/src/load/group_latency.rs
@@ -1,118 +1,78 @@
-//! How late answers are, in parts of their aims, by group and by whether its primary or its replicas gave them. A router that
-//! hears a group every few seconds knows it by one or two answers, of which a single long one says little: what it hears
-//! of all groups stands beside that. What follows from lateness is the module's to decide.
+//! Latency of recent responses, as a ratio of their latency objectives, by group and role.
+//!
+//! A router that hears from a group every few seconds has one or two recent responses of it, of which a single slow one
+//! says little. So the average over all groups counts beside the group's own.
 
-use super::Faded;
-use crate::interface::Timestamp;
+use super::{ByRole, DecayingAverage};
+use crate::interface::{Role, Timestamp};
 use std::collections::BTreeMap;
 
-/// What is heard of all groups counts as much as so many answers of the one.
-const OTHERS: f64 = 3.0;
+#[cfg(test)]
+mod tests;
+
+/// The average over all groups weighs as much as so many responses of the group itself.
+const FLEET_SAMPLES: f64 = 3.0;
 
-/// Answers of late of one kind: how late, and how many.
+/// Recent responses of one role in one group.
 #[derive(Clone, Copy, Debug, Default)]
-struct Heard {
-    late: Faded,
-    number: f64,
-    at: Timestamp,
+struct ResponseHistory {
+    latency_ratio: DecayingAverage,
+    sample_count: f64,
+    updated_at: Timestamp,
 }
 
-impl Heard {
-    fn number(&self, now: Timestamp, span: f64) -> f64 {
-        self.number * (-((now.0 - self.at.0).max(0) as f64) / span).exp()
+impl ResponseHistory {
+    fn sample_count_at(&self, now: Timestamp, time_constant_us: f64) -> f64 {
+        self.sample_count * (-((now.0 - self.updated_at.0).max(0) as f64) / time_constant_us).exp()
     }
 
-    fn learn(&mut self, now: Timestamp, sample: f64, least: f64, span: f64) {
-        (self.number, self.at) = (self.number(now, span) + 1.0, now);
-        self.late.learn(now, sample, least, span);
+    fn record(&mut self, now: Timestamp, sample: f64, min_weight: f64, time_constant_us: f64) {
+        self.sample_count = self.sample_count_at(now, time_constant_us) + 1.0;
+        self.updated_at = now;
+        self.latency_ratio.record(now, sample, min_weight, time_constant_us);
     }
 }
 
-/// Lateness by group. What is older than `span` microseconds is all but forgotten; the least weight of a new sample is `least`.
+/// Latency ratios by group and role. A ratio of 1 is a response exactly at its latency objective.
 #[derive(Clone, Debug)]
-pub struct Crowd {
-    span: f64,
-    least: f64,
-    groups: BTreeMap<(u32, bool), Heard>,
-    /// Of all replicas, and of all primaries.
-    all: [Faded; 2],
-}
-
-impl Crowd {
-    /// Nothing heard yet.
-    pub fn new(span: f64, least: f64) -> Self {
-        Self { span, least, groups: BTreeMap::new(), all: Default::default() }
-    }
-
-    /// An answer of a group's primary, or of a replica, that took so many parts of its aim.
-    pub fn learn(&mut self, group: u32, primary: bool, now: Timestamp, sample: f64) {
-        self.groups.entry((group, primary)).or_default().learn(now, sample, self.least, self.span);
-        self.all[usize::from(primary)].learn(now, sample, self.least, self.span);
-    }
-
-    /// How late answers are there; what is heard of other groups weighs the more the less is heard of this one.
-    pub fn late(&self, group: u32, primary: bool, now: Timestamp) -> f64 {
-        let own = self.groups.get(&(group, primary)).copied().unwrap_or_default();
-        let own_number = own.number(now, self.span);
-        let all = self.all[usize::from(primary)].read(now, self.span);
-        // Without any answer of the group's own nothing is held against it.
-        let others = if own_number > 0.0 { OTHERS } else { 0.0 };
-        let sum = own.late.read(now, self.span) * own_number + all * others;
-        sum / (own_number + others).max(1e-9)
-    }
-
-    /// Part of what is known of a group that is still fresh, between 0 and 1.
-    pub fn known(&self, group: u32, primary: bool, now: Timestamp) -> f64 {
-        self.groups.get(&(group, primary)).map_or(0.0, |heard| heard.late.kept(now, self.span))
-    }
+pub struct GroupLatency {
+    time_constant_us: f64,
+    min_weight: f64,
+    groups: BTreeMap<u32, ByRole<Option<ResponseHistory>>>,
+    fleet: ByRole<DecayingAverage>,
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const SPAN: f64 = 6e6;
-
-    fn at(ms: i64) -> Timestamp {
-        Timestamp(1_000_000_000 + ms * 1_000)
+impl GroupLatency {
+    /// Returns an estimate without samples. Samples decay with the time constant, in microseconds; the weight of a new one
+    /// is at least `min_weight`.
+    pub fn new(time_constant_us: f64, min_weight: f64) -> Self {
+        Self { time_constant_us, min_weight, groups: BTreeMap::new(), fleet: ByRole::default() }
     }
 
-    /// Twenty groups, each heard once in two seconds, all of them well.
-    fn thin() -> Crowd {
-        let mut crowd = Crowd::new(SPAN, 0.25);
-        (0..100).for_each(|n| crowd.learn(n as u32 % 20, true, at(100 * n), 0.2));
-        crowd
+    /// Adds the latency ratio of a response from a host with this role in this group.
+    pub fn record(&mut self, group: u32, role: Role, now: Timestamp, sample: f64) {
+        let history = self.groups.entry(group).or_default().get_mut(role).get_or_insert_default();
+        history.record(now, sample, self.min_weight, self.time_constant_us);
+        self.fleet.get_mut(role).record(now, sample, self.min_weight, self.time_constant_us);
     }
 
-    #[test]
-    fn one_long_answer_of_a_group_that_is_seldom_heard_is_outweighed_by_what_others_say() {
-        let (mut crowd, mut alone) = (thin(), Faded::default());
-        alone.learn(at(8_300), 0.2, 0.25, SPAN);
-        alone.learn(at(10_000), 2.0, 0.25, SPAN);
-        crowd.learn(3, true, at(10_000), 2.0);
-        (1..8).for_each(|n| crowd.learn(10 + n as u32, true, at(10_000 + 100 * n), 0.2));
-        let (with, without) = (crowd.late(3, true, at(10_700)), alone.read(at(10_700), SPAN));
-        assert!(with < without * 0.75, "{with} with the others, {without} alone");
-        // Several in a row count, whatever the others say.
-        for n in 1..8 {
-            crowd.learn(3, true, at(11_000 + 300 * n), 2.0);
-            (0..4).for_each(|other| crowd.learn(10 + other, true, at(11_100 + 300 * n), 0.2));
-        }
-        assert!(crowd.late(3, true, at(13_200)) > 1.0);
+    /// Returns the latency ratio there; 0 without any response of the group itself.
+    pub fn latency_ratio(&self, group: u32, role: Role, now: Timestamp) -> f64 {
+        let own = self.history(group, role).copied().unwrap_or_default();
+        let own_samples = own.sample_count_at(now, self.time_constant_us);
+        let fleet_ratio = self.fleet.get(role).value_at(now, self.time_constant_us);
+        let fleet_samples = if own_samples > 0.0 { FLEET_SAMPLES } else { 0.0 };
+        let own_sum = own.latency_ratio.value_at(now, self.time_constant_us) * own_samples;
+        (own_sum + fleet_ratio * fleet_samples) / (own_samples + fleet_samples).max(1e-9)
     }
 
-    #[test]
-    fn where_much_is_heard_of_a_group_the_others_hardly_count() {
-        let mut crowd = Crowd::new(SPAN, 0.25);
-        (0..400).for_each(|n| crowd.learn(0, false, at(10 * n), 1.0));
-        (0..400).for_each(|n| crowd.learn(1, false, at(10 * n), 0.0));
-        assert!(crowd.late(0, false, at(4_000)) > 0.95 && crowd.late(1, false, at(4_000)) < 0.05);
+    /// Returns how recent the last response is, from 1 (just now) to 0 (none, or long ago).
+    pub fn confidence(&self, group: u32, role: Role, now: Timestamp) -> f64 {
+        let history = self.history(group, role);
+        history.map_or(0.0, |history| history.latency_ratio.remaining_weight(now, self.time_constant_us))
     }
 
-    #[test]
-    fn nothing_is_held_against_a_group_that_was_never_heard() {
-        let crowd = thin();
-        assert_eq!((crowd.late(99, true, at(10_000)), crowd.known(99, true, at(10_000))), (0.0, 0.0));
-        assert_eq!(crowd.late(3, false, at(10_000)), 0.0, "primaries and replicas are counted apart");
+    fn history(&self, group: u32, role: Role) -> Option<&ResponseHistory> {
+        self.groups.get(&group)?.get(role).as_ref()
     }
 }
--- a/crates/decisions/src/load/group_traffic.rs
+++ b/crates/decisions/src/load/group_traffic.rs
@@ -1,110 +1,78 @@
-//! A group of hosts as one router meets it: how many members it has had, and what of the requests that come for it its
-//! hosts serve. What hosts serve is what they can do; what clients ask may be many times that, since whoever is turned
-//! away comes again. Which host gets what is the module's to decide.
+//! Requests that arrive for a group, and those that its hosts serve. Rejected clients come again, so that arrivals may be
+//! many times what the hosts can serve.
 
-use crate::interface::{TimeDelta, Timestamp};
+use super::ByRole;
+use crate::interface::{Role, TimeDelta, Timestamp};
 
-/// So many requests are presumed to have been asked and served: the first few tell nothing.
-const PRESUMED: f64 = 2.0;
+#[cfg(test)]
+mod tests;
+
+/// Requests presumed to have arrived and been served before the first: the first few tell nothing.
+const PRESUMED_REQUESTS: f64 = 2.0;
 
-/// Requests of late: older ones count the less.
+/// Recent requests; older ones count less.
 #[derive(Clone, Copy, Debug, Default)]
-struct Offer {
-    asked: f64,
+struct RequestCounts {
+    arrived: f64,
     served: f64,
-    at: Timestamp,
+    updated_at: Timestamp,
 }
 
-impl Offer {
-    fn fade(&mut self, now: Timestamp, span: TimeDelta) {
-        let kept = (-((now.0 - self.at.0).max(0) as f64) / span.0.max(1) as f64).exp();
-        (self.asked, self.served, self.at) = (self.asked * kept, self.served * kept, now);
+impl RequestCounts {
+    fn decay(&mut self, now: Timestamp, time_constant: TimeDelta) {
+        let age_us = (now.0 - self.updated_at.0).max(0) as f64;
+        let remaining = (-age_us / time_constant.0.max(1) as f64).exp();
+        self.arrived *= remaining;
+        self.served *= remaining;
+        self.updated_at = now;
     }
 }
 
-/// What is known of one group.
+/// Size and traffic of one group. Requests are told apart by the role that serves them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Group {
-    most: usize,
-    reads: Offer,
-    writes: Offer,
+pub struct GroupTraffic {
+    peak_members: usize,
+    requests: ByRole<RequestCounts>,
 }
 
-impl Group {
-    /// It has so many members now.
-    pub fn has(&mut self, members: usize) {
-        self.most = self.most.max(members);
-    }
-
-    /// The most members that it has had at once, one at the least.
-    pub fn most(&self) -> usize {
-        self.most.max(1)
-    }
-
-    /// A request has come for it: a write, or a read. What is older than `span` is all but forgotten.
-    pub fn asked(&mut self, write: bool, now: Timestamp, span: TimeDelta) {
-        let offer = self.offer(write);
-        offer.fade(now, span);
-        offer.asked += 1.0;
+impl GroupTraffic {
+    /// Records how many members the group has now.
+    pub fn record_members(&mut self, members: usize) {
+        self.peak_members = self.peak_members.max(members);
     }
 
-    /// A host has served one.
-    pub fn served(&mut self, write: bool, now: Timestamp, span: TimeDelta) {
-        let offer = self.offer(write);
-        offer.fade(now, span);
-        offer.served += 1.0;
+    /// Returns the most members that the group has had at once, at least 1.
+    pub fn peak_members(&self) -> usize {
+        self.peak_members.max(1)
     }
 
-    /// Part of what is asked that is served, at most 1.
-    pub fn served_part(&self, write: bool) -> f64 {
-        let offer = if write { &self.writes } else { &self.reads };
-        ((offer.served + PRESUMED) / (offer.asked + PRESUMED)).min(1.0)
+    /// Counts a request for this role that has arrived.
+    pub fn record_arrival(&mut self, role: Role, now: Timestamp, time_constant: TimeDelta) {
+        let counts = self.requests.get_mut(role);
+        counts.decay(now, time_constant);
+        counts.arrived += 1.0;
     }
 
-    /// Part of what is asked that one host serves: all writes go to one, reads to each of the members that it has had at
-    /// most at once. The last member left would otherwise draw the reads of all.
-    pub fn part_of_one(&self, write: bool) -> f64 {
-        let takers = if write { 1 } else { self.most() };
-        self.served_part(write) / takers as f64
+    /// Counts a request for this role that a host has served.
+    pub fn record_served(&mut self, role: Role, now: Timestamp, time_constant: TimeDelta) {
+        let counts = self.requests.get_mut(role);
+        counts.decay(now, time_constant);
+        counts.served += 1.0;
     }
 
-    fn offer(&mut self, write: bool) -> &mut Offer {
-        if write {
-            &mut self.writes
-        } else {
-            &mut self.reads
-        }
+    /// Returns the fraction of the arriving requests for this role that is served, at most 1.
+    pub fn served_fraction(&self, role: Role) -> f64 {
+        let counts = self.requests.get(role);
+        ((counts.served + PRESUMED_REQUESTS) / (counts.arrived + PRESUMED_REQUESTS)).min(1.0)
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    const SPAN: TimeDelta = TimeDelta(3_000_000);
-
-    #[test]
-    fn what_comes_again_after_refusals_lowers_the_part_that_is_served() {
-        let mut group = Group::default();
-        let ask = |group: &mut Group, n: i64, each: i64| {
-            for at in (0..n).map(|n| Timestamp(1_000_000_000 + n * 100_000)) {
-                (0..each).for_each(|_| group.asked(false, at, SPAN));
-                group.served(false, at, SPAN);
-            }
+    /// Returns the fraction of the arriving requests for this role that one host serves. The primary serves all of its
+    /// own; reads are shared by as many members as the group has had at most, or the last one left would draw all.
+    pub fn served_fraction_per_host(&self, role: Role) -> f64 {
+        let hosts = match role {
+            Role::Primary => 1,
+            Role::Replica => self.peak_members(),
         };
-        ask(&mut group, 100, 1);
-        assert!(group.served_part(false) > 0.95);
-        ask(&mut group, 100, 4);
-        assert!((0.2..0.35).contains(&group.served_part(false)), "{}", group.served_part(false));
-        assert!(group.served_part(true) == 1.0, "writes are counted apart");
-    }
-
-    #[test]
-    fn the_most_members_count() {
-        let mut group = Group::default();
-        assert_eq!(group.most(), 1);
-        group.has(6);
-        group.has(2);
-        assert_eq!(group.most(), 6);
+        self.served_fraction(role) / hosts as f64
     }
 }
--- a/crates/decisions/src/load/mod.rs
+++ b/crates/decisions/src/load/mod.rs
@@ -1,13 +1,15 @@
-//! What is known of loads and faults, and how fast that grows old. What follows from it is the module's to decide.
+//! Estimates of load and faults, and how fast each grows old. What follows from them is decided in `routing`.
 
+mod by_role;
 mod circuit_breaker;
 mod decaying_average;
 mod group_latency;
 mod group_traffic;
 mod latency_estimate;
 
-pub use circuit_breaker::Rest;
-pub use decaying_average::Faded;
-pub use group_latency::Crowd;
-pub use group_traffic::Group;
-pub use latency_estimate::Pace;
+pub use by_role::ByRole;
+pub use circuit_breaker::CircuitBreaker;
+pub use decaying_average::DecayingAverage;
+pub use group_latency::GroupLatency;
+pub use group_traffic::GroupTraffic;
+pub use latency_estimate::LatencyEstimate;
--- a/crates/decisions/src/routing/health.rs
+++ b/crates/decisions/src/routing/health.rs
@@ -1,17 +1,19 @@
 //! The health of hosts, judged against their peers: which ones rest, which err, and how much each may hold.
 
-use super::{Attempt, Host, Router};
+use super::{role_of, Attempt, Host, Router};
 use super::{
     CROWDED, CROWD_GAIN, ERRING, ERRORS_FADE_US, GAIN, LATE, LATE_FADES_US, LIMIT, LIMIT_STEP, REST_US,
     SILENT,
 };
-use crate::interface::{Action, AttemptResult, Freshness, HostId, HostState, Outcome, Role, Timestamp};
+use crate::interface::{
+    Action, AttemptResult, Freshness, HostId, HostState, Outcome, Role, TimeDelta, Timestamp,
+};
 use std::collections::BTreeSet;
 
 impl Router {
     /// Listed hosts that get nothing, or only where there is no other: those that drain, rest or err.
     pub fn avoided(&self) -> usize {
-        let bad = |h: &Host| !self.usable(h) || h.rest.rests(self.now) || self.errs(h) > ERRING.0;
+        let bad = |h: &Host| !self.usable(h) || h.rest.is_open(self.now) || self.errs(h) > ERRING.0;
         self.hosts.values().filter(|h| h.listed != HostState::Removed && bad(h)).count()
     }
 
@@ -22,7 +24,7 @@
         let Some(host) = self.hosts.get_mut(&attempt.host) else { return };
         if matches!(r.outcome, Outcome::Ok | Outcome::Error) {
             let erred = f64::from(u8::from(r.outcome == Outcome::Error));
-            host.errs.learn(self.now, erred, GAIN, ERRORS_FADE_US);
+            host.errs.record(self.now, erred, GAIN, ERRORS_FADE_US);
         }
         host.in_flight = host.in_flight.saturating_sub(1);
         match r.outcome {
@@ -33,7 +35,7 @@
         }
         match r.outcome {
             Outcome::Ok | Outcome::Misdirected | Outcome::Stale | Outcome::Error => {
-                host.rest.answered();
+                host.rest.record_response();
                 host.alive = Some(self.now);
             }
             // A host that fails at once looks idle and would draw everything. Covers draining not yet listed,
@@ -42,10 +44,10 @@
             Outcome::Overloaded | Outcome::Reset | Outcome::ConnectFailed => {
                 let served = host.alive.is_some_and(|at| self.now.0 - at.0 < REST_US.1);
                 let dead = r.outcome == Outcome::ConnectFailed && !served;
-                let rest = if dead { REST_US.0 } else { self.pace[attempt.class].mean as i64 / 4 };
+                let rest = if dead { REST_US.0 } else { self.pace[attempt.class].mean_us as i64 / 4 };
                 self.failed(attempt.host, rest);
             }
-            Outcome::Timeout if latency >= LATE * self.pace[attempt.class].mean => {
+            Outcome::Timeout if latency >= LATE * self.pace[attempt.class].mean_us => {
                 self.failed(attempt.host, REST_US.0)
             }
             _ => {}
@@ -55,8 +57,8 @@
         if matches!(r.outcome, Outcome::Ok | Outcome::Overloaded | Outcome::Timeout) {
             let sample = if r.outcome == Outcome::Overloaded { 2.0 } else { (latency / aim).min(3.0) };
             let primary = matches!(host.role, Some((Role::Primary, _)));
-            host.late.learn(self.now, sample, CROWD_GAIN, LATE_FADES_US);
-            self.crowd.learn(host.group, primary, self.now, sample);
+            host.late.record(self.now, sample, CROWD_GAIN, LATE_FADES_US);
+            self.crowd.record(host.group, role_of(primary), self.now, sample);
         }
         if r.outcome == Outcome::Overloaded
             || (crowded && matches!(r.outcome, Outcome::Ok | Outcome::Timeout))
@@ -68,11 +70,15 @@
         let pace = self.pace.get_mut(attempt.class).filter(|_| r.outcome == Outcome::Ok);
         let Some(pace) = pace else { return };
         let write = self.s.classes[attempt.class].freshness.needs_primary();
-        self.loads.entry(host.group).or_default().served(write, self.now, self.s.slow_start_budget_window);
-        host.slowness += GAIN * ((latency / pace.mean.max(1.0)).min(5.0) - host.slowness);
-        pace.mean += GAIN * (latency - pace.mean);
+        self.loads.entry(host.group).or_default().record_served(
+            role_of(write),
+            self.now,
+            self.s.slow_start_budget_window,
+        );
+        host.slowness += GAIN * ((latency / pace.mean_us.max(1.0)).min(5.0) - host.slowness);
+        pace.mean_us += GAIN * (latency - pace.mean_us);
         if !crowded {
-            pace.work += GAIN * (latency - pace.work);
+            pace.service_time_us += GAIN * (latency - pace.service_time_us);
         }
     }
 
@@ -80,7 +86,8 @@
     /// for a while each after its answer. Costs handshakes where it has really died: not if these cost worth.
     pub(super) fn make_room(&mut self, r: &AttemptResult, actions: &mut Vec<Action>) {
         let squeezed = self.squeezed.is_some_and(|at| self.now.0 - at.0 < REST_US.1);
-        let serves = self.hosts.get(&r.host).is_some_and(|h| h.alive.is_some() && h.rest.refuses());
+        let serves =
+            self.hosts.get(&r.host).is_some_and(|h| h.alive.is_some() && h.rest.is_failing_repeatedly());
         if r.outcome == Outcome::ConnectFailed && serves && self.s.price_handshake <= 0.0 {
             self.squeezed = Some(self.now);
             if !squeezed {
@@ -100,21 +107,25 @@
     }
 
     pub(super) fn errs(&self, host: &Host) -> f64 {
-        host.errs.read(self.now, ERRORS_FADE_US)
+        host.errs.value_at(self.now, ERRORS_FADE_US)
     }
 
     pub(super) fn failed(&mut self, id: HostId, rest: i64) {
-        self.hosts.entry(id).and_modify(|host| host.rest.failed(self.now, rest, REST_US.1));
+        self.hosts
+            .entry(id)
+            .and_modify(|host| host.rest.record_failure(self.now, TimeDelta(rest), TimeDelta(REST_US.1)));
     }
 
     /// Hosts whose attempts are overdue fail together; when most do, the cause is shared and nobody is sick.
     pub(super) fn watch_silence(&mut self) {
         let busy: BTreeSet<HostId> = self.out.values().map(|a| a.host).collect();
         let silent = |id: HostId, sent: Timestamp| {
-            self.hosts.get(&id).is_some_and(|h| !h.rest.failing() && h.alive.is_none_or(|at| at < sent))
+            self.hosts.get(&id).is_some_and(|h| !h.rest.is_failing() && h.alive.is_none_or(|at| at < sent))
         };
-        let late =
-            self.out.values().filter(|a| (self.now.0 - a.sent.0) as f64 > SILENT * self.pace[a.class].mean);
+        let late = self
+            .out
+            .values()
+            .filter(|a| (self.now.0 - a.sent.0) as f64 > SILENT * self.pace[a.class].mean_us);
         let late: BTreeSet<HostId> = late.filter(|a| silent(a.host, a.sent)).map(|a| a.host).collect();
         if late.len() * 2 <= busy.len().max(2) {
             late.into_iter().for_each(|id| self.failed(id, REST_US.0));
--- a/crates/decisions/src/routing/mod.rs
+++ b/crates/decisions/src/routing/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::check::check;
 use crate::interface::*;
-use crate::load::{Crowd, Faded, Group, Pace, Rest};
+use crate::load::{CircuitBreaker, DecayingAverage, GroupLatency, GroupTraffic, LatencyEstimate};
 use crate::state::host_clock::AHEAD_US;
 use crate::state::session_positions::SessionPositions;
 use std::collections::{BTreeMap, BTreeSet};
@@ -105,10 +105,10 @@
     /// When it last turned a write away.
     declined: Option<Timestamp>,
     /// Latency in parts of the aim.
-    late: Faded,
+    late: DecayingAverage,
     /// Part of its answers that were errors.
-    errs: Faded,
-    rest: Rest,
+    errs: DecayingAverage,
+    rest: CircuitBreaker,
     probed: Option<Timestamp>,
     probing: bool,
     wanted: bool,
@@ -161,13 +161,13 @@
     groups: BTreeMap<u32, Vec<HostId>>,
     open: BTreeMap<RequestId, Open>,
     out: BTreeMap<(RequestId, u32), Attempt>,
-    pace: Vec<Pace>,
+    pace: Vec<LatencyEstimate>,
     /// What each customer asked of late.
     asked: Vec<f64>,
     /// Latency in parts of the aim, by group, at its primary (true) or its replicas.
-    crowd: Crowd,
+    crowd: GroupLatency,
     /// What each group has had of members and of requests.
-    loads: BTreeMap<u32, Group>,
+    loads: BTreeMap<u32, GroupTraffic>,
     /// The usual priority of reads, and of writes.
     usual: [f64; 2],
     sessions: SessionPositions,
@@ -187,9 +187,13 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         check(&settings)?;
         Ok(Self {
-            pace: settings.classes.iter().map(|c| Pace::of(c.latency_objective)).collect(),
+            pace: settings
+                .classes
+                .iter()
+                .map(|c| LatencyEstimate::from_objective(c.latency_objective))
+                .collect(),
             asked: settings.tenant_quotas.clone(),
-            crowd: Crowd::new(CROWD_FADES_US, CROWD_GAIN),
+            crowd: GroupLatency::new(CROWD_FADES_US, CROWD_GAIN),
             loads: BTreeMap::new(),
             usual: [0.0; 2],
             rng: seed ^ 0x9E37_79B9_7F4A_7C15,
@@ -211,8 +215,13 @@
     /// Takes settings read anew, checked as at the start; classes and customers keep their numbers, new ones
     /// come behind.
     pub fn retune(&mut self, settings: Settings) {
-        self.pace
-            .extend(settings.classes.iter().skip(self.pace.len()).map(|c| Pace::of(c.latency_objective)));
+        self.pace.extend(
+            settings
+                .classes
+                .iter()
+                .skip(self.pace.len())
+                .map(|c| LatencyEstimate::from_objective(c.latency_objective)),
+        );
         self.asked.extend(settings.tenant_quotas.iter().skip(self.asked.len()));
         self.s = settings;
     }
@@ -276,7 +285,7 @@
             host.start_is_listed = since.is_some();
             if started != host.started {
                 host.started = started;
-                host.rest = Rest::default();
+                host.rest = CircuitBreaker::default();
             }
             // The list is the weakest evidence of a role: it only makes us ask.
             host.wanted |= !new && e.listed_as_primary && !host.leader;
@@ -285,7 +294,7 @@
         self.started = true;
         for (group, ids) in &self.groups {
             let listed = ids.iter().filter(|id| self.hosts[id].listed != HostState::Removed).count();
-            self.loads.entry(*group).or_default().has(listed);
+            self.loads.entry(*group).or_default().record_members(listed);
         }
         self.forget_gone();
         self.dispatch_all(actions);
@@ -322,8 +331,8 @@
             },
             _ => LogPosition(i64::MIN),
         };
-        self.loads.entry(r.group).or_default().asked(
-            class.freshness.needs_primary(),
+        self.loads.entry(r.group).or_default().record_arrival(
+            role_of(class.freshness.needs_primary()),
             self.now,
             self.s.slow_start_budget_window,
         );
@@ -545,7 +554,7 @@
     /// Not where a primary is known that may answer, nor where the same was heard just now.
     fn guess(&self, id: HostId, host: &Host, open: &Open) -> Option<Fit> {
         let write = self.needs_primary(open);
-        let known = write && self.primary(open.group).is_some_and(|p| !self.hosts[&p].rest.rests(self.now));
+        let known = write && self.primary(open.group).is_some_and(|p| !self.hosts[&p].rest.is_open(self.now));
         let told = if write { host.role.map(|(_, at)| at) } else { host.heard };
         let lag = told.filter(|_| !write).map_or(0, |at| at.0 - host.known.0);
         let due = match told {
@@ -591,7 +600,7 @@
         let class = &self.s.classes[open.class];
         let write = class.freshness == Freshness::Write;
         // A group is never shut out whole: when all its members are sick, reads go to them all the same.
-        let able = |h: &Host| self.usable(h) && !h.rest.rests(self.now);
+        let able = |h: &Host| self.usable(h) && !h.rest.is_open(self.now);
         let healthy = self.members(open.group).any(|(_, h)| able(h));
         // Reads that freeze a replica stay on some, so that the others apply. The list is sorted alike at all
         // routers: they set the same ones aside. Harms where such reads are most of the traffic.
@@ -608,7 +617,7 @@
                 behind.push(host_id);
                 continue;
             };
-            let sick = host.rest.rests(self.now);
+            let sick = host.rest.is_open(self.now);
             let spared = fit == Fit::Primary && !self.needs_primary(open);
             let tried = (fit == Fit::Likely && open.missed.contains(&host_id))
                 || self.out.range((id, 0)..=(id, u32::MAX)).any(|(_, a)| a.host == host_id);
@@ -624,7 +633,7 @@
             let near = host.zone == self.s.zone;
             let cross = if near { 0.0 } else { self.s.price_cross_zone * class.latency_objective.0 as f64 };
             let chance = 0.75 + 0.5 * Self::luck(open, host_id.0, 1 + u64::from(open.attempts));
-            let cost = self.pace[open.class].mean * host.slowness * chance + cross;
+            let cost = self.pace[open.class].mean_us * host.slowness * chance + cross;
             let last = sick || self.errs(host) > errs || open.erred.contains(&host_id);
             // A cold host has its share by chance already: what it was drawn for is not drawn for again.
             let drawn = self.warmth(host) < 1.0;
@@ -636,7 +645,7 @@
         // For a write the member last shown as primary is asked, and if that is sick everyone. For a read,
         // where hosts check reads and nobody is proven, one that was short: the longest unasked.
         let proven = best.as_ref().is_some_and(|((_, fit, ..), _)| write || *fit == Fit::Proven);
-        let primary = self.primary(open.group).filter(|p| write && !self.hosts[p].rest.failing());
+        let primary = self.primary(open.group).filter(|p| write && !self.hosts[p].rest.is_failing());
         if !write {
             behind.sort_by_key(|id| self.hosts[id].probed);
             behind.truncate(usize::from(self.s.replica_lag_wait().is_some()));
@@ -649,18 +658,19 @@
 
     /// Where one request of each router is too much for a host: by chance, the more the later it was.
     fn overfull(&self, id: HostId, host: &Host, open: &Open) -> bool {
-        let late = host.late.read(self.now, LATE_FADES_US) / OVERFULL_AT;
+        let late = host.late.value_at(self.now, LATE_FADES_US) / OVERFULL_AT;
         self.s.is_large_fleet() && Self::luck(open, id.0, 2) * late * late > 1.0
     }
 
     /// The primary is for the writes: by chance, it takes the fewer reads the later it answers, and half of
     /// them while nothing is known of it, until they have waited for a replica in vain.
     fn spares_primary(&self, open: &Open) -> bool {
-        let unknown = 1.0 - self.crowd.known(open.group, true, self.now);
+        let unknown = 1.0 - self.crowd.confidence(open.group, Role::Primary, self.now);
         let waited = (self.now.0 - open.arrived.0) as f64 * 4.0
             / self.s.classes[open.class].latency_objective.0 as f64;
         // Work takes its time at an idle host too: only what comes on top is a sign that the primary is full.
-        let idle = self.pace[open.class].work / self.s.classes[open.class].latency_objective.0 as f64;
+        let idle =
+            self.pace[open.class].service_time_us / self.s.classes[open.class].latency_objective.0 as f64;
         let late = (self.lateness(open.group, true) - idle) / (SPARED_AT - idle).max(SPARED_AT / 2.0);
         Self::luck(open, 0, 0) < late + unknown * (0.5 - waited).max(0.0)
     }
@@ -720,7 +730,7 @@
         if members().any(|(id, _)| self.fit(id, open) == Some(Fit::Proven)) {
             return false;
         }
-        let able = members().filter(|(_, h)| self.usable(h) && !h.rest.failing());
+        let able = members().filter(|(_, h)| self.usable(h) && !h.rest.is_failing());
         // Of those never heard of any one: all routers asking the same would all send there.
         let first = |id: &HostId, h: &Host| (self.likely(h), Self::luck(open, id.0, 0).to_bits());
         let Some((host, h)) = able.max_by_key(|(id, h)| first(id, h)) else { return false };
@@ -744,7 +754,7 @@
         open.attempts += 1;
         open.out += 1;
         host.in_flight += 1;
-        host.rest.tried(self.now, REST_US.0);
+        host.rest.probe_started(self.now, TimeDelta(REST_US.0));
         let write =
             self.s.write_positions_tracked && self.s.classes[open.class].freshness == Freshness::Write;
         let writes = open.session.filter(|_| write).map(|key| (key, open.group));
@@ -767,7 +777,7 @@
     /// Worth still to be had for the work it takes.
     fn priority(&self, open: &Open) -> f64 {
         let class = &self.s.classes[open.class];
-        let work = self.pace[open.class].work.max(1.0);
+        let work = self.pace[open.class].service_time_us.max(1.0);
         // Of equals the one that surely makes it goes first: a long queue must not make every answer late.
         let left = (open.arrived.0 + class.latency_objective.0 - self.now.0).max(0) as f64;
         let chance = 1.0 - (-left / work).exp();
@@ -797,7 +807,7 @@
 
     /// Latency of late at a group's primary or replicas, in parts of the aims.
     fn lateness(&self, group: u32, primary: bool) -> f64 {
-        self.crowd.late(group, primary, self.now)
+        self.crowd.latency_ratio(group, role_of(primary), self.now)
     }
 
     /// Part of the worth that a request of this customer has: the whole within its share. A router knows its
@@ -816,7 +826,8 @@
         let Some(open) = self.open.get(&id).filter(|open| open.out == 0) else { return };
         let class = &self.s.classes[open.class];
         let aim_left = (open.arrived.0 + class.latency_objective.0 - self.now.0) as f64;
-        let hopeless = class.late_priority_weight <= 0.0 && aim_left < self.pace[open.class].work / 2.0;
+        let hopeless =
+            class.late_priority_weight <= 0.0 && aim_left < self.pace[open.class].service_time_us / 2.0;
         let over =
             self.now.0 >= open.deadline.0 - MARGIN_US || open.attempts >= self.s.max_attempts || open.spent;
         // What no host took in half its time had better be asked again: its client is told when. A write that
@@ -853,12 +864,12 @@
         let Some(open) = self.open.get(&id).filter(|open| open.out == 1) else { return };
         let Some((_, attempt)) = self.out.range((id, 0)..=(id, u32::MAX)).next() else { return };
         let host = self.hosts.get(&attempt.host);
-        let silent = host.is_some_and(|h| h.rest.failing());
+        let silent = host.is_some_and(|h| h.rest.is_failing());
         // Where all is late a copy only adds to it, and many routers each see too little to tell.
         let primary = host.is_some_and(|h| self.is_primary(h));
         let calm = self.full_at(primary) / self.s.fleet_size_factor();
         let calm = self.lateness(open.group, primary) < calm;
-        let late = calm && (self.now.0 - attempt.sent.0) as f64 > LATE * self.pace[open.class].mean;
+        let late = calm && (self.now.0 - attempt.sent.0) as f64 > LATE * self.pace[open.class].mean_us;
         let may =
             self.s.hedging_allowed && self.s.classes[open.class].idempotency != Idempotency::NotIdempotent;
         if !may || attempt.dropped || !(late || silent) || self.retry_budget < 1.0 {
@@ -882,7 +893,9 @@
         }
         // Of what hosts serve, not of what comes again after refusals; further attempts would add to that.
         let load = self.loads.get(&open.group).copied().unwrap_or_default();
-        let able = self.s.slow_start_budget_multiple * part * load.part_of_one(self.needs_primary(open));
+        let able = self.s.slow_start_budget_multiple
+            * part
+            * load.served_fraction_per_host(role_of(self.needs_primary(open)));
         open.attempts == 0 && Self::luck(open, id.0, 0) < COLD_SAFETY * able
     }
 
@@ -917,3 +930,12 @@
         self.hosts[&id].probing
     }
 }
+
+/// The role that serves a request, or that a host has.
+fn role_of(primary: bool) -> Role {
+    if primary {
+        Role::Primary
+    } else {
+        Role::Replica
+    }
+}
