--- a/crates/decisions/src/load/circuit_breaker.rs
+++ b/crates/decisions/src/load/circuit_breaker.rs
@@ -38,8 +38,8 @@
         self.consecutive_failures = 0;
     }
 
-    /// Opens the breaker for `base`, doubled with each failure since the last response, and for `longest` at most.
-    /// An ejection that already lasts longer stands.
+    /// Opens the breaker for `base`, doubled with each failure since the last response, and for `longest`
+    /// at most. An ejection that already lasts longer stands.
     pub fn record_failure(&mut self, now: Timestamp, base: TimeDelta, longest: TimeDelta) {
         self.consecutive_failures += 1;
         let doublings = (self.consecutive_failures - 1).min(MAX_DOUBLINGS);
@@ -47,7 +47,8 @@
         self.open_until = self.open_until.max(now + ejection);
     }
 
-    /// Records that an attempt starts. A failing host gets one at a time, so its breaker is open for `span` anew.
+    /// Records that an attempt starts. A failing host gets one at a time, so its breaker is open for `span`
+    /// anew.
     pub fn probe_started(&mut self, now: Timestamp, span: TimeDelta) {
         if self.is_failing() {
             self.open_until = now + span;
--- a/crates/decisions/src/load/decaying_average.rs
+++ b/crates/decisions/src/load/decaying_average.rs
@@ -1,5 +1,5 @@
-//! An average that weighs samples by their age as well as by their number: an observer with hundreds of samples a second
-//! needs many of them, one with a sample every few seconds cannot wait for them.
+//! An average that weighs samples by their age as well as by their number: an observer with hundreds of
+//! samples a second needs many of them, one with a sample every few seconds cannot wait for them.
 
 use crate::interface::Timestamp;
 
@@ -24,7 +24,8 @@
         self.value * self.remaining_weight(now, time_constant_us)
     }
 
-    /// Adds a sample. Its weight is at least `min_weight`, and grows with the time since the sample before it.
+    /// Adds a sample. Its weight is at least `min_weight`, and grows with the time since the sample before
+    /// it.
     pub fn record(&mut self, now: Timestamp, sample: f64, min_weight: f64, time_constant_us: f64) {
         let weight = min_weight.max(1.0 - self.remaining_weight(now, time_constant_us));
         self.value += weight * (sample - self.value);
--- a/crates/decisions/src/load/group_latency.rs
+++ b/crates/decisions/src/load/group_latency.rs
@@ -1,7 +1,7 @@
 //! Latency of recent responses, as a ratio of their latency objectives, by group and role.
 //!
-//! A router that hears from a group every few seconds has one or two recent responses of it, of which a single slow one
-//! says little. So the average over all groups counts beside the group's own.
+//! A router that hears from a group every few seconds has one or two recent responses of it, of which a
+//! single slow one says little. So the average over all groups counts beside the group's own.
 
 use super::{ByRole, DecayingAverage};
 use crate::interface::{Role, Timestamp};
@@ -43,8 +43,8 @@
 }
 
 impl GroupLatency {
-    /// Returns an estimate without samples. Samples decay with the time constant, in microseconds; the weight of a new one
-    /// is at least `min_weight`.
+    /// Returns an estimate without samples. Samples decay with the time constant, in microseconds; the
+    /// weight of a new one is at least `min_weight`.
     pub fn new(time_constant_us: f64, min_weight: f64) -> Self {
         Self { time_constant_us, min_weight, groups: BTreeMap::new(), fleet: ByRole::default() }
     }
--- a/crates/decisions/src/load/group_traffic.rs
+++ b/crates/decisions/src/load/group_traffic.rs
@@ -1,5 +1,5 @@
-//! Requests that arrive for a group, and those that its hosts serve. Rejected clients come again, so that arrivals may be
-//! many times what the hosts can serve.
+//! Requests that arrive for a group, and those that its hosts serve. Rejected clients come again, so that
+//! arrivals may be many times what the hosts can serve.
 
 use super::ByRole;
 use crate::interface::{Role, TimeDelta, Timestamp};
@@ -66,8 +66,9 @@
         ((counts.served + PRESUMED_REQUESTS) / (counts.arrived + PRESUMED_REQUESTS)).min(1.0)
     }
 
-    /// Returns the fraction of the arriving requests for this role that one host serves. The primary serves all of its
-    /// own; reads are shared by as many members as the group has had at most, or the last one left would draw all.
+    /// Returns the fraction of the arriving requests for this role that one host serves. The primary serves
+    /// all of its own; reads are shared by as many members as the group has had at most, or the last one
+    /// left would draw all.
     pub fn served_fraction_per_host(&self, role: Role) -> f64 {
         let hosts = match role {
             Role::Primary => 1,
--- a/crates/decisions/src/load/latency_estimate.rs
+++ b/crates/decisions/src/load/latency_estimate.rs
@@ -15,7 +15,8 @@
 }
 
 impl LatencyEstimate {
-    /// Returns the estimate before any response: a quarter of the objective, an eighth of it without queueing.
+    /// Returns the estimate before any response: a quarter of the objective, an eighth of it without
+    /// queueing.
     pub fn from_objective(latency_objective: TimeDelta) -> Self {
         let objective_us = latency_objective.0 as f64;
         Self { mean_us: objective_us / 4.0, service_time_us: objective_us / 8.0 }
--- /dev/null
+++ b/crates/decisions/src/routing/eligibility.rs
@@ -0,0 +1,165 @@
+//! Whether a host may take a request, and on what evidence. Every forwarded request passes [`eligibility`].
+
+use super::context::Context;
+use super::freshness::{likely_position, required_position, NO_POSITION};
+use super::host::Host;
+use super::request::PendingRequest;
+use super::{retry, slow_start};
+use crate::interface::{Freshness, HostId, Idempotency, RequestClass, TimeDelta};
+
+/// A primary that responded longer ago than this may have failed over: it is checked before a write that
+/// must not be repeated.
+const PRIMARY_EVIDENCE_MAX_AGE: TimeDelta = TimeDelta::from_secs(1);
+/// A host that rejected a write gets none for so long: a handover takes longer than all attempts of a
+/// request.
+const WRITE_REJECTED_FOR: TimeDelta = TimeDelta::from_millis(120);
+/// A host that did not suit a request is tried without evidence again only after this.
+const UNVERIFIED_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(300);
+/// A read is sent to at most so many hosts that turn out to be behind.
+const MAX_REJECTED_AS_BEHIND: usize = 2;
+
+/// On what evidence a host may take a request, in order of preference.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Eligibility {
+    /// It is known to have applied what the request must see.
+    CaughtUp,
+    /// It checks reads itself and has probably applied what the request must see.
+    LikelyCaughtUp,
+    /// It is the primary.
+    Primary,
+    /// Nothing is known, but it rejects a request that does not suit it without executing it.
+    Unverified,
+}
+
+/// Why a host may not take a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Ineligible {
+    /// It is not known, of another group, draining or removed.
+    NotAvailable,
+    /// The deadline or the number of attempts is reached.
+    RequestExhausted,
+    /// The request may have been executed already, and must not be repeated there.
+    RetryUnsafe,
+    /// It is warming up and gets only a fraction of the requests.
+    WarmingUp,
+    /// It rejected a write a short time ago.
+    WriteRejected,
+    /// It is not known to be the primary.
+    NotPrimary,
+    /// It has not applied what the request must see.
+    Behind,
+}
+
+/// Returns on what evidence the host may take the request now, or why it may not.
+pub(super) fn eligibility(
+    context: Context<'_>,
+    id: HostId,
+    request: &PendingRequest,
+) -> Result<Eligibility, Ineligible> {
+    let host = context.hosts.get(id).ok_or(Ineligible::NotAvailable)?;
+    if host.group != request.group || !context.is_usable(host) {
+        return Err(Ineligible::NotAvailable);
+    }
+    if context.now >= request.deadline || request.attempts >= context.settings.max_attempts {
+        return Err(Ineligible::RequestExhausted);
+    }
+    if !retry::retry_is_safe(context, request, Some(host.zone)) {
+        return Err(Ineligible::RetryUnsafe);
+    }
+    if !slow_start::slow_start_admits(context, id, host, request) {
+        return Err(Ineligible::WarmingUp);
+    }
+    match context.class(request).freshness {
+        Freshness::Write => write_eligibility(context, id, host, request),
+        _ => read_eligibility(context, id, host, request),
+    }
+}
+
+/// Writes go to the primary. While it hands over it rejects them and still calls itself the primary.
+fn write_eligibility(
+    context: Context<'_>,
+    id: HostId,
+    host: &Host,
+    request: &PendingRequest,
+) -> Result<Eligibility, Ineligible> {
+    if host.write_rejected_at.is_some_and(|at| context.now - at < WRITE_REJECTED_FOR) {
+        return Err(Ineligible::WriteRejected);
+    }
+    if host.is_primary() && has_recent_evidence(context, host, context.class(request)) {
+        return Ok(Eligibility::Primary);
+    }
+    // Without health checks the next member is tried: it rejects a write that it may not take.
+    if !context.settings.can_health_check() && unverified_attempt_allowed(context, id, host, request) {
+        return Ok(Eligibility::Unverified);
+    }
+    Err(Ineligible::NotPrimary)
+}
+
+fn read_eligibility(
+    context: Context<'_>,
+    id: HostId,
+    host: &Host,
+    request: &PendingRequest,
+) -> Result<Eligibility, Ineligible> {
+    let class = context.class(request);
+    let is_primary = host.is_primary();
+    if is_primary && has_recent_evidence(context, host, class) {
+        return Ok(Eligibility::Primary);
+    }
+    let required = required_position(context, request);
+    if class.freshness == Freshness::Any || required == NO_POSITION {
+        return Ok(Eligibility::CaughtUp);
+    }
+    if host.applied_position >= required && !is_primary {
+        return Ok(Eligibility::CaughtUp);
+    }
+    let lag_wait_us = context.settings.replica_lag_wait().ok_or(Ineligible::Behind)?;
+    // A host that has been up for long and never responded is as likely to have caught up as any.
+    let is_unknown = host.position_observed_at.is_none() && host.started_at.is_none();
+    let soon = likely_position(host, context.now).0.saturating_add(lag_wait_us / 2);
+    if (is_unknown || soon >= required.0) && !is_primary {
+        return Ok(Eligibility::LikelyCaughtUp);
+    }
+    if !context.settings.can_health_check() && unverified_attempt_allowed(context, id, host, request) {
+        return Ok(Eligibility::Unverified);
+    }
+    Err(Ineligible::Behind)
+}
+
+/// Returns whether the host has responded recently enough to count as alive for a class. Requests that may
+/// be repeated need no such evidence, and where health checks are impossible there is none.
+fn has_recent_evidence(context: Context<'_>, host: &Host, class: &RequestClass) -> bool {
+    class.idempotency != Idempotency::NotIdempotent
+        || !context.settings.can_health_check()
+        || host.last_response_at.is_some_and(|at| context.now - at <= PRIMARY_EVIDENCE_MAX_AGE)
+}
+
+/// Returns whether the request itself may serve as the health check: the host rejects it unexecuted if it
+/// does not suit. Not where a primary that may respond is known, nor where the host did not suit a short
+/// time ago.
+fn unverified_attempt_allowed(
+    context: Context<'_>,
+    id: HostId,
+    host: &Host,
+    request: &PendingRequest,
+) -> bool {
+    let needs_primary = context.needs_primary(request);
+    if needs_primary {
+        let primary = context.primary(request.group);
+        if primary.is_some_and(|(_, primary)| !primary.is_ejected(context.now)) {
+            return false;
+        }
+    }
+    let observed_at = match needs_primary {
+        true => host.role.map(|role| role.observed_at),
+        false => host.position_observed_at,
+    };
+    let Some(observed_at) = observed_at else { return !request.rejected_as_behind.contains(&id) };
+    let lag = match needs_primary {
+        true => TimeDelta(0),
+        false => TimeDelta(observed_at.0 - host.applied_position.0),
+    };
+    let delay = UNVERIFIED_RETRY_AFTER.max(TimeDelta(lag.0 / 2));
+    let is_due = TimeDelta(context.now.0 - observed_at.0) >= delay;
+    is_due && (needs_primary || request.rejected_as_behind.len() < MAX_REJECTED_AS_BEHIND)
+}
--- /dev/null
+++ b/crates/decisions/src/routing/freshness.rs
@@ -0,0 +1,97 @@
+//! Which log position a read needs, which one a host has applied, and how positions and roles are learnt.
+
+use super::context::Context;
+use super::host::{Host, HostTable, ObservedRole};
+use super::request::PendingRequest;
+use crate::interface::{
+    Freshness, HostId, LoadReport, LogPosition, ReadRequirement, Request, Role, Settings, TimeDelta,
+    Timestamp,
+};
+use crate::state::host_clock::AHEAD_US;
+use crate::state::session_positions::SessionPositions;
+
+/// Positions travel in whole milliseconds: one may have been rounded by as much.
+pub(super) const POSITION_ROUNDING: TimeDelta = TimeDelta::from_millis(1);
+/// No position is needed.
+pub(super) const NO_POSITION: LogPosition = LogPosition(i64::MIN);
+
+/// Returns the position that a request must see, fixed when it arrives; [`NO_POSITION`] for none.
+pub(super) fn minimum_position(
+    settings: &Settings,
+    sessions: &SessionPositions,
+    request: &Request,
+    now: Timestamp,
+) -> LogPosition {
+    match settings.classes[request.class].freshness {
+        Freshness::Fresh => LogPosition(now.0),
+        Freshness::Session if settings.write_positions_tracked => {
+            sessions.need(request.session, request.group, now)
+        }
+        Freshness::Session => match request.time_since_write {
+            Some(age) if age.0 > 0 => LogPosition((now - age + POSITION_ROUNDING).0),
+            _ => NO_POSITION,
+        },
+        Freshness::Write | Freshness::Bounded(_) | Freshness::Any => NO_POSITION,
+    }
+}
+
+/// Returns how recent the data behind a response to the request must be.
+pub(super) fn requirement(context: Context<'_>, request: &PendingRequest) -> ReadRequirement {
+    ReadRequirement::for_class(context.class(request).freshness, request.minimum_position)
+}
+
+/// Returns the position that a request sent at `context.now` must see.
+pub(super) fn required_position(context: Context<'_>, request: &PendingRequest) -> LogPosition {
+    requirement(context, request).required_position(context.now)
+}
+
+/// Returns the position that the host has probably applied by now, if it has kept up since it was last
+/// observed.
+pub(super) fn likely_position(host: &Host, now: Timestamp) -> LogPosition {
+    let Some(observed_at) = host.position_observed_at else { return host.applied_position };
+    LogPosition(host.applied_position.0.saturating_add((now - observed_at).0))
+}
+
+/// Returns the latest time a position may show at `now`: hosts' clocks may be ahead by a little.
+pub(super) fn latest_plausible(now: Timestamp) -> Timestamp {
+    Timestamp(now.0 + AHEAD_US)
+}
+
+/// What a response or a load report says about its host.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Observation {
+    pub position: Option<LogPosition>,
+    pub role: Option<Role>,
+    /// When the role was true.
+    pub observed_at: Timestamp,
+}
+
+/// Takes an observation. The applied position only rises, and one ahead of the clock is ignored; of roles
+/// the newest counts.
+pub(super) fn observe(hosts: &mut HostTable, id: HostId, observation: Observation, now: Timestamp) {
+    let Some(host) = hosts.get_mut(id) else { return };
+    let plausible = |position: &LogPosition| position.0 <= latest_plausible(now).0;
+    if let Some(position) = observation.position.filter(plausible) {
+        host.position_observed_at = Some(now);
+        host.applied_position = host.applied_position.max(position);
+    }
+    let Some(role) = observation.role else { return };
+    let observed_at = observation.observed_at;
+    if host.role.is_some_and(|known| known.observed_at > observed_at) {
+        return;
+    }
+    host.role = Some(ObservedRole { role, observed_at });
+    if role == Role::Primary {
+        let group = host.group;
+        hosts.demote_other_primaries(group, id, observed_at);
+    }
+}
+
+/// Takes a load report, which is as old as the position in it. One from ahead of the clock is ignored.
+pub(super) fn observe_report(hosts: &mut HostTable, id: HostId, report: LoadReport, now: Timestamp) {
+    let observed_at = Timestamp(report.position.map_or(i64::MIN, |position| position.0));
+    if observed_at <= latest_plausible(now) {
+        let observation = Observation { position: report.position, role: report.role, observed_at };
+        observe(hosts, id, observation, now);
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/routing/health_check.rs
@@ -0,0 +1,78 @@
+//! Health checks: when a host is asked for its position and role, and which reads wait for the answer.
+
+use super::context::Context;
+use super::eligibility::{eligibility, Eligibility};
+use super::freshness::{likely_position, required_position, NO_POSITION};
+use super::host::Host;
+use super::queue::CHECK_INTERVAL;
+use super::request::{PendingRequest, SHARED_SALT};
+use crate::interface::{HostId, TimeDelta};
+
+/// A host is not checked again sooner: load reports are not renewed much faster.
+const MIN_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
+/// A read waits for a health check at most so long.
+const MAX_WAIT: TimeDelta = TimeDelta(2 * CHECK_INTERVAL.0);
+
+/// Whether a read waits for a health check.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReadCheck {
+    /// It can be placed, or a check cannot help.
+    NotNeeded,
+    /// It waits for one in flight.
+    Wait,
+    /// It waits if a check of this host is in flight or can be started now.
+    Start(HostId),
+}
+
+/// Returns whether a health check of the host may be started now. One of many routers checks a host less
+/// often, or a failover would cause a storm of checks. But while no primary is known it checks once in the
+/// shortest latency objective, and the primary, or where only a health check lets a read go, at the least
+/// interval: waiting longer loses the request.
+pub(super) fn is_due(context: Context<'_>, id: HostId, host: &Host) -> bool {
+    let just_observed = host.position_observed_at == Some(context.now);
+    let interval = min_interval(context, id, host);
+    let just_checked = host.health_checked_at.is_some_and(|at| context.now - at < interval);
+    !host.health_check_in_flight && !just_observed && !just_checked
+}
+
+fn min_interval(context: Context<'_>, id: HostId, host: &Host) -> TimeDelta {
+    let settings = context.settings;
+    let fleet_interval = TimeDelta((MIN_INTERVAL.0 as f64 * settings.fleet_size_factor()) as i64);
+    match context.primary(host.group) {
+        Some((primary, _)) if primary == id || settings.replica_lag_wait().is_none() => MIN_INTERVAL,
+        Some(_) => fleet_interval,
+        None => fleet_interval.min(TimeDelta(settings.shortest_latency_objective())),
+    }
+}
+
+/// Returns whether a read should wait for a health check: where replicas do not check reads themselves, and
+/// none is known to have caught up, the one that most likely has is checked first.
+pub(super) fn read_check(context: Context<'_>, request: &PendingRequest) -> ReadCheck {
+    let settings = context.settings;
+    let checks_help = settings.replica_lag_wait().is_none()
+        && !context.needs_primary(request)
+        && required_position(context, request) != NO_POSITION
+        && settings.can_health_check();
+    if !checks_help {
+        return ReadCheck::NotNeeded;
+    }
+    let replicas = || context.hosts.members(request.group).filter(|(_, host)| !host.is_primary());
+    if replicas().any(|(id, _)| eligibility(context, id, request) == Ok(Eligibility::CaughtUp)) {
+        return ReadCheck::NotNeeded;
+    }
+    let can_answer = |host: &Host| context.is_usable(host) && !host.circuit_breaker.is_failing();
+    // Of replicas that are unknown any one: routers that all checked the same would all send there.
+    let preference = |id: HostId, host: &Host| {
+        let random = request.hash_fraction(id, SHARED_SALT).to_bits();
+        (likely_position(host, context.now), random)
+    };
+    let candidates = replicas().filter(|(_, host)| can_answer(host));
+    let Some((id, host)) = candidates.max_by_key(|(id, host)| preference(*id, host)) else {
+        return ReadCheck::NotNeeded;
+    };
+    match request.health_check_started_at {
+        None => ReadCheck::Start(id),
+        Some(at) if host.health_check_in_flight && context.now - at < MAX_WAIT => ReadCheck::Wait,
+        Some(_) => ReadCheck::NotNeeded,
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/routing/queue.rs
@@ -0,0 +1,126 @@
+//! The queue of requests that wait for a host: their order, when they are given up, and how their clients
+//! are told.
+
+use super::admission::priority_density;
+use super::context::Context;
+use super::request::{PendingRequest, PendingRequests};
+use super::retry;
+use crate::interface::{Idempotency, KeyScope, RequestClass, RequestId, TimeDelta};
+
+/// Waiting requests are examined this often: a small part of any latency objective.
+pub(super) const CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
+/// A waiting request is answered so long before its deadline: two checks and the way back to its client.
+pub(super) const RESPONSE_MARGIN: TimeDelta = TimeDelta::from_millis(25);
+/// Requests of a class that found no host after which the others of the class are not tried: bounds the
+/// processor time of a dispatch.
+pub(super) const MAX_UNPLACED_PER_CLASS: u32 = 16;
+/// Requests in flight are examined so many times within the shortest latency objective: timers of many
+/// routers must not become a load.
+const IN_FLIGHT_CHECKS_PER_OBJECTIVE: i64 = 8;
+
+/// Why a waiting request is given up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum GiveUpReason {
+    /// The latency objective cannot be met, and a late response is worth nothing.
+    ObjectiveUnreachable,
+    /// The client is about to stop waiting.
+    DeadlineNear,
+    /// The number of attempts is reached.
+    AttemptsExhausted,
+    /// It failed at several hosts, or the retry budget is exhausted.
+    RetriesExhausted,
+    /// No host took it in half of its time: its client had better come again later.
+    NoHostAvailable,
+    /// It may have been executed and must not be repeated.
+    RetryUnsafe,
+}
+
+/// How a request that is given up ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Ending {
+    /// Nothing was done, or a repeat does no harm: the client may send it again.
+    Reject,
+    /// It may have been executed.
+    Fail,
+}
+
+/// Returns why a waiting request is given up now, or `None` while it may still be served.
+pub(super) fn give_up_reason(context: Context<'_>, request: &PendingRequest) -> Option<GiveUpReason> {
+    if is_hopeless(context, request) {
+        return Some(GiveUpReason::ObjectiveUnreachable);
+    }
+    if context.now >= request.deadline - RESPONSE_MARGIN {
+        return Some(GiveUpReason::DeadlineNear);
+    }
+    if request.attempts >= context.settings.max_attempts {
+        return Some(GiveUpReason::AttemptsExhausted);
+    }
+    if request.retries_exhausted {
+        return Some(GiveUpReason::RetriesExhausted);
+    }
+    if is_unserved_for_long(context, request) {
+        return Some(GiveUpReason::NoHostAvailable);
+    }
+    (!retry::retry_is_safe(context, request, None)).then_some(GiveUpReason::RetryUnsafe)
+}
+
+fn is_hopeless(context: Context<'_>, request: &PendingRequest) -> bool {
+    let class = context.class(request);
+    let objective_left = request.arrived_at + class.latency_objective - context.now;
+    class.late_priority_weight <= 0.0
+        && (objective_left.0 as f64) < context.latency(request).service_time_us / 2.0
+}
+
+/// Returns whether no host took the request in half of its time. A write that was rejected may wait for the
+/// next primary.
+fn is_unserved_for_long(context: Context<'_>, request: &PendingRequest) -> bool {
+    let was_taken = match context.needs_primary(request) {
+        true => request.reached_a_host,
+        false => request.possible_execution.is_some(),
+    };
+    let half_time_us = (request.arrived_at.0 + request.deadline.0) / 2;
+    !was_taken && context.now.0 >= half_time_us - 2 * CHECK_INTERVAL.0
+}
+
+/// Returns how a request that is given up ends.
+pub(super) fn ending(class: &RequestClass, request: &PendingRequest) -> Ending {
+    let repeat_is_harmless =
+        matches!(class.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All));
+    match repeat_is_harmless || request.possible_execution.is_none() {
+        true => Ending::Reject,
+        false => Ending::Fail,
+    }
+}
+
+/// Returns after which time a rejected client should come again, if it may be told: soon while there is
+/// time left for a response within the objective, else as late as allowed.
+pub(super) fn retry_after(context: Context<'_>, request: &PendingRequest) -> Option<TimeDelta> {
+    let half_objective = TimeDelta(context.class(request).latency_objective.0 / 2);
+    let longest = context.settings.max_retry_after;
+    let is_early = context.now < request.arrived_at + half_objective;
+    let wait = if is_early { longest.min(half_objective) } else { longest };
+    context.settings.retry_after_allowed.then_some(wait)
+}
+
+/// Returns the requests of a group that wait, by descending priority density, then by number.
+pub(super) fn dispatch_order(
+    context: Context<'_>,
+    requests: &PendingRequests,
+    group: u32,
+) -> Vec<(f64, RequestId)> {
+    let waiting = requests.waiting().filter(|(_, request)| request.group == group);
+    let mut order: Vec<(f64, RequestId)> =
+        waiting.map(|(id, request)| (-priority_density(context, request), id)).collect();
+    order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    order
+}
+
+/// Returns the interval after which requests are examined next.
+pub(super) fn check_interval(context: Context<'_>, requests: &PendingRequests) -> TimeDelta {
+    let is_any_waiting = requests.waiting().next().is_some();
+    let interval = match is_any_waiting {
+        true => CHECK_INTERVAL,
+        false => TimeDelta(context.settings.shortest_latency_objective() / IN_FLIGHT_CHECKS_PER_OBJECTIVE),
+    };
+    interval.max(context.settings.timer_resolution)
+}
--- /dev/null
+++ b/crates/decisions/src/routing/request.rs
@@ -0,0 +1,107 @@
+//! Requests that have no response yet, and their attempts.
+
+use crate::interface::{HostId, LogPosition, RequestId, SessionId, Timestamp};
+use std::collections::BTreeMap;
+
+/// Salt of the random number that is common to all hosts.
+pub(super) const SHARED_SALT: u64 = 0;
+/// Host number that stands for no host in particular.
+pub(super) const ANY_HOST: HostId = HostId(0);
+
+/// The first attempt that a host may have executed.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PossibleExecution {
+    pub sent_at: Timestamp,
+    pub zone: u32,
+}
+
+/// One request.
+#[derive(Debug, Default)]
+pub(super) struct PendingRequest {
+    pub class: usize,
+    pub group: u32,
+    /// The position that a read of a session must see; `i64::MIN` for none.
+    pub minimum_position: LogPosition,
+    pub arrived_at: Timestamp,
+    pub deadline: Timestamp,
+    /// Weight of its class, lowered beyond the quota of its tenant.
+    pub priority_weight: f64,
+    pub session: Option<SessionId>,
+    /// Attempts so far.
+    pub attempts: u32,
+    /// Seed of its random numbers, drawn when it arrived.
+    pub random_seed: u64,
+    pub in_flight_attempts: u32,
+    /// When a replica was asked for its position on behalf of this read.
+    pub health_check_started_at: Option<Timestamp>,
+    /// Whether a host has received it, executed or not.
+    pub reached_a_host: bool,
+    pub possible_execution: Option<PossibleExecution>,
+    /// Hosts that rejected it as misdirected, or whose response was too old.
+    pub rejected_as_behind: Vec<HostId>,
+    /// Hosts that responded with an error.
+    pub failed_at: Vec<HostId>,
+    /// Whether no further attempt is allowed.
+    pub retries_exhausted: bool,
+}
+
+impl PendingRequest {
+    /// Returns whether no attempt is in flight: the request waits for a host.
+    pub fn is_waiting(&self) -> bool {
+        self.in_flight_attempts == 0
+    }
+
+    /// Returns a pseudo-random number from 0 to 1 that is always the same for one request, host and salt.
+    pub fn hash_fraction(&self, host: HostId, salt: u64) -> f64 {
+        let seed = self.random_seed ^ u64::from(host.0).wrapping_mul(0xD134_2543_DE82_EF95) ^ salt;
+        let mixed = (seed ^ (seed >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        let bits = (mixed ^ (mixed >> 29)).wrapping_mul(0xBF58_476D_1CE4_E5B9) >> 40;
+        bits as f64 / (1u64 << 24) as f64
+    }
+}
+
+/// The session and group of a write whose position is tracked.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct TrackedWrite {
+    pub session: SessionId,
+    pub group: u32,
+}
+
+/// One forwarding of a request to a host.
+#[derive(Debug)]
+pub(super) struct Attempt {
+    pub host: HostId,
+    pub class: usize,
+    pub sent_at: Timestamp,
+    /// Whether its response has begun to reach the client.
+    pub response_started: bool,
+    pub tracked_write: Option<TrackedWrite>,
+}
+
+/// The requests without a response and the attempts in flight, which may outlive their request.
+#[derive(Debug, Default)]
+pub(super) struct PendingRequests {
+    pub requests: BTreeMap<RequestId, PendingRequest>,
+    pub attempts: BTreeMap<(RequestId, u32), Attempt>,
+}
+
+impl PendingRequests {
+    pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
+        self.requests.get(&id)
+    }
+
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+        self.requests.get_mut(&id)
+    }
+
+    /// Returns the requests that wait for a host.
+    pub fn waiting(&self) -> impl Iterator<Item = (RequestId, &PendingRequest)> + '_ {
+        self.requests.iter().filter(|(_, request)| request.is_waiting()).map(|(id, request)| (*id, request))
+    }
+
+    /// Returns the attempts of a request in flight, by number.
+    pub fn attempts_of(&self, id: RequestId) -> impl Iterator<Item = (u32, &Attempt)> + '_ {
+        let range = (id, 0)..=(id, u32::MAX);
+        self.attempts.range(range).map(|((_, number), attempt)| (*number, attempt))
+    }
+}
--- a/crates/decisions/tests/failures.rs
+++ b/crates/decisions/tests/failures.rs
@@ -335,21 +335,21 @@
 #[test]
 fn hosts_that_rest_or_drain_are_avoided_until_they_answer_or_run_again() {
     let mut world = World::known(settings(), 4);
-    assert_eq!(world.router.avoided(), 0);
+    assert_eq!(world.router.ejected_hosts(), 0);
     let (id, sent) = world.ask(0, None);
     let host = sends(&sent)[0];
     world.attempt(id, 0, host, Outcome::ConnectFailed, 5 * MS);
-    assert_eq!(world.router.avoided(), 1, "one rests");
+    assert_eq!(world.router.ejected_hosts(), 1, "one rests");
     let drained = (host + 1) % 4;
     let list = |state| {
         Event::EndpointList(EndpointUpdate::Delta, vec![EndpointEntry::new(HostId(drained), 0, state)])
     };
     world.event(list(HostState::Draining));
-    assert_eq!(world.router.avoided(), 2, "one rests, one drains");
+    assert_eq!(world.router.ejected_hosts(), 2, "one rests, one drains");
     world.event(list(HostState::Removed));
-    assert_eq!(world.router.avoided(), 1, "what the list names no more is not counted");
+    assert_eq!(world.router.ejected_hosts(), 1, "what the list names no more is not counted");
     world.event(list(HostState::Running));
     world.now += 4_000 * MS;
     world.event(Event::Timer(0));
-    assert_eq!(world.router.avoided(), 0, "its rest is over");
+    assert_eq!(world.router.ejected_hosts(), 0, "its rest is over");
 }
--- a/crates/decisions/tests/retune.rs
+++ b/crates/decisions/tests/retune.rs
@@ -17,7 +17,7 @@
     let (held, _) = world.ask(1, None);
     let mut more = settings();
     more.classes.push(class(Freshness::Any, Idempotency::Idempotent));
-    world.router.retune(more);
+    world.router.reconfigure(more);
     let (_, after) = world.ask(added, None);
     assert_eq!(sends(&after).len(), 1, "the new class is sent like any other read");
     let reply = world.reply(held, 1, Outcome::Ok, Some(Role::Replica));
@@ -27,7 +27,7 @@
 #[test]
 fn fewer_attempts_hold_from_the_new_settings_on() {
     let mut world = World::known(settings(), 3);
-    world.router.retune(Settings { max_attempts: 1, ..settings() });
+    world.router.reconfigure(Settings { max_attempts: 1, ..settings() });
     let (id, first) = world.ask(0, None);
     let host = sends(&first)[0];
     let failed = world.reply(id, host, Outcome::Error, None);
@@ -41,7 +41,7 @@
 fn a_customer_that_the_new_settings_bring_has_a_share_of_its_own() {
     let quotas = |all: &[f64]| Settings { tenant_quotas: all.to_vec(), over_quota_weight: 0.1, ..settings() };
     let mut world = World::known(quotas(&[50.0]), 1);
-    world.router.retune(quotas(&[50.0, 50.0]));
+    world.router.reconfigure(quotas(&[50.0, 50.0]));
     let mut request = |n: u64, tenant: usize| {
         let request = Request { tenant, ..Request::new(RequestId(n), 0, 0, 2_000 * MS) };
         world.event(Event::RequestArrived(request))
--- a/crates/decisions/tests/size.rs
+++ b/crates/decisions/tests/size.rs
@@ -1,11 +1,44 @@
-//! The module is printed: its size and line width are part of what it promises.
+//! The routing decisions are read at night: no file grows beyond a few pages, and the deploy file names them all.
+
+use std::path::Path;
+
+const MAX_LINES: usize = 400;
+const MAX_COLUMNS: usize = 110;
+const FOLDER: &str = "crates/decisions/src/routing";
+
+fn routing_files() -> Vec<(String, String)> {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let entries = std::fs::read_dir(root.join(FOLDER)).unwrap();
+    let paths = entries.map(|entry| entry.unwrap().path());
+    let sources = paths.filter(|path| path.extension().is_some_and(|extension| extension == "rs"));
+    let read = |path: std::path::PathBuf| {
+        (path.file_name().unwrap().to_string_lossy().into_owned(), std::fs::read_to_string(path).unwrap())
+    };
+    sources.map(read).collect()
+}
+
+#[test]
+fn routing_files_stay_short_and_narrow() {
+    let files = routing_files();
+    assert!(files.len() > 1, "{FOLDER} is read");
+    for (name, text) in files {
+        assert!(text.lines().count() <= MAX_LINES, "{name}: {} lines", text.lines().count());
+        let wide: Vec<&str> = text.lines().filter(|line| line.chars().count() > MAX_COLUMNS).collect();
+        assert!(wide.is_empty(), "{name}, too wide: {wide:?}");
+    }
+}
 
 #[test]
-fn the_module_stays_printable() {
+fn the_router_names_the_file_of_its_events_and_actions_first() {
     let text = include_str!("../src/routing/mod.rs");
-    let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-    assert!(lines <= 940, "{lines} lines");
-    let wide: Vec<&str> = text.lines().filter(|line| line.chars().count() > 110).collect();
-    assert!(wide.is_empty(), "too wide: {wide:?}");
     assert!(text.lines().take(3).any(|line| line.contains("src/interface.rs")));
 }
+
+#[test]
+fn the_deploy_file_names_every_routing_file_as_policy() {
+    let deploy = include_str!("../../../deploy/balancer.toml");
+    let policy = deploy.lines().find(|line| line.starts_with("policy")).unwrap();
+    for (name, _) in routing_files() {
+        assert!(policy.contains(&format!("\"{FOLDER}/{name}\"")), "{name} is not named");
+    }
+}
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -180,7 +180,7 @@
                 self.tell(Told::HealthChecked { host, outcome, latency, report }).await;
             }
             CoreEvent::Reconfigured(config) => {
-                self.router.retune(config.settings.clone());
+                self.router.reconfigure(config.settings.clone());
                 self.config = *config;
             }
             CoreEvent::DrainStarted(by) => {
@@ -432,7 +432,7 @@
             let since = &mut member.entry.started_at;
             *since = since.map(|since| Timestamp(since.0.saturating_sub(shift)));
         }
-        self.router.rebase(received, shift);
+        self.router.shift_host_clock(received, shift);
     }
 
     /// Whether an answer is too old for its request, where hosts leave that to us. The bound runs from the last byte of
@@ -548,7 +548,7 @@
             let looks = matches!(told, Told::EndpointList(..) | Told::Timer(_));
             self.router.handle(now, told, &mut actions);
             if looks {
-                self.counters.ejected(self.router.avoided());
+                self.counters.ejected(self.router.ejected_hosts());
             }
             for action in actions.drain(..) {
                 tracing::trace!(at = now.0, "does {action:?}");
