--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -4,8 +4,8 @@
 //! them at once, and nothing that it does waits for the module or a ledger host. What a call means is decided
 //! by [`call`], without I/O; the figures are the counters' and the drain's state is the door's.
 
+use super::local_faults;
 use super::peers::MembershipQueries;
-use super::shortage;
 use super::socket::Socket;
 use crate::counters::Counters;
 use bytes::Bytes;
@@ -146,8 +146,8 @@
 /// # Errors
 /// When the address cannot be had.
 pub(crate) async fn bind(address: std::net::SocketAddr) -> io::Result<TcpListener> {
-    let until = Instant::now() + shortage::START;
-    let listener = shortage::retried(until, || TcpListener::bind(address)).await;
+    let until = Instant::now() + local_faults::START;
+    let listener = local_faults::retried(until, || TcpListener::bind(address)).await;
     let listener = listener.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()));
     listener.map_err(|e| io::Error::new(e.kind(), format!("console {address}: {e}")))
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,8 +1,8 @@
 //! The actor that follows the list of ledger hosts: one watch after another, each until it ends or shows no sign of life.
 
+use super::json_stream::{Value, ValueError, Values};
 use super::messages::CoreEvent;
 use super::socket::Socket;
-use super::values::{Value, ValueError, Values};
 use crate::endpoint_list::RawEndpointList;
 use crate::membership::DiscoveryRetry;
 use bytes::Bytes;
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -15,10 +15,10 @@
 
 use super::clock::Clock;
 use super::console::AdminState;
+use super::local_faults;
 use super::memory::{Memory, Reclaim};
 use super::messages::CoreEvent;
 use super::rejections::Rejections;
-use super::shortage;
 use crate::config::{Config, Names, OVERFLOW};
 use crate::counters::Counters;
 use crate::drain::connection::{ActiveDrain, ConnectionSpans};
@@ -161,8 +161,8 @@
     pub async fn bind(addresses: &[(Protocol, SocketAddr)]) -> io::Result<Self> {
         let mut all = Vec::with_capacity(addresses.len());
         for (protocol, address) in addresses {
-            let until = Instant::now() + shortage::START;
-            let listener = shortage::retried(until, || async { shared(*address) }).await;
+            let until = Instant::now() + local_faults::START;
+            let listener = local_faults::retried(until, || async { shared(*address) }).await;
             let listener = listener.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()));
             let listener = listener.map_err(|e| io::Error::new(e.kind(), format!("{address}: {e}")))?;
             all.push((*protocol, listener));
@@ -301,7 +301,7 @@
                         yield_now().await;
                     }
                 }
-                Err(problem) if shortage::is_exhausted(&problem) => {
+                Err(problem) if local_faults::is_exhausted(&problem) => {
                     acceptor.rejections.record(RejectionReason::Local, format_args!("accept: {problem}"));
                     pressure.send_replace(());
                     rests_until = Some(Instant::now() + ACCEPT_BACKOFF);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -9,15 +9,16 @@
 pub(crate) mod core;
 pub(crate) mod discovery;
 pub(crate) mod frontend;
+mod json_stream;
+pub(crate) mod local_faults;
 pub(crate) mod memory;
 pub mod messages;
 pub(crate) mod peers;
 pub(crate) mod rejections;
-pub(crate) mod shortage;
+
 pub(crate) mod socket;
 pub(crate) mod stream;
 pub(crate) mod upstream;
-mod values;
 
 use crate::budget::Budget;
 use crate::config::Config;
