--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -104,7 +104,7 @@
             Call::Health => (StatusCode::SERVICE_UNAVAILABLE, "drained or not ready\n".to_owned()),
             Call::Stats => (StatusCode::OK, self.counters.figures()),
             Call::Quiesce => {
-                super::clock::begin(&self.quiesced);
+                super::clock::record_drain_start(&self.quiesced);
                 self.drain_changes.send_replace(());
                 tracing::info!("quiesced by the console");
                 (StatusCode::OK, "quiesced\n".to_owned())
@@ -146,8 +146,8 @@
 /// # Errors
 /// When the address cannot be had.
 pub(crate) async fn bind(address: std::net::SocketAddr) -> io::Result<TcpListener> {
-    let until = Instant::now() + local_faults::START;
-    let listener = local_faults::retried(until, || TcpListener::bind(address)).await;
+    let until = Instant::now() + local_faults::STARTUP_TIMEOUT;
+    let listener = local_faults::retry_local_faults(until, || TcpListener::bind(address)).await;
     let listener = listener.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()));
     listener.map_err(|e| io::Error::new(e.kind(), format!("console {address}: {e}")))
 }
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -3,10 +3,11 @@
 use super::clock::Clock;
 use super::memory::Memory;
 use super::messages::{
-    Answer, Arrival, AttemptEnd, ClientMessage, CoreEvent, HealthCheckResult, Invalid, Request, Statement,
+    Answer, Arrival, AttemptEnd, ClientMessage, CoreEvent, HealthCheckResult, InvalidRequest, Request,
+    Statement,
 };
 use super::rejections::Rejections;
-use super::socket::Presence;
+use super::socket::PeerLiveness;
 use super::upstream::{self, Command, Peer};
 use crate::budget::Reservation;
 use crate::config::Config;
@@ -44,7 +45,7 @@
     deadline: Instant,
     /// Where the answer goes; none once it went.
     client: Option<mpsc::Sender<ClientMessage>>,
-    presence: Presence,
+    presence: PeerLiveness,
     last_call: Option<Key>,
     /// Its answer is due before its own deadline, since others behind it on its connection wait for it.
     is_tightened: bool,
@@ -172,7 +173,7 @@
                 self.withdraw(id).await;
                 self.forget(id);
             }
-            CoreEvent::DeadlineShortened { id, due } => self.tighten(id, due),
+            CoreEvent::DeadlineShortened { id, reply_due: due } => self.tighten(id, due),
             CoreEvent::AttemptEnded(end) => self.ended(*end).await,
             CoreEvent::HealthChecked(HealthCheckResult { host, outcome, latency, report }) => {
                 self.back(host);
@@ -198,7 +199,8 @@
     // ---- Requests --------------------------------------------------------------------------------------
 
     async fn arrival(&mut self, arrival: Arrival) {
-        let Arrival { id, request, arrived, due, client, presence } = arrival;
+        let Arrival { id, request, arrived_at: arrived, reply_due: due, client, client_liveness: presence } =
+            arrival;
         self.counters.request_accepted();
         let class = request.class;
         let settings = &self.config.settings;
@@ -219,12 +221,12 @@
         // The module would hold a request of a group that does not exist until its client leaves.
         if !self.groups.contains(&request.group) {
             self.counters.ended(Ended::Failed, class);
-            return mail(&client, id, Answer::Invalid(Invalid::Group(request.group)));
+            return mail(&client, id, Answer::Invalid(InvalidRequest::UnknownGroup(request.group)));
         }
         // Ledger hosts know a request by this name: with two of one name neither answer would be sure.
         if !self.names.insert(request.name.clone()) {
             self.counters.ended(Ended::Failed, class);
-            return mail(&client, id, Answer::Invalid(Invalid::Id));
+            return mail(&client, id, Answer::Invalid(InvalidRequest::DuplicateId));
         }
         let room = self.memory.request(request.class, request.tenant, request.statement.text.len());
         let room = match room {
@@ -253,8 +255,8 @@
             ..
         } = request;
         // One that stands ahead of the clock was made just now.
-        let since_write =
-            last_write.map(|at| TimeDelta((self.clock.at(arrived).0 - self.host_clock.local(at).0).max(1)));
+        let since_write = last_write
+            .map(|at| TimeDelta((self.clock.timestamp(arrived).0 - self.host_clock.local(at).0).max(1)));
         let write = self.config.settings.classes[class].freshness == Freshness::Write;
         let held = Held {
             name,
@@ -364,7 +366,7 @@
 
     async fn ended(&mut self, end: AttemptEnd) {
         let outcome = if self.stale(&end) { Outcome::Stale } else { end.outcome };
-        let AttemptEnd { id, attempt, host, latency, position, role, value, written, .. } = end;
+        let AttemptEnd { id, attempt, host, latency, position, role, value, written_at: written, .. } = end;
         self.counters.outcome(outcome);
         self.back(host);
         let mut served = None;
@@ -379,7 +381,7 @@
         }
         let position = position.map(|p| p.rounded(outcome == Outcome::Ok && self.writes(id)));
         if let Some(position) = position {
-            let sent = written.map(|at| self.clock.at(at));
+            let sent = written.map(|at| self.clock.timestamp(at));
             self.note_clock(host, position, role, sent);
         }
         let position = position.map(|position| self.host_clock.local_position(position));
@@ -440,9 +442,9 @@
     fn stale(&self, end: &AttemptEnd) -> bool {
         let checked = self.config.settings.responses_verified && end.outcome == Outcome::Ok;
         let held = self.table.get(&end.id).filter(|held| checked && !held.write);
-        let Some((held, written)) = held.zip(end.written) else { return false };
+        let Some((held, written)) = held.zip(end.written_at) else { return false };
         let told = end.position.map(|stamp| self.host_clock.local_position(stamp.rounded(false)));
-        end.role != Some(Role::Primary) && !held.recent.is_met_by(told, self.clock.at(written))
+        end.role != Some(Role::Primary) && !held.recent.is_met_by(told, self.clock.timestamp(written))
     }
 
     fn writes(&self, id: RequestId) -> bool {
@@ -561,7 +563,7 @@
     async fn act(&mut self, action: Action) {
         match action {
             Action::Forward { id, host, timeout, requirement, write_by } => {
-                let write_by = write_by.map(|at| self.clock.moment(at));
+                let write_by = write_by.map(|at| self.clock.instant(at));
                 self.send(id, host, timeout, requirement, write_by).await;
             }
             Action::Reject { id, retry_after } => {
@@ -595,7 +597,7 @@
                 }
             }
             Action::SetTimer { at, token } => {
-                self.timers.insert_at(Due::Ring(token), self.clock.moment(at));
+                self.timers.insert_at(Due::Ring(token), self.clock.instant(at));
             }
             Action::Log(line) => tracing::info!("{line}"),
             // The list is pushed here: the watch is always on.
--- a/src/net/frontend/client/draining.rs
+++ b/src/net/frontend/client/draining.rs
@@ -53,7 +53,7 @@
             return Verdict::OPEN;
         }
         let clock = self.acceptor.clock;
-        let state = ConnectionState { quiet: clock.at(self.quiet), asked: self.asked, begun };
+        let state = ConnectionState { quiet: clock.timestamp(self.quiet), asked: self.asked, begun };
         connection::verdict(self.acceptor.active_drains(), state, clock.now())
     }
 
@@ -74,8 +74,9 @@
     /// By when the client has to take something of what is written, which it last did at that moment.
     pub(super) fn write_ends(&self, last_taken: Instant) -> Instant {
         let clock = self.acceptor.clock;
-        let drained = connection::write_ends(self.acceptor.active_drains(), clock.at(last_taken), STALLED);
+        let drained =
+            connection::write_ends(self.acceptor.active_drains(), clock.timestamp(last_taken), STALLED);
         let patient = last_taken + WRITE;
-        drained.map_or(patient, |by| clock.moment(by).min(patient))
+        drained.map_or(patient, |by| clock.instant(by).min(patient))
     }
 }
--- a/src/net/frontend/client/ending.rs
+++ b/src/net/frontend/client/ending.rs
@@ -6,7 +6,7 @@
 use crate::net::frontend::close_reason::CloseReason;
 use crate::net::frontend::conversation::Conversation;
 use crate::net::frontend::fault::Fault;
-use crate::net::socket::{left, unread};
+use crate::net::socket::{has_unread_bytes, peer_closed};
 use bytes::BytesMut;
 use std::io;
 use std::time::Duration;
@@ -35,10 +35,10 @@
             }
         }
         let _ = self.stream.shutdown().await;
-        if linger && unread(&self.stream) {
+        if linger && has_unread_bytes(&self.stream) {
             // To close on what is unread resets the connection, and takes with it the answers that the system has not
             // sent yet: the client sees the end behind them first, and goes.
-            let _ = timeout(self.linger(), left(&self.stream)).await;
+            let _ = timeout(self.linger(), peer_closed(&self.stream)).await;
         }
     }
 
@@ -61,7 +61,7 @@
     /// How long the connection is kept behind its last words, so that they arrive; not beyond the end of a drain.
     fn linger(&self) -> Duration {
         let cuts =
-            connection::cuts(self.acceptor.active_drains()).map(|cuts| self.acceptor.clock.moment(cuts));
+            connection::cuts(self.acceptor.active_drains()).map(|cuts| self.acceptor.clock.instant(cuts));
         let left = cuts.map(|cuts| cuts.saturating_duration_since(Instant::now()));
         LINGER.min(left.unwrap_or(LINGER))
     }
--- a/src/net/frontend/client/mod.rs
+++ b/src/net/frontend/client/mod.rs
@@ -289,7 +289,7 @@
         let buffers = self.read.capacity() + self.out.capacity() + self.conversation.held();
         // Buffers shrink a little with each message taken: only whole steps are worth accounting for.
         let bytes = (buffers + self.pipeline.waiting_bytes()).next_multiple_of(STEP) as u64;
-        let held = self.acceptor.memory.hold(&mut self.admission.buffers, self.account, bytes);
+        let held = self.acceptor.memory.resize_reservation(&mut self.admission.buffers, self.account, bytes);
         held.map_err(|refused| Fault::Refused(refused.rejection.retry_after))
     }
 
--- a/src/net/frontend/client/opening.rs
+++ b/src/net/frontend/client/opening.rs
@@ -5,7 +5,7 @@
 use crate::interface::RequestId;
 use crate::net::frontend::close_reason::CloseReason;
 use crate::net::frontend::conversation::{Conversation, Step};
-use crate::net::socket::unread;
+use crate::net::socket::has_unread_bytes;
 use tokio::io::AsyncReadExt;
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant};
@@ -30,7 +30,7 @@
                 () = sleep_until(by) => {}
                 () = &mut last_call, if !drained_out => drained_out = true,
             }
-            if !self.read.is_empty() || !unread(&self.stream) {
+            if !self.read.is_empty() || !has_unread_bytes(&self.stream) {
                 return Err(Over::Closed(CloseReason::StartupTimeout));
             }
             yield_now().await;
--- a/src/net/frontend/client/requests.rs
+++ b/src/net/frontend/client/requests.rs
@@ -8,8 +8,8 @@
 use crate::net::frontend::fault::Fault;
 use crate::net::frontend::request;
 use crate::net::messages::{Answer, Arrival, CoreEvent, Request, Value};
-use crate::net::socket::{is_ready, left};
-use crate::net::stream::{Part, Parts, Rest};
+use crate::net::socket::{is_ready, peer_closed};
+use crate::net::stream::{Chunk, Chunks, Remainder};
 use crate::pipeline::{Access, Demand, Started};
 use crate::rejection_reason::RejectionReason;
 use bytes::{Bytes, BytesMut};
@@ -104,7 +104,7 @@
         let mut bytes = 0;
         let reply = match answer {
             Answer::Served(value) => {
-                bytes = value.messages.as_ref().unwrap_or(&value.content).len();
+                bytes = value.postgres_messages.as_ref().unwrap_or(&value.content).len();
                 Reply::Value(value)
             }
             Answer::Rejected { retry_after } => Reply::Fault(Fault::Refused(retry_after)),
@@ -118,7 +118,7 @@
         if self.pipeline.finish(id, reply) {
             if let Some(room) = self.answer_room.get_mut(&id) {
                 // Less than was reserved: never refused.
-                let _ = self.acceptor.memory.hold(room, room.account(), bytes as u64);
+                let _ = self.acceptor.memory.resize_reservation(room, room.account(), bytes as u64);
             }
         }
     }
@@ -196,8 +196,8 @@
         }
         let demand = Demand {
             id: (self.id)(),
-            access: request.session.map(|key| Access { group: request.group, key, write: request.write }),
-            deadline: self.acceptor.clock.at(self.read_at + request.timeout),
+            access: request.session.map(|key| Access { group: request.group, key, write: request.is_write }),
+            deadline: self.acceptor.clock.timestamp(self.read_at + request.timeout),
             bytes: request.statement.text.len(),
         };
         self.pipeline.push(demand, Pending { request, arrived: self.read_at });
@@ -209,7 +209,7 @@
             return Ok(());
         }
         // It may have gone while the answer before was on its way: nobody read then.
-        if is_ready(left(&self.stream)).await {
+        if is_ready(peer_closed(&self.stream)).await {
             self.ended = true;
             self.abandon().await;
             return Ok(());
@@ -237,8 +237,8 @@
     /// Tells the module of answers that are due earlier than it knows.
     async fn tighten(&mut self) -> Result<(), Over> {
         for tightened in self.pipeline.tightened() {
-            let due = self.acceptor.clock.moment(tightened.due);
-            self.send(CoreEvent::DeadlineShortened { id: tightened.id, due }).await?;
+            let due = self.acceptor.clock.instant(tightened.due);
+            self.send(CoreEvent::DeadlineShortened { id: tightened.id, reply_due: due }).await?;
         }
         Ok(())
     }
@@ -247,7 +247,7 @@
     async fn start(&mut self, started: Started<Pending>) -> Result<bool, Over> {
         let Started { id, behind, due, request: Pending { mut request, arrived } } = started;
         if behind {
-            match self.acceptor.memory.answer(request.class, request.tenant) {
+            match self.acceptor.memory.pending_answer(request.class, request.tenant) {
                 Ok(room) => self.answer_room.insert(id, room),
                 Err(_) => {
                     self.pipeline.put_back(id, Pending { request, arrived });
@@ -259,9 +259,10 @@
         if let Some(by) = self.acceptor.answers() {
             request.timeout = request.timeout.min(by.saturating_duration_since(arrived));
         }
-        let due = self.acceptor.clock.moment(due);
-        let (client, presence) = (self.address.clone(), self.stream.presence());
-        let arrival = Arrival { id, request, arrived, due, client, presence };
+        let due = self.acceptor.clock.instant(due);
+        let (client, presence) = (self.address.clone(), self.stream.liveness());
+        let arrival =
+            Arrival { id, request, arrived_at: arrived, reply_due: due, client, client_liveness: presence };
         self.send(CoreEvent::RequestArrived(Box::new(arrival))).await?;
         Ok(true)
     }
@@ -287,13 +288,13 @@
     }
 
     /// Puts an answer into the words of the protocol; what is still to come of a long one.
-    fn encode(&mut self, reply: Reply) -> Option<Parts> {
+    fn encode(&mut self, reply: Reply) -> Option<Chunks> {
         let Self { conversation, out, .. } = self;
         match reply {
             Reply::Bytes(bytes) => out.extend_from_slice(&bytes),
             Reply::Ready => conversation.ready(out),
             Reply::Fault(fault) => conversation.fault(&fault, out),
-            Reply::Value(value) => match value.rest.as_ref().map(Rest::take) {
+            Reply::Value(value) => match value.remainder.as_ref().map(Remainder::take) {
                 None => conversation.served(&value, out),
                 Some(parts) if conversation.begin_value(&value, out) => return parts,
                 Some(_) => conversation.fault(&Fault::Failed, out),
@@ -303,13 +304,13 @@
     }
 
     /// Writes a long answer as it comes. If its host breaks off, the client can tell by the end of its connection.
-    async fn forward(&mut self, mut parts: Parts) -> io::Result<()> {
+    async fn forward(&mut self, mut parts: Chunks) -> io::Result<()> {
         self.flush().await?;
         loop {
             match parts.next().await {
-                Part::Bytes(bytes) => self.write(&bytes).await?,
-                Part::End => break,
-                Part::Broken => return Err(io::ErrorKind::UnexpectedEof.into()),
+                Chunk::Bytes(bytes) => self.write(&bytes).await?,
+                Chunk::End => break,
+                Chunk::Aborted => return Err(io::ErrorKind::UnexpectedEof.into()),
             }
         }
         self.conversation.end_value(&mut self.out);
@@ -333,7 +334,7 @@
     }
 
     fn push_reply(&mut self, reply: Reply) {
-        let deadline = self.acceptor.clock.at(Instant::now() + ERROR_DUE);
+        let deadline = self.acceptor.clock.timestamp(Instant::now() + ERROR_DUE);
         self.pipeline.push_answer(reply, deadline);
     }
 
--- a/src/net/frontend/client/waiting.rs
+++ b/src/net/frontend/client/waiting.rs
@@ -10,7 +10,7 @@
 use crate::net::memory::Reclaim;
 use crate::net::messages::ClientMessage;
 use crate::net::socket::Socket;
-use crate::net::socket::{left, unread};
+use crate::net::socket::{has_unread_bytes, peer_closed};
 use crate::rejection_reason::RejectionReason;
 use bytes::BytesMut;
 use std::io;
@@ -43,7 +43,7 @@
     match intake {
         Intake::Read => stream.read_buf(read).await,
         Intake::Watch => {
-            left(stream).await;
+            peer_closed(stream).await;
             Ok(0)
         }
         Intake::Notice => stream.peek(&mut [0]).await,
@@ -78,7 +78,7 @@
         self.note_partial();
         let late = self.partial.and(self.partial_by());
         let verdict = self.verdict(false);
-        let until = verdict.until.map(|until| self.acceptor.clock.moment(until));
+        let until = verdict.until.map(|until| self.acceptor.clock.instant(until));
         let (intake, paused) = (self.intake(verdict.permission), self.paused);
         self.describe(if paused.is_some() { Activity::Paused } else { Activity::Answering });
         let Self { stream, read, mailbox, registration, drains, .. } = self;
@@ -109,7 +109,7 @@
         let late = self.partial_by();
         self.describe(if begun { Activity::Receiving } else { Activity::Idle });
         // What comes at the drain's end may still bring its first request, or the rest of one.
-        let closes = self.verdict(begun).closes.map(|closes| self.acceptor.clock.moment(closes));
+        let closes = self.verdict(begun).closes.map(|closes| self.acceptor.clock.instant(closes));
         let Self { stream, read, drains, .. } = self;
         tokio::select! {
             biased;
@@ -117,7 +117,7 @@
             () = reached(late), if late.is_some() => {
                 if self.partial.is_some() {
                     self.fail_partial();
-                } else if !unread(&self.stream) {
+                } else if !has_unread_bytes(&self.stream) {
                     return Err(Over::Closed(CloseReason::FirstStatementTimeout));
                 } else {
                     yield_now().await;
@@ -129,7 +129,7 @@
             }
             () = reached(closes), if closes.is_some() => {
                 // Once it has begun something its time is over, however much still comes.
-                if begun || !unread(&self.stream) {
+                if begun || !has_unread_bytes(&self.stream) {
                     return Err(Over::Closed(CloseReason::Drained));
                 }
                 yield_now().await;
--- a/src/net/frontend/fault.rs
+++ b/src/net/frontend/fault.rs
@@ -1,7 +1,7 @@
 //! What clients are told when there is no value, in each protocol's own terms.
 
 use crate::interface::TimeDelta;
-use crate::net::messages::Invalid;
+use crate::net::messages::InvalidRequest;
 use crate::pgwire::{self, StatementError, WireError};
 use crate::protocol::Protocol;
 use crate::rejection_reason::RejectionReason;
@@ -37,7 +37,7 @@
     /// The call that brings the statement has another form.
     Syntax(String),
     /// The statement names what is not there, or does not fit its class.
-    Invalid(Invalid),
+    Invalid(InvalidRequest),
     /// A part of the protocol that is not served.
     Unsupported(String),
     /// A message is longer than is taken.
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -110,12 +110,12 @@
     /// The drains that have begun, as connections see them.
     fn active_drains(&self) -> impl Iterator<Item = ActiveDrain> {
         let quiesced = self.desk.quiesced.borrow().map(|since| ActiveDrain {
-            since: self.clock.at(since),
+            since: self.clock.timestamp(since),
             spans: ConnectionSpans::QUIESCE,
             is_final: false,
         });
         let terminated = self.drain().map(|(since, drain)| ActiveDrain {
-            since: self.clock.at(since),
+            since: self.clock.timestamp(since),
             spans: drain.into(),
             is_final: true,
         });
@@ -161,8 +161,8 @@
     pub async fn bind(addresses: &[(Protocol, SocketAddr)]) -> io::Result<Self> {
         let mut all = Vec::with_capacity(addresses.len());
         for (protocol, address) in addresses {
-            let until = Instant::now() + local_faults::START;
-            let listener = local_faults::retried(until, || async { shared(*address) }).await;
+            let until = Instant::now() + local_faults::STARTUP_TIMEOUT;
+            let listener = local_faults::retry_local_faults(until, || async { shared(*address) }).await;
             let listener = listener.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()));
             let listener = listener.map_err(|e| io::Error::new(e.kind(), format!("{address}: {e}")))?;
             all.push((*protocol, listener));
@@ -270,7 +270,7 @@
                     }
                     let room = match taken < acceptor.limit + OVERFLOW {
                         true => {
-                            let room = acceptor.memory.connection().ok().zip(acceptor.memory.buffers().ok());
+                            let room = acceptor.memory.connection().ok().zip(acceptor.memory.client_buffers().ok());
                             room.ok_or(RejectionReason::Memory)
                         }
                         false => Err(RejectionReason::Seat),
--- a/src/net/frontend/postgres.rs
+++ b/src/net/frontend/postgres.rs
@@ -122,7 +122,7 @@
     }
 
     fn served(&mut self, value: &Value, out: &mut BytesMut) {
-        match &value.messages {
+        match &value.postgres_messages {
             Some(messages) => out.extend_from_slice(messages),
             None => pgwire::row(out, "content", &value.content),
         }
@@ -130,8 +130,8 @@
     }
 
     fn begin_value(&mut self, value: &Value, out: &mut BytesMut) -> bool {
-        value.messages.iter().for_each(|messages| out.extend_from_slice(messages));
-        value.messages.is_some()
+        value.postgres_messages.iter().for_each(|messages| out.extend_from_slice(messages));
+        value.postgres_messages.is_some()
     }
 
     fn end_value(&mut self, out: &mut BytesMut) {
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -3,7 +3,7 @@
 use super::fault::Fault;
 use crate::config::Names;
 use crate::interface::{SessionId, Timestamp};
-use crate::net::messages::{Invalid, Request, Statement};
+use crate::net::messages::{InvalidRequest, Request, Statement};
 use crate::pgwire::{KvStatement, StatementError};
 use bytes::Bytes;
 use std::time::Duration;
@@ -21,11 +21,11 @@
     let KvStatement { write, key, value_at, comment } =
         KvStatement::parse(words).map_err(Fault::Statement)?;
     let class = names.classes.iter().position(|class| class.open && class.name == comment.class);
-    let class = class.ok_or_else(|| Fault::Invalid(Invalid::Class(comment.class.clone())))?;
+    let class = class.ok_or_else(|| Fault::Invalid(InvalidRequest::UnknownClass(comment.class.clone())))?;
     let form = &names.classes[class];
     if form.write != write {
         let does = if form.write { "writes" } else { "reads" };
-        return Err(Fault::Invalid(Invalid::Kind { class: form.name.clone(), does }));
+        return Err(Fault::Invalid(InvalidRequest::ClassMismatch { class: form.name.clone(), does }));
     }
     if form.keyed && comment.key.is_none() {
         return Err(Fault::Statement(StatementError::Lacks("k")));
@@ -41,12 +41,12 @@
         class,
         tenant: tenant.unwrap_or(names.tenants.len()),
         group: comment.group,
-        write,
+        is_write: write,
         session,
         is_client_retry: comment.again,
         last_write_at: last_write,
         timeout: Duration::try_from_secs_f64(comment.wait_ms / 1e3).map_or(MOST_WAIT, |d| d.min(MOST_WAIT)),
         name: comment.id,
-        statement: Statement { wait_at: comment.wait_at, value_at, text },
+        statement: Statement { timeout_range: comment.wait_at, value_range: value_at, text },
     })
 }
--- a/src/net/frontend/tds.rs
+++ b/src/net/frontend/tds.rs
@@ -3,7 +3,7 @@
 
 use super::conversation::{Conversation, Step};
 use super::fault::{Fault, Foreign};
-use crate::net::messages::{Invalid, Value};
+use crate::net::messages::{InvalidRequest, Value};
 use crate::protocol::Protocol;
 use bytes::BytesMut;
 use std::fmt::Write;
@@ -387,10 +387,12 @@
 
 fn put_literal(out: &mut String, name: &str, value: &Datum) -> Result<(), Fault> {
     let written = match value {
-        Datum::Null => return Err(Fault::Invalid(Invalid::Parameter(format!("{name} is null")))),
+        Datum::Null => return Err(Fault::Invalid(InvalidRequest::Parameter(format!("{name} is null")))),
         Datum::Int(number) => write!(out, "'{number}'"),
         Datum::Text(text) if text.contains('\'') || text.contains("/*") => {
-            return Err(Fault::Invalid(Invalid::Parameter(format!("{name} holds a quote or a comment"))));
+            return Err(Fault::Invalid(InvalidRequest::Parameter(format!(
+                "{name} holds a quote or a comment"
+            ))));
         }
         Datum::Text(text) => write!(out, "'{text}'"),
         Datum::Binary(bytes) => {
@@ -401,5 +403,5 @@
             digits
         }
     };
-    written.map_err(|_| Fault::Invalid(Invalid::Parameter(format!("{name} cannot be written"))))
+    written.map_err(|_| Fault::Invalid(InvalidRequest::Parameter(format!("{name} cannot be written"))))
 }
--- a/src/net/memory.rs
+++ b/src/net/memory.rs
@@ -1,5 +1,5 @@
-//! Memory by purpose, as the actors use it: the budget, whose account is whose, and what is taken back when it was
-//! not given back in time.
+//! Memory accounting by purpose, as the actors use it: reservations, their accounts, and the reclaim of client buffers
+//! that were recalled and not released in time. The budget's rules stand in [`crate::budget`].
 
 use super::clock::Clock;
 use crate::budget::plan::{Plan, ONLY_ACCOUNT};
@@ -11,197 +11,207 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{watch, Notify};
-use tokio::time::{sleep, Instant};
-
-/// What a connection costs beside its buffers, in bytes: the actor, its timers, its entry in the runtime and the
-/// socket's own bookkeeping.
-pub(crate) const CONNECTION: u64 = 6 * 1024;
-/// And an open request beside its statement: its entries in both tables, its timer, its mailbox.
-pub(crate) const REQUEST: u64 = 1024;
-/// What is still overdue after it was taken back is asked for again after this time.
-const PAUSE: Duration = Duration::from_millis(100);
-/// A refusal is written to the log no more often than this, by purpose; the next line counts those between.
-const LOGGED: Timestamp = Timestamp(1_000_000);
-
-/// Buffers of an account that are to be taken back: whoever of it can spare something claims a part.
+use tokio::time::{sleep, sleep_until, Instant};
+
+/// Memory that a connection takes beside its buffers, in bytes: the actor, its timers, its task in the runtime and the
+/// socket's bookkeeping.
+pub(crate) const CONNECTION_BYTES: u64 = 6 * 1024;
+/// Memory that a request in flight takes beside its statement, in bytes: its entries in the request table and the router,
+/// its timer and its place in mailboxes.
+pub(crate) const REQUEST_BYTES: u64 = 1024;
+/// Between two reclaims, while what was reclaimed is still overdue.
+const RECLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Rejections for one purpose are logged at most once in this time; each line counts those since the last.
+const LOG_INTERVAL: Timestamp = Timestamp(1_000_000);
+
+/// Client buffers of an account that have to be released: clients claim parts of it until nothing is left.
 #[derive(Debug)]
 pub(crate) struct Reclaim {
     account: AccountId,
-    left: AtomicU64,
+    remaining_bytes: AtomicU64,
 }
 
 impl Reclaim {
-    /// Whether a client of this account that holds so much has to go.
+    /// Claims this many bytes for a client of the account. Returns whether that client has to release them.
     pub fn claims(&self, account: AccountId, bytes: u64) -> bool {
-        let claim = |left: u64| (left > 0).then(|| left.saturating_sub(bytes));
-        account == self.account && self.left.fetch_update(Relaxed, Relaxed, claim).is_ok()
+        let claim = |remaining: u64| (remaining > 0).then(|| remaining.saturating_sub(bytes));
+        account == self.account && self.remaining_bytes.fetch_update(Relaxed, Relaxed, claim).is_ok()
     }
 }
 
-/// The budget and what goes with it; copies share it.
+/// The memory budget with its plan. Copies share it.
 #[derive(Clone, Debug)]
 pub(crate) struct Memory {
     budget: Budget,
     plan: Arc<Plan>,
     clock: Clock,
-    refused: Arc<Notify>,
+    /// Notified of each rejected reservation.
+    rejected: Arc<Notify>,
 }
 
 impl Memory {
+    /// Returns the accounting of a budget that was made from this plan.
     pub fn new(budget: Budget, plan: Plan, clock: Clock) -> Self {
-        Self { budget, plan: Arc::new(plan), clock, refused: Arc::default() }
+        Self { budget, plan: Arc::new(plan), clock, rejected: Arc::default() }
     }
 
-    /// The account of a class and a tenant.
+    /// Returns the account of a class and a tenant.
     pub fn account(&self, class: usize, tenant: usize) -> AccountId {
         self.plan.account(class, tenant)
     }
 
-    /// The account of those who have not said what they want.
+    /// Returns the account of clients that have not sent a request yet.
     pub fn unidentified_clients(&self) -> AccountId {
         self.plan.unidentified_clients()
     }
 
-    fn told<T>(&self, taken: Result<T, BudgetExceeded>) -> Result<T, BudgetExceeded> {
-        if taken.is_err() {
-            self.refused.notify_one();
-        }
-        taken
-    }
-
-    /// Room for one more connection.
+    /// Reserves the memory of one more connection.
     ///
     /// # Errors
-    /// When there is none.
+    /// When the budget has none left.
     pub fn connection(&self) -> Result<Reservation, BudgetExceeded> {
-        self.told(self.budget.reserve(Purpose::Connections, ONLY_ACCOUNT, CONNECTION, self.clock.now()))
+        self.reserve(Purpose::Connections, ONLY_ACCOUNT, CONNECTION_BYTES)
     }
 
-    /// Room for a client's buffers, of which none are there yet.
+    /// Returns an empty reservation for a client's buffers, to be resized as they grow.
     ///
     /// # Errors
-    /// Never: nothing always fits.
-    pub fn buffers(&self) -> Result<Reservation, BudgetExceeded> {
-        self.budget.reserve(Purpose::ClientBuffers, self.unidentified_clients(), 0, self.clock.now())
+    /// Never: zero bytes always fit.
+    pub fn client_buffers(&self) -> Result<Reservation, BudgetExceeded> {
+        self.reserve(Purpose::ClientBuffers, self.unidentified_clients(), 0)
     }
 
-    /// Makes a ticket stand for so many bytes of an account.
+    /// Changes a reservation to this account and this many bytes.
     ///
     /// # Errors
-    /// When there is no room; the ticket then stands for what it did.
-    pub fn hold(
+    /// When the budget has too few left; the reservation then stays as it was.
+    pub fn resize_reservation(
         &self,
-        ticket: &mut Reservation,
+        reservation: &mut Reservation,
         account: AccountId,
         bytes: u64,
     ) -> Result<(), BudgetExceeded> {
-        if ticket.bytes() == bytes && ticket.account() == account {
+        if reservation.bytes() == bytes && reservation.account() == account {
             return Ok(());
         }
         let now = self.clock.now();
-        // Less before another account is asked, so that it is asked for no more than is needed.
-        if bytes < ticket.bytes() {
-            self.told(ticket.resize(bytes, now))?;
+        // Shrink before the change of account, so that the new account needs no more than the new size.
+        if bytes < reservation.bytes() {
+            self.notify_rejection(reservation.resize(bytes, now))?;
         }
-        self.told(ticket.assign(account, now))?;
-        self.told(ticket.resize(bytes, now))
+        self.notify_rejection(reservation.assign(account, now))?;
+        self.notify_rejection(reservation.resize(bytes, now))
     }
 
-    /// Room for a request whose statement has so many bytes.
+    /// Reserves the memory of a request whose statement has this many bytes.
     ///
     /// # Errors
-    /// When there is none.
+    /// When the budget has too little left.
     pub fn request(
         &self,
         class: usize,
         tenant: usize,
-        statement: usize,
+        statement_bytes: usize,
     ) -> Result<Reservation, BudgetExceeded> {
-        let (account, bytes) = (self.account(class, tenant), statement as u64 + REQUEST);
-        self.told(self.budget.reserve(Purpose::Requests, account, bytes, self.clock.now()))
+        let bytes = statement_bytes as u64 + REQUEST_BYTES;
+        self.reserve(Purpose::Requests, self.account(class, tenant), bytes)
     }
 
-    /// Room for the answer to a request that has to wait for those ahead of it on its connection, at its longest.
+    /// Reserves the longest answer to a request that may have to wait for those ahead of it on its connection.
     ///
     /// # Errors
-    /// When there is none.
-    pub fn answer(&self, class: usize, tenant: usize) -> Result<Reservation, BudgetExceeded> {
-        let account = self.account(class, tenant);
+    /// When the budget has too little left.
+    pub fn pending_answer(&self, class: usize, tenant: usize) -> Result<Reservation, BudgetExceeded> {
         let bytes = pgwire::MOST_ANSWER as u64;
-        self.told(self.budget.reserve(Purpose::UpstreamBuffers, account, bytes, self.clock.now()))
+        self.reserve(Purpose::UpstreamBuffers, self.account(class, tenant), bytes)
     }
 
-    /// The most that answers beyond the usual length may take together: half of what is for ledger hosts' buffers.
-    pub fn large_answers(&self) -> u64 {
+    /// Returns how many bytes all large answers together may take: half of what is planned for buffers of hosts.
+    pub fn large_answers_bytes(&self) -> u64 {
         self.plan.terms[Purpose::UpstreamBuffers as usize].cap / 2
     }
 
-    /// Room for what is held of an answer beyond the usual length. All of them share the account of least weight: none is
-    /// there to keep out the many usual ones.
+    /// Reserves what is held of one large answer. All of them share the account of least weight, so that they never
+    /// displace answers of ordinary length.
     ///
     /// # Errors
-    /// When there is none.
+    /// When the budget has too little left.
     pub fn large_answer(&self, bytes: usize) -> Result<Reservation, BudgetExceeded> {
-        let now = self.clock.now();
-        self.told(self.budget.reserve(
-            Purpose::UpstreamBuffers,
-            self.unidentified_clients(),
-            bytes as u64,
-            now,
-        ))
+        self.reserve(Purpose::UpstreamBuffers, self.unidentified_clients(), bytes as u64)
+    }
+
+    fn reserve(
+        &self,
+        purpose: Purpose,
+        account: AccountId,
+        bytes: u64,
+    ) -> Result<Reservation, BudgetExceeded> {
+        self.notify_rejection(self.budget.reserve(purpose, account, bytes, self.clock.now()))
     }
 
-    /// Watches the recalls for ever: what is not given back in time is taken from clients' buffers.
+    fn notify_rejection<T>(&self, result: Result<T, BudgetExceeded>) -> Result<T, BudgetExceeded> {
+        if result.is_err() {
+            self.rejected.notify_one();
+        }
+        result
+    }
+
+    /// Logs rejections and publishes what of client buffers has to be reclaimed, until the task is aborted.
     pub async fn watch(self, reclaims: watch::Sender<Vec<Arc<Reclaim>>>) {
-        let mut log = Refusals::new();
+        let mut log = RejectionLog::new();
         loop {
-            self.refused.notified().await;
+            self.rejected.notified().await;
             log.note(&self.budget, self.clock.now());
-            loop {
-                let dues = self.budget.overdue(self.clock.now());
-                let taken: Vec<Arc<Reclaim>> = dues.iter().filter_map(reclaim).collect();
-                if !taken.is_empty() {
-                    reclaims.send_replace(taken);
-                }
-                let Some(next) = self.budget.next_due() else { break };
-                let at = self.clock.moment(next).max(Instant::now() + PAUSE);
-                tokio::select! {
-                    () = tokio::time::sleep_until(at) => {}
-                    () = self.refused.notified() => {
-                        log.note(&self.budget, self.clock.now());
-                        sleep(PAUSE).await;
-                    }
+            self.reclaim_overdue(&reclaims, &mut log).await;
+        }
+    }
+
+    /// Publishes overdue recalls until none is pending.
+    async fn reclaim_overdue(&self, reclaims: &watch::Sender<Vec<Arc<Reclaim>>>, log: &mut RejectionLog) {
+        loop {
+            let overdue = self.budget.overdue(self.clock.now());
+            let due: Vec<Arc<Reclaim>> = overdue.iter().filter_map(reclaim).collect();
+            if !due.is_empty() {
+                reclaims.send_replace(due);
+            }
+            let Some(next) = self.budget.next_due() else { return };
+            let wake_at = self.clock.instant(next).max(Instant::now() + RECLAIM_RETRY_INTERVAL);
+            tokio::select! {
+                () = sleep_until(wake_at) => {}
+                () = self.rejected.notified() => {
+                    log.note(&self.budget, self.clock.now());
+                    sleep(RECLAIM_RETRY_INTERVAL).await;
                 }
             }
         }
     }
 }
 
-fn reclaim(due: &PendingRecall) -> Option<Arc<Reclaim>> {
-    let account = due.account.filter(|_| due.purpose == Purpose::ClientBuffers)?;
-    Some(Arc::new(Reclaim { account, left: AtomicU64::new(due.bytes) }))
+/// Returns the reclaim for an overdue recall; none unless the recall is of an account of client buffers.
+fn reclaim(recall: &PendingRecall) -> Option<Arc<Reclaim>> {
+    let account = recall.account.filter(|_| recall.purpose == Purpose::ClientBuffers)?;
+    Some(Arc::new(Reclaim { account, remaining_bytes: AtomicU64::new(recall.bytes) }))
 }
 
-/// Refusals as the log has them.
-struct Refusals {
-    seen: [u64; PURPOSES.len()],
-    telling: RateLimitedLog<Purpose>,
+/// Logs rejected reservations by purpose, at a bounded rate.
+struct RejectionLog {
+    /// How many rejections of each purpose were noted so far.
+    noted: [u64; PURPOSES.len()],
+    rate_limit: RateLimitedLog<Purpose>,
 }
 
-impl Refusals {
+impl RejectionLog {
     fn new() -> Self {
-        Self { seen: [0; PURPOSES.len()], telling: RateLimitedLog::new(LOGGED) }
+        Self { noted: [0; PURPOSES.len()], rate_limit: RateLimitedLog::new(LOG_INTERVAL) }
     }
 
     fn note(&mut self, budget: &Budget, now: Timestamp) {
         for purpose in PURPOSES {
-            let seen = &mut self.seen[purpose as usize];
-            let refused = budget.refusals(purpose);
-            let more = refused - std::mem::replace(seen, refused);
-            if let Some(more) = self.telling.note(now, purpose, more) {
-                let used = budget.used(purpose);
-                tracing::warn!("memory: no room for {purpose}: {more} refused, {used} bytes in use");
-            }
+            let total = budget.refusals(purpose);
+            let noted = std::mem::replace(&mut self.noted[purpose as usize], total);
+            let Some(rejected) = self.rate_limit.note(now, purpose, total - noted) else { continue };
+            let used_bytes = budget.used(purpose);
+            tracing::warn!(%purpose, rejected, used_bytes, "memory reservations rejected");
         }
     }
 }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,11 +1,12 @@
-//! What the actors say to each other, whatever protocol a client or a ledger host speaks. Types only.
+//! Messages between the actors of the proxy, independent of the protocol that a client or a host speaks. Types only.
 
+use crate::config::Config;
 use crate::endpoint_list::EndpointList;
 use crate::interface::{
     HostId, LoadReport, LogPosition, Outcome, RequestId, Role, SessionId, TimeDelta, Timestamp,
 };
-use crate::net::socket::Presence;
-use crate::net::stream::Rest;
+use crate::net::socket::PeerLiveness;
+use crate::net::stream::Remainder;
 use crate::rejection_reason::RejectionReason;
 use bytes::Bytes;
 use std::ops::Range;
@@ -13,182 +14,205 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// A statement in its one form, and where in it stands what matters.
+/// Length of `'\x`, which stands before the hexadecimal digits of a value.
+const VALUE_PREFIX_LENGTH: usize = 3;
+/// Length of `'`, which stands behind the hexadecimal digits of a value.
+const VALUE_SUFFIX_LENGTH: usize = 1;
+
+/// A statement in its canonical form, with the ranges of the parts that the proxy replaces.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
-    /// The whole text, as a client of protocol 3 writes it.
+    /// The complete text, as a client of PostgreSQL's protocol writes it.
     pub text: Bytes,
-    /// The place of the client's wait in milliseconds.
-    pub wait_at: Range<usize>,
-    /// The place of a write's value, in hexadecimal digits.
-    pub value_at: Option<Range<usize>>,
+    /// Range in `text` of the client's timeout in milliseconds.
+    pub timeout_range: Range<usize>,
+    /// Range in `text` of a write's value in hexadecimal digits; none for a read.
+    pub value_range: Option<Range<usize>>,
 }
 
 impl Statement {
-    /// The statement with another wait, all else unchanged.
-    pub fn with_wait(&self, wait: Duration) -> Vec<u8> {
-        let wait = wait.as_millis().max(1).to_string();
-        [&self.text[..self.wait_at.start], wait.as_bytes(), &self.text[self.wait_at.end..]].concat()
+    /// Returns the text with this timeout, all else unchanged.
+    pub fn with_timeout(&self, timeout: Duration) -> Vec<u8> {
+        let timeout = timeout_digits(timeout);
+        let (before, after) = (&self.text[..self.timeout_range.start], &self.text[self.timeout_range.end..]);
+        [before, timeout.as_bytes(), after].concat()
     }
 
-    /// A write with another wait and a parameter's name where its value stood, and the value; none for a read.
-    pub fn with_parameter(&self, name: &str, wait: Duration) -> Option<(Vec<u8>, Vec<u8>)> {
-        let value = self.value_at.clone()?;
-        let digits = self.text.get(value.clone())?;
-        let nibble = |digit: u8| char::from(digit).to_digit(16).unwrap_or_default() as u8;
-        let bytes = digits.chunks_exact(2).map(|pair| nibble(pair[0]) << 4 | nibble(pair[1])).collect();
-        // The literal begins with `'\x` and ends with `'`; the wait stands behind it.
-        let (before, after) = (value.start.checked_sub(3)?, value.end + 1);
-        let wait = wait.as_millis().max(1).to_string();
-        let middle = self.text.get(after..self.wait_at.start)?;
-        let parts =
-            [&self.text[..before], name.as_bytes(), middle, wait.as_bytes(), &self.text[self.wait_at.end..]];
-        Some((parts.concat(), bytes))
+    /// Returns a write's text with this timeout and the parameter's name in place of the value, and the value's bytes;
+    /// none for a read.
+    pub fn with_value_parameter(&self, name: &str, timeout: Duration) -> Option<(Vec<u8>, Vec<u8>)> {
+        let digits = self.value_range.clone()?;
+        let value = decode_hex(self.text.get(digits.clone())?);
+        let literal_start = digits.start.checked_sub(VALUE_PREFIX_LENGTH)?;
+        let literal_end = digits.end + VALUE_SUFFIX_LENGTH;
+        let timeout = timeout_digits(timeout);
+        let text = [
+            &self.text[..literal_start],
+            name.as_bytes(),
+            self.text.get(literal_end..self.timeout_range.start)?,
+            timeout.as_bytes(),
+            &self.text[self.timeout_range.end..],
+        ];
+        Some((text.concat(), value))
     }
 }
 
-/// What a client asks.
+/// Returns the timeout in whole milliseconds, at least one.
+fn timeout_digits(timeout: Duration) -> String {
+    timeout.as_millis().max(1).to_string()
+}
+
+/// Decodes pairs of hexadecimal digits. The digits were checked when the statement was parsed.
+fn decode_hex(digits: &[u8]) -> Vec<u8> {
+    let nibble = |digit: u8| char::from(digit).to_digit(16).unwrap_or_default() as u8;
+    digits.chunks_exact(2).map(|pair| nibble(pair[0]) << 4 | nibble(pair[1])).collect()
+}
+
+/// A request that a client has sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// The class, by number.
+    /// Index of the request class in the settings.
     pub class: usize,
-    /// The tenant, by number.
+    /// Index of the tenant in the settings.
     pub tenant: usize,
-    /// The group that holds the data.
+    /// The group of hosts that holds the data.
     pub group: u32,
     /// Whether it writes.
-    pub write: bool,
+    pub is_write: bool,
     /// The session, if the statement names one.
     pub session: Option<SessionId>,
     /// Whether the client marks it as a retry.
     pub is_client_retry: bool,
-    /// When the session's last write was, on the hosts' clock, where the client tells.
+    /// When the session's last write was, on the hosts' clock, if the client says so.
     pub last_write_at: Option<Timestamp>,
     /// How long the client waits.
     pub timeout: Duration,
-    /// The client's own name for it: none that is open may bear the same.
+    /// The client's name for it, unique among the requests in flight.
     pub name: String,
-    /// What goes to the ledger host.
+    /// What is forwarded to the host.
     pub statement: Statement,
 }
 
-/// What a ledger host answered.
+/// The value that a host answered with.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Value {
     /// The value itself.
     pub content: Bytes,
-    /// The messages of protocol 3 that brought it, if they did: a client of that protocol gets these to the
-    /// letter.
-    pub messages: Option<Bytes>,
-    /// Where the value is so long that these have only begun: what is still to come of them.
-    pub rest: Option<Rest>,
+    /// The PostgreSQL messages that brought it, if the host speaks that protocol: a client of the same protocol gets
+    /// them unchanged.
+    pub postgres_messages: Option<Bytes>,
+    /// What follows `postgres_messages`, if the value is too long to be held in memory.
+    pub remainder: Option<Remainder>,
 }
 
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A ledger host's value, as it wrote it.
+    /// A host's value, as the host wrote it.
     Served(Value),
-    /// Refused: trying again is harmless, after that time if there is one.
+    /// Nothing was done; a retry is harmless.
     Rejected {
-        /// How long the client should stay away.
+        /// How long the client should wait before it retries.
         retry_after: Option<TimeDelta>,
     },
-    /// No value could be had; it may have had an effect.
+    /// No value could be had; the request may have had an effect.
     Failed,
-    /// The request itself makes no sense.
-    Invalid(Invalid),
+    /// The request does not fit this installation.
+    Invalid(InvalidRequest),
 }
 
-/// What of a well-formed statement does not fit to this installation.
+/// Why a well-formed statement does not fit this installation. The text goes to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Invalid {
-    /// No class is called so, or it takes no more requests.
+pub enum InvalidRequest {
+    /// The settings have no such class, or it accepts no more requests.
     #[error("there is no class `{0}`")]
-    Class(String),
-    /// It writes where its class reads, or the other way round.
+    UnknownClass(String),
+    /// The statement writes where its class reads, or the other way round.
     #[error("the class `{class}` {does}, the statement does not")]
-    Kind {
+    ClassMismatch {
         /// The class.
         class: String,
         /// What statements of the class do.
         does: &'static str,
     },
-    /// Discovery names no such group.
+    /// Discovery lists no such group.
     #[error("there is no group {0}")]
-    Group(u32),
-    /// Ledger hosts know requests by their ids: of two with one id neither answer would be sure.
+    UnknownGroup(u32),
+    /// Hosts identify requests by their ids: with two of one id neither answer would be certain.
     #[error("a request with this id is open")]
-    Id,
+    DuplicateId,
     /// A parameter's value cannot stand in a statement.
     #[error("{0}")]
     Parameter(String),
 }
 
-impl Invalid {
-    /// As figures and logs name it.
+impl InvalidRequest {
+    /// Returns the reason that counters and logs give for it.
     pub fn reason(&self) -> RejectionReason {
         match self {
-            Self::Class(_) => RejectionReason::Class,
-            Self::Kind { .. } => RejectionReason::Kind,
-            Self::Group(_) => RejectionReason::Group,
-            Self::Id => RejectionReason::Id,
+            Self::UnknownClass(_) => RejectionReason::Class,
+            Self::ClassMismatch { .. } => RejectionReason::Kind,
+            Self::UnknownGroup(_) => RejectionReason::Group,
+            Self::DuplicateId => RejectionReason::Id,
             Self::Parameter(_) => RejectionReason::Value,
         }
     }
 }
 
-/// What a client's actor is sent.
+/// A message to a client's actor.
 #[derive(Debug)]
 pub(crate) enum ClientMessage {
-    /// The answer to its request.
+    /// The final answer to one of its requests.
     Answer(RequestId, Answer),
 }
 
-/// What the module's actor is told.
+/// A message to the core actor.
 #[derive(Debug)]
 pub(crate) enum CoreEvent {
-    /// A client asks.
+    /// A client has sent a request.
     RequestArrived(Box<Arrival>),
-    /// A client has left before its answer.
+    /// A client has disconnected before its request was answered.
     ClientDisconnected(RequestId),
-    /// The answer to a request is due earlier than was said at its arrival: others behind it on its connection wait for it.
-    DeadlineShortened { id: RequestId, due: Instant },
+    /// The answer is due earlier than was said at the arrival: requests behind it on its connection wait for it.
+    DeadlineShortened { id: RequestId, reply_due: Instant },
     /// An attempt has ended.
     AttemptEnded(Box<AttemptEnd>),
-    /// A probe has ended.
+    /// A health check has ended.
     HealthChecked(HealthCheckResult),
-    /// The list has changed.
+    /// Discovery has sent an endpoint list.
     EndpointList(EndpointList),
-    /// The configuration was read anew at SIGHUP: the module takes its settings.
-    Reconfigured(Box<crate::config::Config>),
-    /// A drain has begun: what is held is answered by then at the latest.
+    /// The configuration was reloaded.
+    Reconfigured(Box<Config>),
+    /// A graceful shutdown has begun: each request in flight is answered by this time.
     DrainStarted(Instant),
 }
 
-/// A request that has come.
+/// A request as it reaches the core actor.
 #[derive(Debug)]
 pub(crate) struct Arrival {
     pub id: RequestId,
     pub request: Request,
-    pub arrived: Instant,
-    /// By when it has to be answered, for those behind it on its connection too.
-    pub due: Instant,
+    /// When its last byte was read.
+    pub arrived_at: Instant,
+    /// When its answer is due, also for the sake of the requests behind it on its connection.
+    pub reply_due: Instant,
+    /// Mailbox of the client's actor.
     pub client: mpsc::Sender<ClientMessage>,
-    /// Whether its client is still there.
-    pub presence: Presence,
+    /// Tells whether the client's connection is still open.
+    pub client_liveness: PeerLiveness,
 }
 
-/// A position as a host writes it, in Unix milliseconds.
+/// A log position as a host writes it, in Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ReportedPosition(pub f64);
 
 impl ReportedPosition {
-    /// In whole milliseconds: a commit up, so that no read misses it; what is applied down, as a lower bound.
-    pub fn rounded(self, commit: bool) -> LogPosition {
-        let ms = if commit { self.0.ceil() } else { self.0.floor() };
-        // A host may write anything.
-        LogPosition((ms as i64).saturating_mul(1000))
+    /// Returns the position in whole milliseconds: a commit's rounded up, so that no later read misses it; an applied
+    /// position rounded down, as a lower bound.
+    pub fn rounded(self, is_commit: bool) -> LogPosition {
+        let milliseconds = if is_commit { self.0.ceil() } else { self.0.floor() };
+        // Saturates: a host may report any number.
+        LogPosition((milliseconds as i64).saturating_mul(1000))
     }
 }
 
@@ -196,18 +220,19 @@
 #[derive(Debug)]
 pub(crate) struct AttemptEnd {
     pub id: RequestId,
+    /// Index of the attempt among those of its request.
     pub attempt: u32,
     pub host: HostId,
     pub outcome: Outcome,
     pub latency: TimeDelta,
-    /// When its last byte was written, if it was.
-    pub written: Option<Instant>,
+    /// When the query's last byte was written; none if it was not.
+    pub written_at: Option<Instant>,
     pub position: Option<ReportedPosition>,
     pub role: Option<Role>,
     pub value: Option<Value>,
 }
 
-/// The end of a probe.
+/// The end of a health check.
 #[derive(Debug)]
 pub(crate) struct HealthCheckResult {
     pub host: HostId,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -30,7 +30,6 @@
 use memory::Memory;
 use rejections::Rejections;
 use std::io;
-use std::mem::MaybeUninit;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -42,12 +41,6 @@
 /// The fleet has so long to agree that this proxy has left, once its clients are served.
 const LEAVE: Duration = Duration::from_secs(2);
 
-/// How many bytes are unread at a socket, one at the most: asked of the system itself, since the runtime may not have looked
-/// yet. None at its end; an error that would block while nothing has come.
-pub(crate) fn peek(stream: &tokio::net::TcpStream) -> io::Result<usize> {
-    socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
-}
-
 /// What a running proxy is asked to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Control {
@@ -205,7 +198,7 @@
                     },
                     Control::Drain => {
                         tracing::info!("drains");
-                        clock::begin(&drain);
+                        clock::record_drain_start(&drain);
                         drain_changes.send_replace(());
                     }
                 },
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -134,7 +134,7 @@
         // One byte more than may come shows what is too long.
         let mut room = [0; LONGEST_DATAGRAM + 1];
         while !self.parted {
-            let due = self.clock.moment(self.member.next_timer());
+            let due = self.clock.instant(self.member.next_timer());
             tokio::select! {
                 received = datagrams.recv_from(&mut room) => match received {
                     Ok((length, source)) => self.heard(&room[..length], Some(source)),
--- a/src/net/rejections.rs
+++ b/src/net/rejections.rs
@@ -1,5 +1,5 @@
-//! What is turned away: counted by reason, and logged with what was wrong, each reason at a bounded rate. A proxy that
-//! refuses everybody says so.
+//! Rejections of connections and requests: counted by reason, and logged with their cause at a bounded rate for each
+//! reason.
 
 use super::clock::Clock;
 use crate::counters::Counters;
@@ -9,28 +9,29 @@
 use std::fmt::Display;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A reason is logged once in this time at the most.
-const LOGGED: Timestamp = Timestamp(1_000_000);
+/// A reason is logged at most once in this time; each line counts the rejections since the last.
+const LOG_INTERVAL: Timestamp = Timestamp(1_000_000);
 
-/// The one place that tells of it; copies share it.
+/// Records rejections. Copies share the counters and the log's rate limit.
 #[derive(Clone, Debug)]
 pub(crate) struct Rejections {
     counters: Arc<Counters>,
     clock: Clock,
-    telling: Arc<Mutex<RateLimitedLog<RejectionReason>>>,
+    rate_limit: Arc<Mutex<RateLimitedLog<RejectionReason>>>,
 }
 
 impl Rejections {
+    /// Returns a recorder on these counters.
     pub fn new(counters: Arc<Counters>, clock: Clock) -> Self {
-        Self { counters, clock, telling: Arc::new(Mutex::new(RateLimitedLog::new(LOGGED))) }
+        Self { counters, clock, rate_limit: Arc::new(Mutex::new(RateLimitedLog::new(LOG_INTERVAL))) }
     }
 
-    /// Counts a rejection for that reason and logs it, at a bounded rate; `what` was wrong.
-    pub fn record(&self, reason: RejectionReason, what: impl Display) {
+    /// Counts a rejection and logs it unless its reason was logged within the last second. `cause` says what was wrong.
+    pub fn record(&self, reason: RejectionReason, cause: impl Display) {
         self.counters.rejected(reason);
-        let mut telling = self.telling.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(count) = telling.note(self.clock.now(), reason, 1) {
-            tracing::warn!("turned away ({reason}): {what}; {count} since the last word on it");
+        let mut rate_limit = self.rate_limit.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(count) = rate_limit.note(self.clock.now(), reason, 1) {
+            tracing::warn!(%reason, %cause, count, "request or connection rejected");
         }
     }
 }
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,10 +1,12 @@
-//! A TCP connection that holds under what Linux documents of recv(2) and send(2): calls that are interrupted are made again,
-//! and a transfer that moves less than was asked for says nothing of what is left. The runtime takes a short read for an
-//! empty socket and waits for the next edge of `epoll(7)`; here only a call that would block does so.
+//! A TCP connection that behaves as recv(2) and send(2) are documented on Linux.
+//!
+//! Interrupted calls are repeated, and a transfer that moves fewer bytes than asked for says nothing about what is left.
+//! (The runtime's own stream takes a short read for an empty socket and waits for the next edge of epoll(7); here only a
+//! call that would block does so.)
 
-use super::peek;
 use std::future::Future;
 use std::io::{self, Read, Write};
+use std::mem::MaybeUninit;
 use std::net::{Shutdown, SocketAddr};
 use std::ops::Deref;
 use std::pin::Pin;
@@ -19,32 +21,32 @@
 pub(crate) struct Socket(Arc<TcpStream>);
 
 impl Socket {
-    /// Connects, with small writes sent at once.
+    /// Connects, with small writes sent at once (TCP_NODELAY).
     ///
     /// # Errors
-    /// When there is no connection.
+    /// When the connection cannot be established.
     pub async fn connect(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(Self(Arc::new(stream)))
     }
 
-    /// For those who act on behalf of the other side, and must not once it has gone.
-    pub fn presence(&self) -> Presence {
-        Presence(Arc::downgrade(&self.0))
+    /// Returns a handle that tells whether the other side is still there, without keeping the connection open.
+    pub fn liveness(&self) -> PeerLiveness {
+        PeerLiveness(Arc::downgrade(&self.0))
     }
 }
 
-/// Whether the other side of a connection is still there. It does not keep the connection open.
+/// Tells whether the other side of a connection is still there. Does not keep the connection open.
 #[derive(Clone, Debug)]
-pub(crate) struct Presence(Weak<TcpStream>);
+pub(crate) struct PeerLiveness(Weak<TcpStream>);
 
-impl Presence {
-    /// Whether the other side has ended its sending, or the connection is closed. Asked of the system itself: whoever owns
-    /// the connection may not have had a turn since.
-    pub async fn has_left(&self) -> bool {
+impl PeerLiveness {
+    /// Returns whether the other side has shut down its sending, or the connection is closed. Asks the system: the task
+    /// that owns the connection may not have run since.
+    pub async fn has_closed(&self) -> bool {
         let Some(stream) = self.0.upgrade() else { return true };
-        matches!(peek(&stream), Ok(0)) || is_ready(left(&stream)).await
+        matches!(peek(&stream), Ok(0)) || is_ready(peer_closed(&stream)).await
     }
 }
 
@@ -62,12 +64,12 @@
     }
 }
 
-/// Makes a call until it is not interrupted.
-fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Repeats a call for as long as it is interrupted by a signal.
+fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
-            Err(problem) if problem.kind() == io::ErrorKind::Interrupted => {}
-            done => return done,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            result => return result,
         }
     }
 }
@@ -75,61 +77,70 @@
 impl AsyncRead for Socket {
     fn poll_read(
         self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
+        context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let stream = &self.0;
         loop {
-            ready!(stream.poll_read_ready(cx))?;
+            ready!(stream.poll_read_ready(context))?;
             let socket = socket2::SockRef::from(stream.as_ref());
-            let room = buffer.initialize_unfilled();
-            match stream.try_io(Interest::READABLE, || uninterrupted(|| (&*socket).read(room))) {
+            let unfilled = buffer.initialize_unfilled();
+            match stream.try_io(Interest::READABLE, || retry_interrupted(|| (&*socket).read(unfilled))) {
                 Ok(length) => {
                     buffer.advance(length);
                     return Poll::Ready(Ok(()));
                 }
-                Err(problem) if problem.kind() == io::ErrorKind::WouldBlock => {}
-                Err(problem) => return Poll::Ready(Err(problem)),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Poll::Ready(Err(error)),
             }
         }
     }
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let stream = &self.0;
         loop {
-            ready!(stream.poll_write_ready(cx))?;
+            ready!(stream.poll_write_ready(context))?;
             let socket = socket2::SockRef::from(stream.as_ref());
-            match stream.try_io(Interest::WRITABLE, || uninterrupted(|| (&*socket).write(bytes))) {
-                Err(problem) if problem.kind() == io::ErrorKind::WouldBlock => {}
-                done => return Poll::Ready(done),
+            match stream.try_io(Interest::WRITABLE, || retry_interrupted(|| (&*socket).write(bytes))) {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                result => return Poll::Ready(result),
             }
         }
     }
 
-    fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn poll_flush(self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
 
-    fn poll_shutdown(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn poll_shutdown(self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(socket2::SockRef::from(self.0.as_ref()).shutdown(Shutdown::Write))
     }
 }
 
-/// Whether bytes have come that nobody has read. Asked of the system itself: where a timer ends a turn the runtime may not
-/// have looked at the socket yet, and a connection must not be closed on a request that was there before.
-pub(crate) fn unread(stream: &TcpStream) -> bool {
+/// Returns how many bytes are unread at a socket, one at the most; 0 at the end of the stream. Asks the system, since the
+/// runtime may not have looked yet.
+///
+/// # Errors
+/// `WouldBlock` when there is nothing to read, or the connection's error.
+pub(crate) fn peek(stream: &TcpStream) -> io::Result<usize> {
+    socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
+}
+
+/// Returns whether there are unread bytes. Use it before closing a connection on a timer: the runtime may not have looked
+/// at the socket yet, and a request that has arrived must not be closed on.
+pub(crate) fn has_unread_bytes(stream: &TcpStream) -> bool {
     matches!(peek(stream), Ok(1..))
 }
 
-/// Returns once the client has ended its side, though what it said before is still unread. The readiness that tokio calls
-/// priority comes with that end, and without what was said before it.
-pub(crate) async fn left(stream: &TcpStream) {
+/// Returns once the other side has shut down its sending, even if earlier bytes are still unread. Tokio's priority
+/// readiness reports that shutdown and is not set by ordinary bytes.
+pub(crate) async fn peer_closed(stream: &TcpStream) {
     loop {
         match stream.ready(Interest::PRIORITY).await {
             Ok(ready) if !ready.is_read_closed() => {
-                // Urgent data, which has no meaning here: looked at once.
+                // Urgent data, which has no meaning here: clear the readiness.
                 let _ = stream.try_io(Interest::PRIORITY, || -> io::Result<()> {
                     Err(io::ErrorKind::WouldBlock.into())
                 });
@@ -139,11 +150,11 @@
     }
 }
 
-/// Whether a future is ready now.
-pub(crate) async fn is_ready(what: impl Future<Output = ()>) -> bool {
+/// Returns whether a future is ready now.
+pub(crate) async fn is_ready(future: impl Future<Output = ()>) -> bool {
     tokio::select! {
         biased;
-        () = unconstrained(what) => true,
+        () = unconstrained(future) => true,
         () = std::future::ready(()) => false,
     }
 }
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,86 +1,89 @@
-//! The rest of a long answer, passed from its ledger host to its client part by part. The host's side waits for the
-//! client's, so that a few parts at most are held, however long the answer and however slow its client.
+//! Passes the remainder of a large answer from its host to its client chunk by chunk.
+//!
+//! The host's side waits for the client's: an answer holds at most [`MAX_BUFFERED_BYTES`], however long it is and
+//! however slowly its client reads.
 
 use bytes::Bytes;
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::mpsc;
 
-/// The most bytes in one part.
-pub(crate) const PART: usize = 64 * 1024;
-/// Parts that wait for the client.
-const PARTS: usize = 1;
-/// What one answer takes at the most: a part being read, one that waits, one being written.
-pub(crate) const HELD: usize = 3 * PART;
+/// The longest chunk, in bytes.
+pub(crate) const CHUNK_BYTES: usize = 64 * 1024;
+/// Chunks that may wait for the client.
+const MAX_QUEUED_CHUNKS: usize = 1;
+/// The most memory that one answer takes: a chunk being read, those that wait, and one being written.
+pub(crate) const MAX_BUFFERED_BYTES: usize = (MAX_QUEUED_CHUNKS + 2) * CHUNK_BYTES;
 
-/// What is sent: a part, or that all has been sent.
+/// A chunk, or none to say that the answer is complete.
 type Item = Option<Bytes>;
 
-/// The receiving half. Copies share it; the first one to take it has it.
+/// The receiving half. Copies share it; [`Remainder::take`] gives it to the first that asks.
 #[derive(Clone, Debug)]
-pub struct Rest(Arc<Mutex<Option<Parts>>>);
+pub struct Remainder(Arc<Mutex<Option<Chunks>>>);
 
-/// Two are equal if they are copies of one another.
-impl PartialEq for Rest {
+/// Two remainders are equal if they are copies of one another.
+impl PartialEq for Remainder {
     fn eq(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
 }
 
-impl Eq for Rest {}
+impl Eq for Remainder {}
 
-impl Rest {
-    /// The parts, for the one that passes them on.
-    pub(crate) fn take(&self) -> Option<Parts> {
+impl Remainder {
+    /// Takes the chunks; none if another copy has taken them.
+    pub(crate) fn take(&self) -> Option<Chunks> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 }
 
-/// The parts as they come.
+/// The chunks, in order.
 #[derive(Debug)]
-pub(crate) struct Parts(mpsc::Receiver<Item>);
+pub(crate) struct Chunks(mpsc::Receiver<Item>);
 
-/// The next part of a stream.
+/// What [`Chunks::next`] returns.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Part {
+pub(crate) enum Chunk {
+    /// The next bytes.
     Bytes(Bytes),
-    /// All has come.
+    /// The answer is complete.
     End,
-    /// No more comes, though it was not all.
-    Broken,
+    /// The answer broke off before its end.
+    Aborted,
 }
 
-impl Parts {
-    /// Waits for the next part.
-    pub async fn next(&mut self) -> Part {
+impl Chunks {
+    /// Waits for the next chunk.
+    pub async fn next(&mut self) -> Chunk {
         match self.0.recv().await {
-            Some(Some(bytes)) => Part::Bytes(bytes),
-            Some(None) => Part::End,
-            None => Part::Broken,
+            Some(Some(bytes)) => Chunk::Bytes(bytes),
+            Some(None) => Chunk::End,
+            None => Chunk::Aborted,
         }
     }
 }
 
-/// The sending half.
+/// The sending half. Dropping it without [`ChunkSender::finish`] aborts the answer.
 #[derive(Debug)]
-pub(crate) struct Sender(mpsc::Sender<Item>);
+pub(crate) struct ChunkSender(mpsc::Sender<Item>);
 
-impl Sender {
-    /// Sends a part once there is room; whether anybody still takes it.
-    pub async fn part(&self, bytes: Bytes) -> bool {
+impl ChunkSender {
+    /// Sends a chunk once there is capacity. Returns whether the client still takes chunks.
+    pub async fn send(&self, bytes: Bytes) -> bool {
         self.0.send(Some(bytes)).await.is_ok()
     }
 
-    /// Says that all has been sent.
-    pub async fn end(self) {
-        // Fails only when the client has left.
+    /// Marks the answer as complete.
+    pub async fn finish(self) {
+        // Fails only when the client has disconnected.
         let _ = self.0.send(None).await;
     }
 }
 
-/// Both halves of a stream.
-pub(crate) fn pair() -> (Sender, Rest) {
-    let (sender, parts) = mpsc::channel(PARTS);
-    (Sender(sender), Rest(Arc::new(Mutex::new(Some(Parts(parts))))))
+/// Returns both halves of a new stream.
+pub(crate) fn channel() -> (ChunkSender, Remainder) {
+    let (sender, chunks) = mpsc::channel(MAX_QUEUED_CHUNKS);
+    (ChunkSender(sender), Remainder(Arc::new(Mutex::new(Some(Chunks(chunks))))))
 }
 
 #[cfg(test)]
--- a/src/net/stream/tests.rs
+++ b/src/net/stream/tests.rs
@@ -1,4 +1,4 @@
-use super::{pair, Part};
+use super::{channel, Chunk};
 use bytes::Bytes;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -7,31 +7,31 @@
 
 #[tokio::test]
 async fn the_host_waits_for_the_client() {
-    let (sender, rest) = pair();
-    assert!(sender.part(Bytes::from_static(b"a")).await);
-    assert!(timeout(SOON, sender.part(Bytes::from_static(b"b"))).await.is_err());
-    let mut parts = rest.take().unwrap();
-    assert_eq!(parts.next().await, Part::Bytes(Bytes::from_static(b"a")));
-    tokio::spawn(sender.end());
-    assert_eq!(parts.next().await, Part::End);
+    let (sender, remainder) = channel();
+    assert!(sender.send(Bytes::from_static(b"a")).await);
+    assert!(timeout(SOON, sender.send(Bytes::from_static(b"b"))).await.is_err());
+    let mut chunks = remainder.take().unwrap();
+    assert_eq!(chunks.next().await, Chunk::Bytes(Bytes::from_static(b"a")));
+    tokio::spawn(sender.finish());
+    assert_eq!(chunks.next().await, Chunk::End);
 }
 
 #[tokio::test]
 async fn an_answer_that_breaks_off_is_known_from_one_that_ends() {
-    let (sender, rest) = pair();
-    assert!(sender.part(Bytes::from_static(b"a")).await);
+    let (sender, remainder) = channel();
+    assert!(sender.send(Bytes::from_static(b"a")).await);
     drop(sender);
-    let mut parts = rest.take().unwrap();
-    assert_eq!(parts.next().await, Part::Bytes(Bytes::from_static(b"a")));
-    assert_eq!(parts.next().await, Part::Broken);
+    let mut chunks = remainder.take().unwrap();
+    assert_eq!(chunks.next().await, Chunk::Bytes(Bytes::from_static(b"a")));
+    assert_eq!(chunks.next().await, Chunk::Aborted);
 }
 
 #[tokio::test]
 async fn the_host_hears_that_the_client_has_left() {
-    let (sender, rest) = pair();
-    let copy = rest.clone();
-    assert_eq!(copy, rest);
-    drop(rest.take());
+    let (sender, remainder) = channel();
+    let copy = remainder.clone();
+    assert_eq!(copy, remainder);
+    drop(remainder.take());
     assert!(copy.take().is_none(), "one takes it");
-    assert!(!sender.part(Bytes::from_static(b"a")).await);
+    assert!(!sender.send(Bytes::from_static(b"a")).await);
 }
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -6,7 +6,7 @@
 use super::tds::Tds;
 use crate::interface::Outcome;
 use crate::net::local_faults;
-use crate::net::peek;
+use crate::net::socket::peek;
 use crate::net::socket::Socket;
 use crate::protocol::Protocol;
 use bytes::{BufMut, Bytes, BytesMut};
@@ -42,9 +42,9 @@
     /// Opens a connection until that moment; it is ready for its first request. What this machine lacks for it is waited
     /// for, and is no fault of the host's.
     pub async fn open(place: Place, permit: OwnedSemaphorePermit, until: Instant) -> Result<Self, Outcome> {
-        let connected = local_faults::retried(until, || Socket::connect(place.address)).await;
+        let connected = local_faults::retry_local_faults(until, || Socket::connect(place.address)).await;
         let stream = connected.ok_or(Outcome::ConnectFailed)?.map_err(|problem| {
-            if local_faults::is_local(&problem) {
+            if local_faults::is_local_fault(&problem) {
                 Outcome::NotSent
             } else {
                 Outcome::ConnectFailed
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -170,10 +170,10 @@
     pub fn value(self) -> Value {
         match self.content {
             Content::None => Value::default(),
-            Content::Apart(content) => Value { content, messages: None, rest: None },
+            Content::Apart(content) => Value { content, postgres_messages: None, remainder: None },
             Content::Within(place) => {
                 let messages = self.messages.freeze();
-                Value { content: messages.slice(place), messages: Some(messages), rest: None }
+                Value { content: messages.slice(place), postgres_messages: Some(messages), remainder: None }
             }
         }
     }
--- a/src/net/upstream/large.rs
+++ b/src/net/upstream/large.rs
@@ -5,7 +5,7 @@
 use super::exchange::Exchange;
 use crate::budget::Reservation;
 use crate::net::memory::Memory;
-use crate::net::stream::{self, Rest, Sender, HELD, PART};
+use crate::net::stream::{self, ChunkSender, Remainder, CHUNK_BYTES, MAX_BUFFERED_BYTES};
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,14 +32,14 @@
 impl LargeAnswers {
     /// As many slots as the account of memory has room for.
     pub fn new(memory: Memory) -> Self {
-        let slots = usize::try_from(memory.large_answers()).unwrap_or(usize::MAX) / HELD;
+        let slots = usize::try_from(memory.large_answers_bytes()).unwrap_or(usize::MAX) / MAX_BUFFERED_BYTES;
         Self { memory, slots: Arc::new(Semaphore::new(slots.clamp(1, Semaphore::MAX_PERMITS))) }
     }
 
     /// Waits for a slot, first come first served; none where memory is short for other reasons.
     pub(super) async fn acquire(&self) -> Option<Slot> {
         let permit = Arc::clone(&self.slots).acquire_owned().await.ok()?;
-        let ticket = self.memory.large_answer(HELD).ok()?;
+        let ticket = self.memory.large_answer(MAX_BUFFERED_BYTES).ok()?;
         Some(Slot { _permit: permit, _ticket: ticket })
     }
 }
@@ -51,14 +51,14 @@
     mut exchange: Exchange,
     row: usize,
     slot: Slot,
-) -> (Bytes, Rest) {
+) -> (Bytes, Remainder) {
     let buffered = connection.take_buffered(row);
     let left = row - buffered.len();
     exchange.keep(&buffered);
-    let (sender, rest) = stream::pair();
+    let (sender, rest) = stream::channel();
     tokio::spawn(async move {
         if pump(connection, left, &sender).await.is_some() {
-            sender.end().await;
+            sender.finish().await;
         }
         drop(slot);
     });
@@ -66,11 +66,11 @@
 }
 
 /// Passes on what is left of the row and what stands behind it; none if the host or the client leaves before.
-async fn pump(mut connection: Connection, mut left: usize, sender: &Sender) -> Option<()> {
+async fn pump(mut connection: Connection, mut left: usize, sender: &ChunkSender) -> Option<()> {
     while left > 0 {
-        let part = timeout(STALL, connection.read_part(left.min(PART))).await.ok()?.ok()?;
+        let part = timeout(STALL, connection.read_part(left.min(CHUNK_BYTES))).await.ok()?.ok()?;
         left = left.checked_sub(part.len()).filter(|_| !part.is_empty())?;
-        if !sender.part(part).await {
+        if !sender.send(part).await {
             return None;
         }
     }
@@ -78,7 +78,7 @@
     timeout(STALL, connection.rest(&mut exchange)).await.ok()?;
     // An error behind the row brings nothing that could end it.
     let end = exchange.told().then(|| exchange.begun()).filter(|end| !end.is_empty())?;
-    sender.part(end).await.then_some(())
+    sender.send(end).await.then_some(())
 }
 
 #[cfg(test)]
--- a/src/net/upstream/large/tests.rs
+++ b/src/net/upstream/large/tests.rs
@@ -3,14 +3,14 @@
 use crate::budget::{Budget, Purpose};
 use crate::net::clock::Clock;
 use crate::net::memory::Memory;
-use crate::net::stream::HELD;
+use crate::net::stream::MAX_BUFFERED_BYTES;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::timeout;
 
 /// Slots for so many long answers, and the budget that has them.
 pub(in crate::net::upstream) fn slots(number: usize) -> (LargeAnswers, Budget) {
-    let buffers = Override { cap: Some(2 * (number * HELD) as u64), reserve: Some(0) };
+    let buffers = Override { cap: Some(2 * (number * MAX_BUFFERED_BYTES) as u64), reserve: Some(0) };
     let overrides = BTreeMap::from([(Purpose::UpstreamBuffers, buffers)]);
     let figures = PlanInputs { total: 64 << 20, overrides, ..PlanInputs::default() };
     let plan = Plan::new(&figures).unwrap();
@@ -24,7 +24,7 @@
     let soon = || timeout(Duration::from_millis(50), large.acquire());
     let first = soon().await.unwrap().unwrap();
     let second = soon().await.unwrap().unwrap();
-    assert_eq!(budget.used(Purpose::UpstreamBuffers), 2 * HELD as u64);
+    assert_eq!(budget.used(Purpose::UpstreamBuffers), 2 * MAX_BUFFERED_BYTES as u64);
     assert!(soon().await.is_err(), "there is no slot for a third");
     drop(first);
     let third = soon().await.unwrap().unwrap();
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -9,7 +9,7 @@
 
 use super::messages::{AttemptEnd, CoreEvent, HealthCheckResult, Statement, Value};
 use super::rejections::Rejections;
-use super::socket::Presence;
+use super::socket::PeerLiveness;
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::interface::{HostId, HostState, Outcome, RequestId, TimeDelta};
@@ -60,7 +60,7 @@
     pub attempt: u32,
     pub statement: Statement,
     /// Not to be written once its client has gone.
-    pub presence: Presence,
+    pub presence: PeerLiveness,
     pub sent: Instant,
     pub deadline: Instant,
     /// Not to be written after that.
@@ -165,7 +165,7 @@
                 host,
                 outcome: Outcome::Reset,
                 latency: since(sent),
-                written: None,
+                written_at: None,
                 position: None,
                 role: None,
                 value: None,
@@ -393,7 +393,7 @@
     let Stopped { mut cancelled, withdrawn } = stopped;
     let mut connection = None;
     // A write's answer tells its commit behind the row, and its session's next read has to know that.
-    let may_stream = way.pool.may_stream && a.statement.value_at.is_none();
+    let may_stream = way.pool.may_stream && a.statement.value_range.is_none();
     let mut exchange = Exchange::new(may_stream);
     let mut slot = None;
     let written = AtomicBool::new(false);
@@ -407,7 +407,7 @@
         let work = async {
             let open = way.open(a.deadline).await?;
             // Its client may have gone in this very turn, and the word of it be on its way.
-            if a.until.is_some_and(|until| Instant::now() > until) || a.presence.has_left().await {
+            if a.until.is_some_and(|until| Instant::now() > until) || a.presence.has_closed().await {
                 // The connection is as good as new, and nothing is known against its host.
                 connection = Some(open);
                 return Ok(None);
@@ -456,12 +456,12 @@
     let value = match large {
         Some((row, slot, open)) => {
             let (begun, rest) = large::forward(open, exchange, row, slot);
-            Some(Value { messages: Some(begun), rest: Some(rest), ..Value::default() })
+            Some(Value { postgres_messages: Some(begun), remainder: Some(rest), ..Value::default() })
         }
         None => (outcome == Outcome::Ok).then(|| exchange.value()),
     };
     let (id, attempt) = (a.id, a.attempt);
-    let end = AttemptEnd { id, attempt, host, outcome, latency, written, position, role, value };
+    let end = AttemptEnd { id, attempt, host, outcome, latency, written_at: written, position, role, value };
     Done { connection: connection.filter(|_| good), event: CoreEvent::AttemptEnded(Box::new(end)) }
 }
 
--- a/src/net/upstream/postgres.rs
+++ b/src/net/upstream/postgres.rs
@@ -39,7 +39,7 @@
 
     fn ask(&mut self, ask: &Ask<'_>, out: &mut BytesMut) {
         match ask {
-            Ask::Statement(statement, wait) => pgwire::query(out, &statement.with_wait(*wait)),
+            Ask::Statement(statement, wait) => pgwire::query(out, &statement.with_timeout(*wait)),
             Ask::Load => pgwire::query(out, b"SHOW load"),
             Ask::Ping => pgwire::query(out, b"SELECT 1"),
         }
--- a/src/net/upstream/tds.rs
+++ b/src/net/upstream/tds.rs
@@ -84,8 +84,8 @@
 
     /// A read goes as a batch; a write as a call, so that its value goes as it is and not as digits.
     fn statement(&self, statement: &Statement, wait: Duration, out: &mut BytesMut) {
-        match statement.with_parameter(VALUE, wait) {
-            None => self.batch(&String::from_utf8_lossy(&statement.with_wait(wait)), out),
+        match statement.with_value_parameter(VALUE, wait) {
+            None => self.batch(&String::from_utf8_lossy(&statement.with_timeout(wait)), out),
             Some((text, value)) => {
                 let text = String::from_utf8_lossy(&text).into_owned();
                 let declared = format!("{VALUE} varbinary(max)");
--- a/tests/sockets/deployments.rs
+++ b/tests/sockets/deployments.rs
@@ -162,12 +162,12 @@
         c1 expect ready
         c1 send text SELECT content FROM kv WHERE name = 'k1' /* id=q1,c=any,d=900,cluster=0 */
         c1 expect error 42601
-        proxy expect log turned away (lacks) the comment lacks `t`
+        proxy expect log request or connection rejected reason=lacks cause=the comment lacks `t`
         operator send stats
         operator expect gw.turned.lacks=1 gw.turned.form=0
         c1 send text SELECT content FROM kv WHERE name = 'k1' /* id=q2,c=none,t=acme,d=900,cluster=0 */
         c1 expect error 22023
-        proxy expect log turned away (class) there is no class `none`
+        proxy expect log request or connection rejected reason=class cause=there is no class `none`
         operator send stats
         operator expect gw.turned.class=1",
     );
--- a/tests/sockets/memory.rs
+++ b/tests/sockets/memory.rs
@@ -21,7 +21,7 @@
     h1 expect id=w1
     h1 send value done primary
     c6 expect value done
-    proxy expect log memory: requests: refused"
+    proxy expect log memory reservations rejected purpose=requests"
 )]
 #[case::who_begins_more_than_there_is_room_for_is_told_and_hurts_nobody(
     "memory: {purposes: {client-buffers: {cap: 48KiB, reserve: 0B}}}",
--- a/tests/sockets/pipelining.rs
+++ b/tests/sockets/pipelining.rs
@@ -101,7 +101,7 @@
         c1 expect silence 400
         c1 expect within 150 ANSWER
         c1 expect within 20 value two
-        proxy expect log turned away (order)";
+        proxy expect log request or connection rejected reason=order";
     play_in(&unhurried(), 1, &text.replace("SLOW", slow).replace("ANSWER", answer));
 }
 
