--- a/crates/decisions/tests/ordinary.rs
+++ b/crates/decisions/tests/routing/basics.rs
@@ -1,7 +1,6 @@
 //! The ordinary path, as the design words it.
 
-mod common;
-use common::*;
+use crate::world::*;
 use wheelpier_decisions::*;
 
 #[test]
--- a/crates/decisions/tests/failures.rs
+++ b/crates/decisions/tests/routing/failures.rs
@@ -1,7 +1,6 @@
 //! One test for each failure found on the way; each fails without its guard.
 
-mod common;
-use common::*;
+use crate::world::*;
 use wheelpier_decisions::*;
 
 /// A host that turns requests away at once looks idle; without its rest it would draw the next ones too.
--- a/crates/decisions/tests/many.rs
+++ b/crates/decisions/tests/routing/large_fleet.rs
@@ -1,7 +1,6 @@
 //! What a router does otherwise as one of many. Each test fails without its guard.
 
-mod common;
-use common::*;
+use crate::world::*;
 use wheelpier_decisions::*;
 
 /// One of a hundred before hosts that check reads themselves and whose answers tell where they stand.
--- a/crates/decisions/tests/scale.rs
+++ b/crates/decisions/tests/routing/large_fleet_failures.rs
@@ -1,7 +1,6 @@
 //! One test for each failure found at full size: hundreds of routers that each see next to nothing.
 
-mod common;
-use common::*;
+use crate::world::*;
 use wheelpier_decisions::*;
 
 /// Ends the first attempt of a request that was just sent.
--- /dev/null
+++ b/crates/decisions/tests/routing/main.rs
@@ -0,0 +1,11 @@
+//! Tests of the routing decisions.
+
+mod basics;
+mod failures;
+mod large_fleet;
+mod large_fleet_failures;
+mod random_sequences;
+mod reconfigure;
+mod rules;
+mod source_files;
+mod world;
--- a/crates/decisions/tests/legal.rs
+++ b/crates/decisions/tests/routing/random_sequences.rs
@@ -1,7 +1,6 @@
 //! Random legal event sequences: nothing panics, and the rules hold on what comes out.
 
-mod common;
-use common::*;
+use crate::world::*;
 use std::collections::BTreeMap;
 use wheelpier_decisions::*;
 
--- a/crates/decisions/tests/retune.rs
+++ b/crates/decisions/tests/routing/reconfigure.rs
@@ -1,7 +1,6 @@
 //! Settings read anew while the router runs (SIGHUP): classes keep their numbers, new ones come behind.
 
-mod common;
-use common::*;
+use crate::world::*;
 use wheelpier_decisions::*;
 
 #[test]
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/routing/rules.rs
@@ -1,7 +1,6 @@
 //! The five rules, each in its normal case and in a nasty corner.
 
-mod common;
-use common::*;
+use crate::world::*;
 use wheelpier_decisions::*;
 
 #[test]
--- a/crates/decisions/tests/size.rs
+++ b/crates/decisions/tests/routing/source_files.rs
@@ -30,13 +30,13 @@
 
 #[test]
 fn the_router_names_the_file_of_its_events_and_actions_first() {
-    let text = include_str!("../src/routing/mod.rs");
+    let text = include_str!("../../src/routing/mod.rs");
     assert!(text.lines().take(3).any(|line| line.contains("src/interface.rs")));
 }
 
 #[test]
 fn the_deploy_file_names_every_routing_file_as_policy() {
-    let deploy = include_str!("../../../deploy/balancer.toml");
+    let deploy = include_str!("../../../../deploy/balancer.toml");
     let policy = deploy.lines().find(|line| line.starts_with("policy")).unwrap();
     for (name, _) in routing_files() {
         assert!(policy.contains(&format!("\"{FOLDER}/{name}\"")), "{name} is not named");
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/routing/world.rs
@@ -1,5 +1,4 @@
 //! A router with a scripted world around it.
-#![allow(dead_code)]
 
 use wheelpier_decisions::*;
 
