--- a/crates/decisions/tests/routing/random_sequences.rs
+++ b/crates/decisions/tests/routing/random_sequences.rs
@@ -4,170 +4,224 @@
 use std::collections::BTreeMap;
 use wheelpier_decisions::*;
 
-struct Dice(u64);
+const HOSTS: usize = 5;
+const STEPS: u64 = 1_500;
+const STEP_MS: i64 = 10;
+const REQUEST_TIMEOUT_MS: i64 = 2_000;
 
-impl Dice {
-    fn roll(&mut self, sides: u64) -> u64 {
+/// Outcomes of attempts before the deadline; three of six are good.
+const OUTCOMES: [Outcome; 6] =
+    [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Overloaded, Outcome::Misdirected];
+
+/// A xorshift generator.
+struct Random(u64);
+
+impl Random {
+    fn below(&mut self, limit: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        self.0 % sides
+        self.0 % limit
     }
 }
 
+/// What a client knows of its request.
 #[derive(Default)]
-struct Asked {
+struct ClientRequest {
     class: usize,
     deadline: i64,
-    done: bool,
+    has_ended: bool,
     attempts: u32,
-    out: BTreeMap<u32, (u32, i64)>,
+    /// Host and time of each attempt in flight, by its number.
+    in_flight: BTreeMap<u32, (u32, i64)>,
     may_have_run: bool,
 }
 
-fn run(seed: u64, change: fn(&mut Settings)) {
-    let mut settings = settings();
-    change(&mut settings);
-    let copies = settings.hedging_allowed;
-    let slack = settings.response_deadline_slack.0;
-    let mut world = World::known(settings.clone(), 5);
-    let mut dice = Dice(seed);
-    let mut asked: BTreeMap<RequestId, Asked> = BTreeMap::new();
-    let mut drained = [false; 5];
-    for step in 0..1_500u64 {
+/// An attempt in flight.
+#[derive(Clone, Copy)]
+struct InFlight {
+    id: RequestId,
+    attempt: u32,
+    host: u32,
+    sent_at: i64,
+}
+
+struct Sequence {
+    settings: Settings,
+    world: World,
+    random: Random,
+    requests: BTreeMap<RequestId, ClientRequest>,
+    is_draining: [bool; HOSTS],
+}
+
+impl Sequence {
+    fn new(seed: u64, change: fn(&mut Settings)) -> Self {
+        let mut settings = settings();
+        change(&mut settings);
+        let world = World::with_positions(settings.clone(), HOSTS as u32);
+        let (requests, is_draining) = (BTreeMap::new(), [false; HOSTS]);
+        Self { settings, world, random: Random(seed), requests, is_draining }
+    }
+
+    fn run(&mut self) {
+        for step in 0..STEPS {
+            self.world.now += STEP_MS * MS;
+            let mut actions = self.random_event(step);
+            actions.extend(self.end_attempts_at_their_deadline());
+            actions.extend(self.world.event(Event::Timer(0)));
+            actions.iter().for_each(|action| self.check(action));
+            self.check_no_request_is_lost();
+            self.requests.retain(|_, request| !request.has_ended || !request.in_flight.is_empty());
+        }
+    }
+
+    fn random_event(&mut self, step: u64) -> Vec<Action> {
+        match self.random.below(8) {
+            0..=2 => self.request(),
+            3 => self.health_checked(),
+            4 if step % 40 == 0 => self.toggle_draining(),
+            5..=6 => self.end_random_attempt(),
+            _ => Vec::new(),
+        }
+    }
+
+    fn request(&mut self) -> Vec<Action> {
+        let class = self.random.below(self.settings.classes.len() as u64) as usize;
+        let since_write = Some(self.random.below(600) as i64 * MS).filter(|since| *since > 0);
+        let (id, actions) = self.world.request(class, since_write);
+        let deadline = self.world.now + REQUEST_TIMEOUT_MS * MS;
+        self.requests.insert(id, ClientRequest { class, deadline, ..ClientRequest::default() });
+        actions
+    }
+
+    fn health_checked(&mut self) -> Vec<Action> {
+        let host = self.random.below(HOSTS as u64) as u32;
+        let role = if self.random.below(4) == 0 { Role::Primary } else { Role::Replica };
+        let age = self.random.below(900) as i64 * MS;
+        self.world.health_checked(host, load_report(self.world.now - age, role))
+    }
+
+    fn toggle_draining(&mut self) -> Vec<Action> {
+        let host = self.random.below(HOSTS as u64) as usize;
+        self.is_draining[host] = !self.is_draining[host];
+        let state = if self.is_draining[host] { HostState::Draining } else { HostState::Running };
+        let mut entry = EndpointEntry::new(HostId(host as u32), 0, state);
+        entry.started_at = Some(Timestamp(self.world.now));
+        self.world.event(Event::EndpointList(EndpointUpdate::Delta, vec![entry]))
+    }
+
+    fn in_flight(&self, is_wanted: impl Fn(&ClientRequest) -> bool) -> Vec<InFlight> {
+        let wanted = self.requests.iter().filter(|(_, request)| is_wanted(request));
+        let attempts = wanted.flat_map(|(id, request)| {
+            let of_request = request.in_flight.iter();
+            of_request.map(|(attempt, (host, sent_at))| InFlight {
+                id: *id,
+                attempt: *attempt,
+                host: *host,
+                sent_at: *sent_at,
+            })
+        });
+        attempts.collect()
+    }
+
+    fn end_random_attempt(&mut self) -> Vec<Action> {
+        let in_flight = self.in_flight(|_| true);
+        if in_flight.is_empty() {
+            return Vec::new();
+        }
+        let ended = in_flight[self.random.below(in_flight.len() as u64) as usize];
+        let outcome = OUTCOMES[self.random.below(OUTCOMES.len() as u64) as usize];
+        let request = self.requests.get_mut(&ended.id).unwrap();
+        request.in_flight.remove(&ended.attempt);
+        request.may_have_run |= outcome == Outcome::Error;
+        request.has_ended |= outcome == Outcome::Ok;
+        let role = if ended.host == 0 { Role::Primary } else { Role::Replica };
+        let position = LogPosition(self.world.now - 20 * MS);
+        self.end_attempt(ended, outcome, Some((position, role)))
+    }
+
+    fn end_attempts_at_their_deadline(&mut self) -> Vec<Action> {
+        let now = self.world.now;
         let mut actions = Vec::new();
-        world.now += 10 * MS;
-        match dice.roll(8) {
-            0..=2 => {
-                let class = dice.roll(settings.classes.len() as u64) as usize;
-                let since = Some(dice.roll(600) as i64 * MS).filter(|ms| *ms > 0);
-                let (id, more) = world.ask(class, since);
-                asked.insert(id, Asked { class, deadline: world.now + 2_000 * MS, ..Asked::default() });
-                actions.extend(more);
-            }
-            3 => {
-                let host = dice.roll(5) as u32;
-                let role = if dice.roll(4) == 0 { Role::Primary } else { Role::Replica };
-                let age = dice.roll(900) as i64 * MS;
-                actions.extend(world.probed(host, report(world.now - age, role)));
-            }
-            4 if step % 40 == 0 => {
-                let n = dice.roll(5) as usize;
-                drained[n] = !drained[n];
-                let state = if drained[n] { HostState::Draining } else { HostState::Running };
-                let mut entry = EndpointEntry::new(HostId(n as u32), 0, state);
-                entry.started_at = Some(Timestamp(world.now));
-                actions.extend(world.event(Event::EndpointList(EndpointUpdate::Delta, vec![entry])));
+        for ended in self.in_flight(|request| request.deadline <= now) {
+            let request = self.requests.get_mut(&ended.id).unwrap();
+            request.in_flight.remove(&ended.attempt);
+            request.may_have_run = true;
+            actions.extend(self.end_attempt(ended, Outcome::Timeout, None));
+        }
+        actions
+    }
+
+    fn end_attempt(
+        &mut self,
+        ended: InFlight,
+        outcome: Outcome,
+        observed: Option<(LogPosition, Role)>,
+    ) -> Vec<Action> {
+        self.world.event(Event::AttemptEnded(AttemptResult {
+            id: ended.id,
+            attempt: ended.attempt,
+            host: HostId(ended.host),
+            outcome,
+            latency: TimeDelta(self.world.now - ended.sent_at),
+            request_closed: self.requests[&ended.id].has_ended,
+            position: observed.map(|(position, _)| position),
+            role: observed.map(|(_, role)| role),
+            report: None,
+        }))
+    }
+
+    fn check(&mut self, action: &Action) {
+        match action {
+            Action::Forward { id, host, .. } => self.check_forwarded(*id, *host),
+            Action::Reject { id, .. } => {
+                let request = self.requests.get_mut(id).unwrap();
+                let idempotency = self.settings.classes[request.class].idempotency;
+                let is_harmless = idempotency == Idempotency::Idempotent || !request.may_have_run;
+                assert!(!request.has_ended && is_harmless, "a rejection promises that nothing ran");
+                request.has_ended = true;
             }
-            5..=6 => {
-                let open: Vec<(RequestId, u32, u32, i64)> = asked
-                    .iter()
-                    .flat_map(|(id, a)| a.out.iter().map(move |(n, (host, at))| (*id, *n, *host, *at)))
-                    .collect();
-                if !open.is_empty() {
-                    let (id, attempt, host, sent) = open[dice.roll(open.len() as u64) as usize];
-                    let all = [
-                        Outcome::Ok,
-                        Outcome::Ok,
-                        Outcome::Ok,
-                        Outcome::Error,
-                        Outcome::Overloaded,
-                        Outcome::Misdirected,
-                    ];
-                    let outcome = all[dice.roll(all.len() as u64) as usize];
-                    let a = asked.get_mut(&id).unwrap();
-                    a.out.remove(&attempt);
-                    a.may_have_run |= outcome == Outcome::Error;
-                    a.done |= outcome == Outcome::Ok;
-                    let closed = a.done;
-                    let role = Some(if host == 0 { Role::Primary } else { Role::Replica });
-                    let position = Some(LogPosition(world.now - 20 * MS));
-                    let (host, latency) = (HostId(host), TimeDelta(world.now - sent));
-                    let reply = AttemptResult {
-                        id,
-                        attempt,
-                        host,
-                        outcome,
-                        latency,
-                        request_closed: closed,
-                        position,
-                        role,
-                        report: None,
-                    };
-                    actions.extend(world.event(Event::AttemptEnded(reply)));
-                }
+            Action::Fail { id } => {
+                let request = self.requests.get_mut(id).unwrap();
+                assert!(!request.has_ended, "ended twice");
+                request.has_ended = true;
             }
             _ => {}
         }
-        // What is out at the deadline times out there.
-        let due: Vec<(RequestId, u32, u32, i64)> = asked
-            .iter()
-            .filter(|(_, a)| a.deadline <= world.now)
-            .flat_map(|(id, a)| a.out.iter().map(move |(n, (host, at))| (*id, *n, *host, *at)))
-            .collect();
-        for (id, attempt, host, sent) in due {
-            let a = asked.get_mut(&id).unwrap();
-            a.out.remove(&attempt);
-            a.may_have_run = true;
-            let (host, latency, closed) = (HostId(host), TimeDelta(world.now - sent), a.done);
-            let (outcome, position, role) = (Outcome::Timeout, None, None);
-            let reply = AttemptResult {
-                id,
-                attempt,
-                host,
-                outcome,
-                latency,
-                request_closed: closed,
-                position,
-                role,
-                report: None,
-            };
-            actions.extend(world.event(Event::AttemptEnded(reply)));
-        }
-        actions.extend(world.event(Event::Timer(0)));
-        for action in actions {
-            match action {
-                Action::Forward { id, host, .. } => {
-                    let now = world.now;
-                    let a = asked.get_mut(&id).unwrap();
-                    assert!(!a.done, "sent after its end");
-                    assert!(!drained[host.0 as usize], "sent to a draining host");
-                    let repeat = settings.classes[a.class].idempotency;
-                    assert!(copies || a.out.is_empty(), "two at once");
-                    assert!(repeat != Idempotency::NotIdempotent || (a.out.is_empty() && !a.may_have_run));
-                    assert!(a.attempts < settings.max_attempts);
-                    a.out.insert(a.attempts, (host.0, now));
-                    a.attempts += 1;
-                }
-                Action::Reject { id, .. } => {
-                    let a = asked.get_mut(&id).unwrap();
-                    let harmless =
-                        settings.classes[a.class].idempotency == Idempotency::Idempotent || !a.may_have_run;
-                    assert!(!a.done && harmless, "a refusal promises that nothing ran");
-                    a.done = true;
-                }
-                Action::Fail { id } => {
-                    let a = asked.get_mut(&id).unwrap();
-                    assert!(!a.done, "two answers");
-                    a.done = true;
-                }
-                _ => {}
-            }
-        }
-        for (id, a) in &asked {
-            assert!(a.done || world.now <= a.deadline + slack, "{id:?} was lost");
+    }
+
+    fn check_forwarded(&mut self, id: RequestId, host: HostId) {
+        let request = self.requests.get_mut(&id).unwrap();
+        assert!(!request.has_ended, "forwarded after its end");
+        assert!(!self.is_draining[host.0 as usize], "forwarded to a draining host");
+        let is_first = request.in_flight.is_empty();
+        assert!(self.settings.hedging_allowed || is_first, "two attempts at once");
+        let idempotency = self.settings.classes[request.class].idempotency;
+        assert!(idempotency != Idempotency::NotIdempotent || (is_first && !request.may_have_run));
+        assert!(request.attempts < self.settings.max_attempts);
+        request.in_flight.insert(request.attempts, (host.0, self.world.now));
+        request.attempts += 1;
+    }
+
+    fn check_no_request_is_lost(&self) {
+        let slack = self.settings.response_deadline_slack.0;
+        for (id, request) in &self.requests {
+            assert!(request.has_ended || self.world.now <= request.deadline + slack, "{id:?} was lost");
         }
-        asked.retain(|_, a| !a.done || !a.out.is_empty());
     }
 }
 
 #[test]
 fn the_rules_hold_on_random_legal_sequences() {
+    let run = |seed, change| Sequence::new(seed, change).run();
     for seed in 1..4 {
         run(seed, |_| {});
-        run(seed, |s| s.hedging_allowed = false);
-        run(seed, |s| s.lag_policy = LagPolicy::WaitThenReject(TimeDelta(100 * MS)));
-        run(seed, |s| (s.health_checks_allowed, s.cancellation_allowed) = (false, false));
-        run(seed, |s| s.max_attempts = 1);
+        run(seed, |settings| settings.hedging_allowed = false);
+        run(seed, |settings| settings.lag_policy = LagPolicy::WaitThenReject(TimeDelta(100 * MS)));
+        run(seed, |settings| {
+            settings.health_checks_allowed = false;
+            settings.cancellation_allowed = false;
+        });
+        run(seed, |settings| settings.max_attempts = 1);
     }
 }
--- a/crates/decisions/tests/routing/world.rs
+++ b/crates/decisions/tests/routing/world.rs
@@ -1,7 +1,8 @@
-//! A router with a scripted world around it.
+//! A router with scripted hosts and clients around it.
 
 use wheelpier_decisions::*;
 
+/// Microseconds of a millisecond.
 pub const MS: i64 = 1_000;
 
 pub struct World {
@@ -11,19 +12,19 @@
     attempts: std::collections::BTreeMap<RequestId, u32>,
 }
 
-pub fn class(freshness: Freshness, repeat: Idempotency) -> RequestClass {
+pub fn class(freshness: Freshness, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: TimeDelta(500 * MS),
         deadline: TimeDelta(2_000 * MS),
         priority_weight: 1.0,
         late_priority_weight: 0.2,
-        idempotency: repeat,
+        idempotency: idempotency,
         idempotency_key_window: TimeDelta(2_000 * MS),
         freshness,
     }
 }
 
-/// Class 0 any, 1 session, 2 bounded by 800 ms, 3 unsafe write, 4 fresh, 5 keyed write.
+/// Class 0 any, 1 session, 2 bounded by 800 ms, 3 write that must not be repeated, 4 fresh, 5 write with a key.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -38,7 +39,7 @@
     }
 }
 
-pub fn report(position: i64, role: Role) -> Option<LoadReport> {
+pub fn load_report(position: i64, role: Role) -> Option<LoadReport> {
     Some(LoadReport { position: Some(LogPosition(position)), role: Some(role) })
 }
 
@@ -52,12 +53,12 @@
         world
     }
 
-    /// The same with host 0 shown as primary and the others as replicas that have applied all but 10 ms.
-    pub fn known(settings: Settings, hosts: u32) -> Self {
+    /// The same with host 0 known as primary and the others as replicas that have applied all but 10 ms.
+    pub fn with_positions(settings: Settings, hosts: u32) -> Self {
         let mut world = Self::new(settings, hosts);
         for n in 0..hosts {
             let role = if n == 0 { Role::Primary } else { Role::Replica };
-            world.probed(n, report(world.now - if n == 0 { 0 } else { 10 * MS }, role));
+            world.health_checked(n, load_report(world.now - if n == 0 { 0 } else { 10 * MS }, role));
         }
         world
     }
@@ -68,12 +69,12 @@
         actions
     }
 
-    pub fn probed(&mut self, host: u32, report: Option<LoadReport>) -> Vec<Action> {
+    pub fn health_checked(&mut self, host: u32, report: Option<LoadReport>) -> Vec<Action> {
         let outcome = if report.is_some() { Outcome::Ok } else { Outcome::Timeout };
         self.event(Event::HealthChecked { host: HostId(host), outcome, latency: TimeDelta(MS), report })
     }
 
-    pub fn ask(&mut self, class: usize, since_write: Option<i64>) -> (RequestId, Vec<Action>) {
+    pub fn request(&mut self, class: usize, since_write: Option<i64>) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
         let since_write = since_write.map(TimeDelta);
@@ -82,7 +83,13 @@
         (id, actions)
     }
 
-    pub fn reply(&mut self, id: RequestId, host: u32, outcome: Outcome, role: Option<Role>) -> Vec<Action> {
+    pub fn end_next_attempt(
+        &mut self,
+        id: RequestId,
+        host: u32,
+        outcome: Outcome,
+        role: Option<Role>,
+    ) -> Vec<Action> {
         let attempt = self.attempts.entry(id).or_insert(0);
         let number = *attempt;
         *attempt += 1;
@@ -100,8 +107,8 @@
         }))
     }
 
-    /// The end of a certain attempt; where it was served, with a position that stands well.
-    pub fn attempt(
+    /// Ends the attempt of this number after so many microseconds; one that was served tells a recent position.
+    pub fn end_attempt(
         &mut self,
         id: RequestId,
         number: u32,
@@ -124,8 +131,8 @@
         }))
     }
 
-    /// Lets time pass in steps of 10 ms with the timer ringing.
-    pub fn wait(&mut self, ms: i64) -> Vec<Action> {
+    /// Lets time pass in steps of 10 ms, with a timer event at each.
+    pub fn advance_ms(&mut self, ms: i64) -> Vec<Action> {
         let mut all = Vec::new();
         for _ in 0..ms / 10 {
             self.now += 10 * MS;
@@ -135,7 +142,7 @@
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<u32> {
+pub fn forwarded_to(actions: &[Action]) -> Vec<u32> {
     let host = |a: &Action| match a {
         Action::Forward { host, .. } => Some(host.0),
         _ => None,
@@ -143,7 +150,7 @@
     actions.iter().filter_map(host).collect()
 }
 
-pub fn probes(actions: &[Action]) -> Vec<u32> {
+pub fn health_checks(actions: &[Action]) -> Vec<u32> {
     let host = |a: &Action| match a {
         Action::HealthCheck { host } => Some(host.0),
         _ => None,
@@ -151,6 +158,6 @@
     actions.iter().filter_map(host).collect()
 }
 
-pub fn finals(actions: &[Action]) -> Vec<&Action> {
+pub fn endings(actions: &[Action]) -> Vec<&Action> {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).collect()
 }
