--- a/crates/decisions/tests/routing/large_fleet_failures.rs
+++ b/crates/decisions/tests/routing/large_fleet_failures.rs
@@ -183,8 +183,7 @@
 #[test]
 fn a_write_checks_the_known_primary_without_the_interval_of_many_routers() {
     let lag_policy = LagPolicy::WaitThenReject(TimeDelta(100 * MS));
-    let mut world =
-        World::with_positions(Settings { router_count: 400, lag_policy: lag_policy, ..settings() }, 2);
+    let mut world = World::with_positions(Settings { router_count: 400, lag_policy, ..settings() }, 2);
     for _ in 0..3 {
         world.now += 1_200 * MS;
         assert_eq!(health_checks(&world.request(3, None).1), [0]);
@@ -196,7 +195,7 @@
 #[test]
 fn an_unknown_replica_is_tried_where_it_checks_reads() {
     let lag_policy = LagPolicy::WaitThenReject(TimeDelta(100 * MS));
-    let mut world = World::new(Settings { lag_policy: lag_policy, ..settings() }, 3);
+    let mut world = World::new(Settings { lag_policy, ..settings() }, 3);
     world.health_checked(0, load_report(world.now, Role::Primary));
     assert!(matches!(forwarded_to(&world.request(2, None).1)[..], [1 | 2]));
 }
--- a/crates/decisions/tests/routing/random_sequences.rs
+++ b/crates/decisions/tests/routing/random_sequences.rs
@@ -79,7 +79,7 @@
         match self.random.below(8) {
             0..=2 => self.request(),
             3 => self.health_checked(),
-            4 if step % 40 == 0 => self.toggle_draining(),
+            4 if step.is_multiple_of(40) => self.toggle_draining(),
             5..=6 => self.end_random_attempt(),
             _ => Vec::new(),
         }
--- a/crates/decisions/tests/routing/rules.rs
+++ b/crates/decisions/tests/routing/rules.rs
@@ -214,7 +214,7 @@
 fn with_a_write_in_flight(lag_policy: LagPolicy) -> (World, RequestId) {
     let mut all = Settings {
         write_positions_tracked: true,
-        lag_policy: lag_policy,
+        lag_policy,
         load_reports: LoadReports::Off,
         health_checks_allowed: false,
         ..settings()
--- a/crates/decisions/tests/routing/world.rs
+++ b/crates/decisions/tests/routing/world.rs
@@ -18,7 +18,7 @@
         deadline: TimeDelta(2_000 * MS),
         priority_weight: 1.0,
         late_priority_weight: 0.2,
-        idempotency: idempotency,
+        idempotency,
         idempotency_key_window: TimeDelta(2_000 * MS),
         freshness,
     }
