--- /dev/null
+++ b/adapter/src/wire/actions.rs
@@ -0,0 +1,52 @@
+//! A router's actions, written as the simulator's messages.
+
+use super::instance::Instance;
+use std::fmt::Write;
+use wheelpier_decisions::Action;
+
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// Appends the message of an action to the reply.
+pub fn write(reply: &mut String, router: &str, instance: &mut Instance, action: Action) {
+    // Writing to a string cannot fail.
+    let _ = write_message(reply, router, instance, &action);
+    match action {
+        Action::Forward { id, .. } => instance.attempt_sent(id),
+        Action::Reject { id, .. } | Action::Fail { id } => {
+            instance.request_finished(id);
+            instance.forget_if_done(id);
+        }
+        _ => {}
+    }
+}
+
+fn write_message(out: &mut String, router: &str, instance: &Instance, action: &Action) -> std::fmt::Result {
+    match action {
+        Action::Forward { id, host, timeout, .. } => {
+            let (name, host) = (instance.request_name(*id), instance.host_name(*host));
+            let timeout = timeout.map_or("0".to_owned(), |timeout| seconds(timeout.0).to_string());
+            writeln!(out, "attempt\t{router}\t{name}\t{host}\t{timeout}")
+        }
+        Action::Reject { id, retry_after } => {
+            let wait = retry_after.map_or(0.0, |wait| seconds(wait.0));
+            writeln!(out, "say_no\t{router}\t{}\t{wait}", instance.request_name(*id))
+        }
+        Action::Fail { id } => writeln!(out, "fail\t{router}\t{}", instance.request_name(*id)),
+        Action::CancelAttempt { id, attempt } => {
+            writeln!(out, "drop_attempt\t{router}\t{}\t{attempt}", instance.request_name(*id))
+        }
+        Action::HealthCheck { host } => writeln!(out, "check\t{router}\t{}", instance.host_name(*host)),
+        Action::CloseIdleConnections { host } => {
+            writeln!(out, "let_go\t{router}\t{}", instance.host_name(*host))
+        }
+        Action::SetTimer { at, token } => writeln!(out, "wake_at\t{router}\t{}\t{token}", seconds(at.0)),
+        Action::WatchEndpoints(on) => writeln!(out, "listen\t{router}\t{}", u8::from(*on)),
+        Action::FetchEndpoints => writeln!(out, "query_all\t{router}"),
+        Action::Log(line) => writeln!(out, "print\t{router}\t{line}"),
+    }
+}
+
+fn seconds(micros: i64) -> f64 {
+    micros as f64 / MICROS_PER_SECOND
+}
