--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use base64::{engine::general_purpose::STANDARD, Engine};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
-use wheelpier_decisions::settings::{self, micros, Reading};
+use wheelpier_decisions::settings::{self, micros_from_seconds, ReportFormat};
 use wheelpier_decisions::{
     Action, AttemptResult, EndpointEntry, EndpointUpdate, Event, HostId, HostState, LoadReport, LogPosition,
     Outcome, Request, RequestId, Role, Router, SessionId, TimeDelta, Timestamp,
@@ -89,7 +89,7 @@
     }
 
     fn seconds(&mut self, field: &str) -> Result<TimeDelta, String> {
-        self.number(field).map(|s| TimeDelta(micros(s)))
+        self.number(field).map(|s| TimeDelta(micros_from_seconds(s)))
     }
 
     fn flag(&mut self, field: &str) -> Result<bool, String> {
@@ -116,7 +116,7 @@
 
 struct Instance {
     router: Router,
-    reading: Reading,
+    report_format: ReportFormat,
     hosts: HashMap<String, HostId>,
     host_names: Vec<String>,
     requests: HashMap<String, RequestId>,
@@ -145,7 +145,7 @@
 
     fn report(&self, text: Option<&str>, f: &Fields) -> Result<Option<LoadReport>, String> {
         let Some(text) = text else { return Ok(None) };
-        let mut values = Vec::with_capacity(self.reading.fields);
+        let mut values = Vec::with_capacity(self.report_format.field_count);
         for value in text.split(',') {
             let value = match value {
                 "-" | "" => None,
@@ -159,10 +159,11 @@
         }
         let value = |place: Option<usize>| place.and_then(|n| values.get(n).copied().flatten());
         // Whole microseconds, rounded down: a position is a lower bound.
-        let position = value(self.reading.position_field)
-            .map(|s| LogPosition(self.reading.zero + (s * 1e6).floor() as i64));
+        let position = value(self.report_format.position_field)
+            .map(|s| LogPosition(self.report_format.position_origin.0 + (s * 1e6).floor() as i64));
         let role =
-            value(self.reading.role_field).map(|x| if x >= 0.5 { Role::Primary } else { Role::Replica });
+            value(self.report_format.role_field)
+                .map(|x| if x >= 0.5 { Role::Primary } else { Role::Replica });
         Ok(Some(LoadReport { position, role }))
     }
 }
@@ -278,8 +279,10 @@
 
     fn row(&self, f: &mut Fields) -> Result<Row, String> {
         let weight = f.maybe_number("nominal")?.unwrap_or(1.0);
-        let online_since =
-            f.maybe_number("onlineSince")?.filter(|at| *at > 0.0).map(|at| Timestamp(micros(at)));
+        let online_since = f
+            .maybe_number("onlineSince")?
+            .filter(|at| *at > 0.0)
+            .map(|at| Timestamp(micros_from_seconds(at)));
         let _kind = f.maybe("kind")?;
         let zone = f.count("regionPart")?;
         let leader = f.maybe_number("leader")?.is_some_and(|x| x >= 0.5);
@@ -310,11 +313,12 @@
     fn init(&mut self, f: &mut Fields) -> Result<(), String> {
         let name = f.text("router")?.to_owned();
         let seed = f.whole("randomSeed")?;
-        let (settings, reading) = settings::read(f.last("params")?).map_err(|e| f.wrong("params", &e))?;
+        let (settings, report_format) =
+            settings::read(f.last("params")?).map_err(|e| f.wrong("params", &e.to_string()))?;
         let router = Router::new(settings, seed).map_err(|e| f.wrong("params", &e.to_string()))?;
         let instance = Instance {
             router,
-            reading,
+            report_format,
             hosts: HashMap::new(),
             host_names: Vec::new(),
             requests: HashMap::new(),
@@ -416,7 +420,7 @@
     let host = f.text("host")?;
     let code = f.whole("outcome")?;
     let outcome = outcome(code, f)?;
-    let latency = TimeDelta(micros(f.maybe_number("lag")?.unwrap_or(0.0)));
+    let latency = TimeDelta(micros_from_seconds(f.maybe_number("lag")?.unwrap_or(0.0)));
     let closed = f.flag("closed")?;
     let stamp = f.maybe_number("progress")?.unwrap_or(0.0) as i64;
     let stats = f.maybe("serverStats")?;
@@ -426,8 +430,9 @@
         2 => Some(Role::Replica),
         _ => None,
     };
-    let position =
-        Some(stamp >> 2).filter(|ms| *ms > 0).map(|ms| LogPosition(instance.reading.zero + ms * 1000));
+    let position = Some(stamp >> 2)
+        .filter(|ms| *ms > 0)
+        .map(|ms| LogPosition(instance.report_format.position_origin.0 + ms * 1000));
     let Some(&id) = instance.requests.get(handle) else { return Ok(None) };
     let host = instance.host(host);
     if let Some(name) = instance.names.get_mut(&id) {
@@ -451,7 +456,7 @@
     let host = f.text("host")?;
     let code = f.whole("outcome")?;
     let outcome = outcome(code, f)?;
-    let latency = TimeDelta(micros(f.maybe_number("lag")?.unwrap_or(0.0)));
+    let latency = TimeDelta(micros_from_seconds(f.maybe_number("lag")?.unwrap_or(0.0)));
     let stats = f.maybe("serverStats")?;
     let report = instance.report(stats, f)?;
     Ok(Event::HealthChecked { host: instance.host(host), outcome, latency, report })
--- /dev/null
+++ b/crates/decisions/src/interface/event.rs
@@ -0,0 +1,118 @@
+//! What the router is told.
+
+use super::endpoint::{EndpointEntry, EndpointUpdate, Role};
+use super::freshness::LogPosition;
+use super::id::{HostId, RequestId, SessionId};
+use super::outcome::Outcome;
+use crate::time::TimeDelta;
+
+/// A client's request that has arrived.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Request {
+    /// Its number.
+    pub id: RequestId,
+    /// Index of its class in [`Settings::classes`](super::Settings::classes).
+    pub class: usize,
+    /// The replication group that holds its data.
+    pub group: u32,
+    /// Index of its tenant in [`Settings::tenant_quotas`](super::Settings::tenant_quotas).
+    pub tenant: usize,
+    /// Time between the commit of the session's last write and the arrival of the request; `None` if the client
+    /// gives none.
+    pub time_since_write: Option<TimeDelta>,
+    /// Whether the client marked it as a retry of its own.
+    pub is_client_retry: bool,
+    /// How long the client waits for the answer, from the arrival on.
+    pub timeout: TimeDelta,
+    /// Its session, if its class has sessions.
+    pub session: Option<SessionId>,
+}
+
+impl Request {
+    /// Returns a first request of tenant 0 without a session, whose client waits `timeout_us` microseconds.
+    pub fn new(id: RequestId, class: usize, group: u32, timeout_us: i64) -> Self {
+        let timeout = TimeDelta(timeout_us);
+        Self {
+            id,
+            class,
+            group,
+            tenant: 0,
+            time_since_write: None,
+            is_client_retry: false,
+            timeout,
+            session: None,
+        }
+    }
+}
+
+/// What a host reports about itself; it may be some time old.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LoadReport {
+    /// The position that it had applied, if reported.
+    pub position: Option<LogPosition>,
+    /// Its role, if reported.
+    pub role: Option<Role>,
+}
+
+/// The end of an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptResult {
+    /// The request.
+    pub id: RequestId,
+    /// Index of the attempt among those of its request, from 0.
+    pub attempt: u32,
+    /// The host that it was sent to.
+    pub host: HostId,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// Time from the send to the end.
+    pub latency: TimeDelta,
+    /// Whether the request has ended, with this attempt or before.
+    pub request_closed: bool,
+    /// The applied position that the answer carries; for a write, the position of its commit.
+    pub position: Option<LogPosition>,
+    /// The host's role, if the answer carries it.
+    pub role: Option<Role>,
+    /// The load report that came with the answer.
+    pub report: Option<LoadReport>,
+}
+
+/// Something that happened; given to the router with the time at which it did.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Event {
+    /// A watch event of the endpoint list, with its entries.
+    EndpointList(EndpointUpdate, Vec<EndpointEntry>),
+    /// A client's request arrived; one final answer is due from now on.
+    RequestArrived(Request),
+    /// An attempt ended.
+    AttemptEnded(AttemptResult),
+    /// A health check ended.
+    HealthChecked {
+        /// The host that was checked.
+        host: HostId,
+        /// How the check ended.
+        outcome: Outcome,
+        /// Time from the send to the end.
+        latency: TimeDelta,
+        /// The load report that came with the answer.
+        report: Option<LoadReport>,
+    },
+    /// The client of a request disconnected; no answer is due any more.
+    ClientDisconnected(RequestId),
+    /// The answer of a streamed request began: neither its timeout nor its deadline holds any more.
+    ResponseStarted {
+        /// The request.
+        id: RequestId,
+        /// Index of the attempt among those of its request, from 0.
+        attempt: u32,
+    },
+    /// A timer fired that [`Action::SetTimer`](super::Action::SetTimer) had set with this token.
+    Timer(u64),
+    /// A message from another router arrived.
+    PeerMessage {
+        /// Index of the sender.
+        from: u32,
+        /// Its bytes.
+        data: Vec<u8>,
+    },
+}
--- /dev/null
+++ b/crates/decisions/src/interface/freshness.rs
@@ -0,0 +1,78 @@
+//! Positions in the replication log, and how recent the data behind an answer has to be.
+
+use crate::time::{TimeDelta, Timestamp};
+
+/// A log position: the point in time, in microseconds, up to which every commit is applied.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct LogPosition(pub i64);
+
+/// How recent the data behind the answers of a request class has to be.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Freshness {
+    /// A write: only the primary accepts it.
+    Write,
+    /// A read that sees every commit made before the request arrived.
+    Fresh,
+    /// A read that sees the writes of its session.
+    Session,
+    /// A read from data no older than this when the attempt is sent.
+    Bounded(TimeDelta),
+    /// A read from data of any age.
+    Any,
+}
+
+impl Freshness {
+    /// Returns whether only the primary can serve the class.
+    pub fn needs_primary(self) -> bool {
+        matches!(self, Self::Write | Self::Fresh)
+    }
+}
+
+/// How recent the data behind the answer of one request has to be.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum ReadRequirement {
+    /// Data of any age.
+    #[default]
+    Any,
+    /// All commits up to that position.
+    AtLeast(LogPosition),
+    /// All commits up to so long before the last byte of the request was written.
+    MaxStaleness(TimeDelta),
+}
+
+impl ReadRequirement {
+    /// Returns what a class requires of a request whose session wrote last at `session_position`;
+    /// `i64::MIN` stands for a session without writes.
+    pub fn for_class(freshness: Freshness, session_position: LogPosition) -> Self {
+        match freshness {
+            Freshness::Bounded(bound) => Self::MaxStaleness(bound),
+            _ if session_position.0 == i64::MIN => Self::Any,
+            _ => Self::AtLeast(session_position),
+        }
+    }
+
+    /// Returns the position that a host must have applied for a request written at `written`: the lowest of all
+    /// where data of any age will do.
+    pub fn required_position(self, written: Timestamp) -> LogPosition {
+        match self {
+            Self::Any => LogPosition(i64::MIN),
+            Self::AtLeast(position) => position,
+            Self::MaxStaleness(bound) => LogPosition(written.0 - bound.0),
+        }
+    }
+
+    /// Returns whether an answer that carries the position `answered` is recent enough for a request written at
+    /// `written`. An answer without a position is so only where data of any age will do.
+    pub fn is_met_by(self, answered: Option<LogPosition>, written: Timestamp) -> bool {
+        self == Self::Any || answered.is_some_and(|answered| answered >= self.required_position(written))
+    }
+
+    /// Returns until when a request may be written to a host that is known to have applied the position `applied`;
+    /// `None` where no time limit follows.
+    pub fn latest_write(self, applied: LogPosition) -> Option<Timestamp> {
+        match self {
+            Self::MaxStaleness(bound) => Some(Timestamp(applied.0.saturating_add(bound.0))),
+            _ => None,
+        }
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/interface/id.rs
@@ -0,0 +1,26 @@
+//! Identifiers of hosts, requests and client sessions.
+
+/// A database host, numbered by the caller; the number of one host never changes.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct HostId(pub u32);
+
+/// A request, numbered by the caller; numbers are not reused.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RequestId(pub u64);
+
+/// A client session, as a hash of its key.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct SessionId(pub u64);
+
+/// Start value of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Multiplier of the 64-bit FNV-1a hash.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+impl SessionId {
+    /// Returns the identifier of the session with this key: its FNV-1a hash, the same in every process.
+    pub fn of(key: &str) -> Self {
+        let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+        Self(key.bytes().fold(FNV_OFFSET_BASIS, step))
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/interface/outcome.rs
@@ -0,0 +1,26 @@
+//! How attempts and health checks end.
+
+/// How an attempt or a health check ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Outcome {
+    /// Answered; the answer goes to the client.
+    Ok,
+    /// The host answered with an error; the request may have been executed.
+    Error,
+    /// The host had no capacity; the request was not executed.
+    Overloaded,
+    /// No answer within the attempt's timeout; the request may have been executed, or may still be.
+    Timeout,
+    /// No connection to the host was established; the request was not executed.
+    ConnectFailed,
+    /// The connection broke after the request had been written; it may have been executed.
+    Reset,
+    /// The router cancelled the attempt; the request may have been executed.
+    Cancelled,
+    /// The attempt was withdrawn before its host had it; the request was not executed.
+    NotSent,
+    /// The host is too far behind, or is not the primary; the request was not executed.
+    Misdirected,
+    /// Answered from data older than the request allows: executed, and the answer withheld from the client.
+    Stale,
+}
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -6,7 +6,6 @@
 #![warn(missing_docs)]
 
 pub mod budget;
-pub mod check;
 pub mod drain;
 pub mod interface;
 pub mod load;
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -7,9 +7,9 @@
 mod health;
 mod rebase;
 
-use crate::check::check;
 use crate::interface::*;
 use crate::load::{Crowd, Faded, Group, Pace, Rest};
+use crate::settings::validate;
 use crate::state::host_clock::AHEAD_US;
 use crate::state::session_positions::SessionPositions;
 use std::collections::{BTreeMap, BTreeSet};
@@ -185,7 +185,7 @@
     /// # Errors
     /// When a setting is not sensible; the error names it.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        check(&settings)?;
+        validate(&settings)?;
         Ok(Self {
             pace: settings.classes.iter().map(|c| Pace::of(c.latency_objective)).collect(),
             asked: settings.tenant_quotas.clone(),
@@ -236,7 +236,7 @@
         }
         let held = self.open.values().any(|open| open.out == 0);
         // What is out is looked after at leisure: hundreds of routers must not live on timers.
-        let after = if held { LOOK_US } else { self.s.shortest_latency_objective() / 8 };
+        let after = if held { LOOK_US } else { self.s.shortest_latency_objective().0 / 8 };
         let at = Timestamp(now.0 + after.max(self.s.timer_resolution.0));
         if (!self.open.is_empty() || self.watch_again.is_some()) && self.look_at.is_none_or(|old| at < old) {
             self.look_at = Some(at);
@@ -533,7 +533,7 @@
         let wait = self.s.replica_lag_wait()?;
         // An old host that was never heard of is as likely as any: a wrong guess costs a miss.
         let unheard = host.heard.is_none() && host.started.is_none();
-        let likely = unheard || self.likely(host).0.saturating_add(wait / 2) >= need.0;
+        let likely = unheard || self.likely(host).0.saturating_add(wait.0 / 2) >= need.0;
         match likely && !self.is_primary(host) {
             true => Some(Fit::Likely),
             false if self.s.can_health_check() => None,
@@ -676,7 +676,7 @@
     fn freezes(&self, class: usize) -> bool {
         let class = &self.s.classes[class];
         class.freshness == Freshness::Any
-            && class.latency_objective.0 / 4 > self.s.shortest_latency_objective()
+            && class.latency_objective.0 / 4 > self.s.shortest_latency_objective().0
     }
 
     /// Sends what is held for a group, the most worth for its work first.
@@ -906,7 +906,7 @@
         let gap = match self.primary(host.group) {
             Some(primary) if primary == id || self.s.replica_lag_wait().is_none() => PROBE_GAP_US,
             Some(_) => gap,
-            None => gap.min(self.s.shortest_latency_objective()),
+            None => gap.min(self.s.shortest_latency_objective().0),
         };
         let now = self.now;
         let early = host.heard == Some(now) || host.probed.is_some_and(|at| now.0 - at.0 < gap);
--- a/crates/testbench/src/fleet.rs
+++ b/crates/testbench/src/fleet.rs
@@ -96,7 +96,8 @@
 /// # Errors
 /// When the settings cannot be read or no router takes them; the text says why.
 pub fn play(day: Day) -> Result<Tally, String> {
-    let (mut settings, _) = settings::read(&day.spec.settings(day.rate).to_string())?;
+    let settings = settings::read(&day.spec.settings(day.rate).to_string());
+    let (mut settings, _) = settings.map_err(|error| error.to_string())?;
     settings.router_count = day.routers as u32;
     (day.tune)(&mut settings);
     let hosts = day.spec.groups * day.spec.members;
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -13,7 +13,7 @@
 use crate::pgwire;
 use crate::pipeline;
 use crate::protocol::Protocol;
-use crate::settings::{self, Reading};
+use crate::settings::{self, ReportFormat};
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -124,7 +124,7 @@
     /// The module's settings.
     pub settings: Settings,
     /// How reports and stamps are read.
-    pub reading: Reading,
+    pub report_format: ReportFormat,
     /// Names of classes, tenants and zones.
     pub names: Names,
     /// A connection to a ledger host comes up within this time or has failed.
@@ -344,10 +344,11 @@
         let console = console.map(|(text, key)| address(&text, key)).transpose()?;
         let seed = seed(file.seed.as_ref())?;
         let text = file.settings.to_string();
-        let (mut settings, reading) = settings::read(&text).map_err(|e| wrong("settings", e))?;
+        let (mut settings, report_format) = settings::read(&text).map_err(|e| wrong("settings", e))?;
         settings.responses_verified =
             settings.responses_carry_position && settings.lag_policy == LagPolicy::ServeStale;
-        crate::check::check(&settings).map_err(|e| wrong(&format!("settings.{}", e.key), e.problem))?;
+        settings::validate(&settings)
+            .map_err(|error| wrong(&format!("settings.{}", error.key), error.problem))?;
         let more: SettingsNames = serde_json::from_value(file.settings).map_err(|e| wrong("settings", e))?;
         let seconds = |key: &str, value: f64| match Duration::try_from_secs_f64(value) {
             Ok(span) if !span.is_zero() => Ok(span),
@@ -408,7 +409,7 @@
             operator: Operator::default(),
             known: known.filter(|list| list.entries.iter().any(|e| e.state != HostState::Removed)),
             settings,
-            reading,
+            report_format,
             names,
             connect_timeout: seconds("settings.limits.connectTimeout", more.limits.connect_timeout)?,
             // Two thirds: a request written as the host closes would end as a reset.
