--- a/adapter/src/wire/fields.rs
+++ b/adapter/src/wire/fields.rs
@@ -1,7 +1,7 @@
 //! The fields of one line: separated by tabs, taken in order, each read as what its place in the message demands.
 
 use super::error::WireError;
-use wheelpier_decisions::settings::micros;
+use wheelpier_decisions::settings::micros_from_seconds;
 use wheelpier_decisions::TimeDelta;
 
 /// The fields of one message that are not taken yet.
@@ -97,7 +97,7 @@
 
     /// Takes a time in seconds.
     pub fn seconds(&mut self, field: &'static str) -> Result<TimeDelta, WireError> {
-        self.number(field).map(|seconds| TimeDelta(micros(seconds)))
+        self.number(field).map(|seconds| TimeDelta(micros_from_seconds(seconds)))
     }
 
     /// Takes a truth value; false where it is absent.
