--- a/crates/decisions/src/routing/eligibility.rs
+++ b/crates/decisions/src/routing/eligibility.rs
@@ -113,10 +113,10 @@
     if host.applied_position >= required && !is_primary {
         return Ok(Eligibility::CaughtUp);
     }
-    let lag_wait_us = context.settings.replica_lag_wait().ok_or(Ineligible::Behind)?;
+    let lag_wait = context.settings.replica_lag_wait().ok_or(Ineligible::Behind)?;
     // A host that has been up for long and never responded is as likely to have caught up as any.
     let is_unknown = host.position_observed_at.is_none() && host.started_at.is_none();
-    let soon = likely_position(host, context.now).0.saturating_add(lag_wait_us / 2);
+    let soon = likely_position(host, context.now).0.saturating_add(lag_wait.0 / 2);
     if (is_unknown || soon >= required.0) && !is_primary {
         return Ok(Eligibility::LikelyCaughtUp);
     }
--- a/crates/decisions/src/routing/health_check.rs
+++ b/crates/decisions/src/routing/health_check.rs
@@ -41,7 +41,7 @@
     match context.primary(host.group) {
         Some((primary, _)) if primary == id || settings.replica_lag_wait().is_none() => MIN_INTERVAL,
         Some(_) => fleet_interval,
-        None => fleet_interval.min(TimeDelta(settings.shortest_latency_objective())),
+        None => fleet_interval.min(settings.shortest_latency_objective()),
     }
 }
 
--- a/crates/decisions/src/routing/mod.rs
+++ b/crates/decisions/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Routing of requests to hosts. Its events and actions are in `src/interface.rs`.
+//! Routing of requests to hosts. Its events and actions are in `src/interface/`.
 //!
 //! This file holds the state of one router and dispatches its events; `dispatch` carries out what the rules
 //! decide. Each rule has a file of its own:
@@ -40,8 +40,8 @@
 mod selection;
 mod slow_start;
 
-use crate::check::check;
 use crate::interface::*;
+use crate::settings::validate;
 use crate::state::session_positions::SessionPositions;
 use admission::{Admission, Decision};
 use context::{serving_role, Context};
@@ -94,7 +94,7 @@
     /// # Errors
     /// If a setting is not sensible; the error names it.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        check(&settings)?;
+        validate(&settings)?;
         Ok(Self {
             random_state: seed ^ 0x9E37_79B9_7F4A_7C15,
             now: Timestamp(0),
--- a/crates/decisions/src/routing/queue.rs
+++ b/crates/decisions/src/routing/queue.rs
@@ -120,7 +120,7 @@
     let is_any_waiting = requests.waiting().next().is_some();
     let interval = match is_any_waiting {
         true => CHECK_INTERVAL,
-        false => TimeDelta(context.settings.shortest_latency_objective() / IN_FLIGHT_CHECKS_PER_OBJECTIVE),
+        false => TimeDelta(context.settings.shortest_latency_objective().0 / IN_FLIGHT_CHECKS_PER_OBJECTIVE),
     };
     interval.max(context.settings.timer_resolution)
 }
--- a/crates/decisions/src/routing/selection.rs
+++ b/crates/decisions/src/routing/selection.rs
@@ -19,9 +19,9 @@
 const BLOCKING_READ_SHARE: usize = 3;
 /// A read with an objective more than so many times the shortest one blocks replication.
 const BLOCKING_OBJECTIVE_MULTIPLE: i64 = 4;
-/// The estimated latency of a host is scaled at random by between these two factors' ends, so that equals
-/// share.
+/// Least random factor of a host's expected latency; the factor lets equal hosts share the requests.
 const RANDOM_FACTOR_MIN: f64 = 0.75;
+/// Difference between the least and the largest random factor.
 const RANDOM_FACTOR_SPAN: f64 = 0.5;
 /// Salt of the random number by which a request leaves out an overloaded host.
 const OVERLOAD_SALT: u64 = 2;
@@ -215,7 +215,7 @@
     let class = context.class(request);
     let objective_us = class.latency_objective.0;
     class.freshness == Freshness::Any
-        && objective_us / BLOCKING_OBJECTIVE_MULTIPLE > context.settings.shortest_latency_objective()
+        && objective_us / BLOCKING_OBJECTIVE_MULTIPLE > context.settings.shortest_latency_objective().0
 }
 
 /// Returns whether the host is left out for this request, where one request of each of many routers is too
--- a/crates/decisions/tests/routing/source_files.rs
+++ b/crates/decisions/tests/routing/source_files.rs
@@ -29,9 +29,9 @@
 }
 
 #[test]
-fn the_router_names_the_file_of_its_events_and_actions_first() {
+fn the_router_names_the_folder_of_its_events_and_actions_first() {
     let text = include_str!("../../src/routing/mod.rs");
-    assert!(text.lines().take(3).any(|line| line.contains("src/interface.rs")));
+    assert!(text.lines().take(3).any(|line| line.contains("src/interface/")));
 }
 
 #[test]
