--- a/crates/decisions/src/load/circuit_breaker.rs
+++ b/crates/decisions/src/load/circuit_breaker.rs
@@ -5,7 +5,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The ejection time is doubled at most so many times.
+/// Largest number of doublings of the ejection time.
 const MAX_DOUBLINGS: u32 = 6;
 /// Failures in a row from which on the host itself is at fault; fewer may be faults of single connections.
 const REPEATED_FAILURES: u32 = 3;
--- a/crates/decisions/src/load/group_latency.rs
+++ b/crates/decisions/src/load/group_latency.rs
@@ -10,7 +10,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The average over all groups weighs as much as so many responses of the group itself.
+/// Weight of the average over all groups, as a number of responses of the group itself.
 const FLEET_SAMPLES: f64 = 3.0;
 
 /// Recent responses of one role in one group.
--- a/crates/decisions/src/routing/admission.rs
+++ b/crates/decisions/src/routing/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which requests are admitted under overload, and what a request is worth.
+//! Admission: which requests are admitted under overload, and the priority of a request.
 
 use super::context::{serving_role, Context};
 use super::load_estimates::SAMPLE_WEIGHT;
--- a/crates/decisions/src/routing/clock_shift.rs
+++ b/crates/decisions/src/routing/clock_shift.rs
@@ -13,7 +13,7 @@
         if shift_us < 0 {
             // Commits that are remembered look older now than they are.
             self.sessions.shift(-shift_us);
-            let requests = self.requests.requests.values_mut();
+            let requests = self.requests.iter_mut();
             for request in requests.filter(|request| request.minimum_position != NO_POSITION) {
                 request.minimum_position = request.minimum_position.max(LogPosition(now.0));
             }
--- a/crates/decisions/src/routing/concurrency_limit.rs
+++ b/crates/decisions/src/routing/concurrency_limit.rs
@@ -16,7 +16,7 @@
 /// Factor of the limit on a fast response at a limit that is nearly used.
 const INCREASE_FACTOR: f64 = 1.05;
 
-/// Returns the limit of a host that is new to one of so many routers.
+/// Returns the limit of a new host, where `router_count` routers share it.
 pub(super) fn initial_limit(router_count: u32) -> f64 {
     (MAX_LIMIT / f64::from(router_count)).max(MIN_INITIAL_LIMIT)
 }
--- a/crates/decisions/src/routing/dispatch.rs
+++ b/crates/decisions/src/routing/dispatch.rs
@@ -88,7 +88,7 @@
     pub(super) fn forward(&mut self, id: RequestId, host_id: HostId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let requirement = freshness::requirement(self.context(), request);
-        let Some(request) = self.requests.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let Some(host) = self.hosts.get_mut(host_id) else { return };
         let hosts_check_reads = self.settings.replica_lag_wait().is_some();
         let is_checked = hosts_check_reads || host.is_primary();
@@ -108,7 +108,7 @@
         }
         let sent_at = self.now;
         let attempt = Attempt { host: host_id, class, sent_at, response_started: false, tracked_write };
-        self.requests.attempts.insert((id, number), attempt);
+        self.requests.insert_attempt(id, number, attempt);
         actions.push(Action::Forward { id, host: host_id, timeout: None, requirement, write_by });
     }
 
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Rejects a request and tells its client when to come again.
+    /// Rejects a request, with Retry-After if that is allowed.
     pub(super) fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let retry_after = queue::retry_after(self.context(), request);
@@ -154,7 +154,7 @@
 
     /// Forgets a request that has ended, and cancels its attempts in flight.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let was_pending = self.requests.requests.remove(&id).is_some();
+        let was_pending = self.requests.remove(id);
         if was_pending && self.settings.cancellation_allowed {
             for (attempt, _) in self.requests.attempts_of(id) {
                 actions.push(Action::CancelAttempt { id, attempt });
--- a/crates/decisions/src/routing/eligibility.rs
+++ b/crates/decisions/src/routing/eligibility.rs
@@ -10,12 +10,12 @@
 /// A primary that responded longer ago than this may have failed over: it is checked before a write that
 /// must not be repeated.
 const PRIMARY_EVIDENCE_MAX_AGE: TimeDelta = TimeDelta::from_secs(1);
-/// A host that rejected a write gets none for so long: a handover takes longer than all attempts of a
+/// A host that rejected a write gets none for this time: a handover takes longer than all attempts of a
 /// request.
 const WRITE_REJECTED_FOR: TimeDelta = TimeDelta::from_millis(120);
 /// A host that did not suit a request is tried without evidence again only after this.
 const UNVERIFIED_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(300);
-/// A read is sent to at most so many hosts that turn out to be behind.
+/// A read is not sent unverified any more once this number of hosts turned out to be behind.
 const MAX_REJECTED_AS_BEHIND: usize = 2;
 
 /// On what evidence a host may take a request, in order of preference.
--- a/crates/decisions/src/routing/health_check.rs
+++ b/crates/decisions/src/routing/health_check.rs
@@ -10,7 +10,7 @@
 
 /// A host is not checked again sooner: load reports are not renewed much faster.
 const MIN_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
-/// A read waits for a health check at most so long.
+/// Longest time that a read waits for a health check.
 const MAX_WAIT: TimeDelta = TimeDelta(2 * CHECK_INTERVAL.0);
 
 /// Whether a read waits for a health check.
@@ -24,10 +24,8 @@
     Start(HostId),
 }
 
-/// Returns whether a health check of the host may be started now. One of many routers checks a host less
-/// often, or a failover would cause a storm of checks. But while no primary is known it checks once in the
-/// shortest latency objective, and the primary, or where only a health check lets a read go, at the least
-/// interval: waiting longer loses the request.
+/// Returns whether a health check of the host may be started now: none is in flight, the host was not
+/// observed at this very time, and the minimum interval since the last check has passed.
 pub(super) fn is_due(context: Context<'_>, id: HostId, host: &Host) -> bool {
     let just_observed = host.position_observed_at == Some(context.now);
     let interval = min_interval(context, id, host);
@@ -35,6 +33,10 @@
     !host.health_check_in_flight && !just_observed && !just_checked
 }
 
+/// Returns the minimum time between two checks of the host. It grows with the number of routers, since a
+/// failover would otherwise cause a storm of checks. While no primary is known it is at most the shortest
+/// latency objective, as a request that waits longer is lost. The primary itself, and every host where
+/// replicas do not check reads, has the least interval: there only a check releases the request.
 fn min_interval(context: Context<'_>, id: HostId, host: &Host) -> TimeDelta {
     let settings = context.settings;
     let fleet_interval = TimeDelta((MIN_INTERVAL.0 as f64 * settings.fleet_size_factor()) as i64);
--- a/crates/decisions/src/routing/idle_connections.rs
+++ b/crates/decisions/src/routing/idle_connections.rs
@@ -4,7 +4,7 @@
 use super::context::Context;
 use crate::interface::{Action, AttemptResult, Outcome, TimeDelta, Timestamp};
 
-/// So long after a host took no connection, each connection is closed after its response.
+/// For this time after a host took no connection, each connection is closed after its response.
 const CONNECTION_PRESSURE_WINDOW: TimeDelta = TimeDelta::from_secs(3);
 
 /// Connection pressure at the hosts.
--- a/crates/decisions/src/routing/mod.rs
+++ b/crates/decisions/src/routing/mod.rs
@@ -19,6 +19,10 @@
 //! | When is a host asked for its position and role? | `health_check` |
 //! | When are idle connections closed? | `idle_connections` |
 //! | What follows from a correction of the hosts' clock? | `clock_shift` |
+//!
+//! Why was a request rejected? On its arrival `Admission::decide` says so, later `queue::give_up_reason`.
+//! Why does it wait? `eligibility` says why a host may not take it, `selection` why an eligible one is
+//! passed over.
 
 mod admission;
 mod clock_shift;
@@ -153,7 +157,7 @@
     /// Sets the timer if requests are pending or the endpoint list is to be watched, and it is not set
     /// earlier already.
     fn schedule_check(&mut self, actions: &mut Vec<Action>) {
-        let is_idle = self.requests.requests.is_empty() && self.timers.next_watch.is_none();
+        let is_idle = self.requests.is_empty() && self.timers.next_watch.is_none();
         if is_idle {
             return;
         }
@@ -203,7 +207,7 @@
         let context =
             Context { settings: &self.settings, now: self.now, hosts: &self.hosts, load: &self.load };
         let decision = self.admission.decide(context, &pending);
-        self.requests.requests.insert(request.id, pending);
+        self.requests.insert(request.id, pending);
         if decision == Decision::ShedLoad {
             self.reject(request.id, actions);
             return;
@@ -236,13 +240,13 @@
 
     /// A response that has begun belongs to the client: its attempt is not hedged any more.
     fn on_response_started(&mut self, id: RequestId, number: u32) {
-        if let Some(attempt) = self.requests.attempts.get_mut(&(id, number)) {
+        if let Some(attempt) = self.requests.attempt_mut(id, number) {
             attempt.response_started = true;
         }
     }
 
     fn on_attempt_ended(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
-        let Some(attempt) = self.requests.attempts.remove(&(result.id, result.attempt)) else { return };
+        let Some(attempt) = self.requests.remove_attempt(result.id, result.attempt) else { return };
         self.observe_result(result);
         if let Some(host) = self.hosts.get_mut(result.host) {
             let class = &self.settings.classes[attempt.class];
@@ -335,7 +339,7 @@
             actions.push(Action::WatchEndpoints(true));
         }
         self.eject_silent_hosts();
-        let ids: Vec<RequestId> = self.requests.requests.keys().copied().collect();
+        let ids: Vec<RequestId> = self.requests.ids().collect();
         for id in ids {
             self.give_up_if_due(id, actions);
             self.hedge_if_slow(id, actions);
--- a/crates/decisions/src/routing/outlier.rs
+++ b/crates/decisions/src/routing/outlier.rs
@@ -191,7 +191,7 @@
 /// Returns the hosts with overdue attempts and no response since. None if they are most of the busy hosts:
 /// then the cause is common to all, and no host is at fault.
 pub(super) fn silent_hosts(context: Context<'_>, requests: &PendingRequests) -> BTreeSet<HostId> {
-    let attempts = || requests.attempts.values();
+    let attempts = || requests.attempts();
     let is_overdue = |attempt: &Attempt| {
         let elapsed_us = (context.now - attempt.sent_at).0 as f64;
         elapsed_us > SILENT_LATENCY_MULTIPLE * context.load.classes[attempt.class].mean_us
--- a/crates/decisions/src/routing/queue.rs
+++ b/crates/decisions/src/routing/queue.rs
@@ -1,5 +1,4 @@
-//! The queue of requests that wait for a host: their order, when they are given up, and how their clients
-//! are told.
+//! The queue of requests that wait for a host: their order, when they are given up, and how they end then.
 
 use super::admission::priority_density;
 use super::context::Context;
@@ -9,19 +8,19 @@
 
 /// Waiting requests are examined this often: a small part of any latency objective.
 pub(super) const CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
-/// A waiting request is answered so long before its deadline: two checks and the way back to its client.
+/// A waiting request ends this long before its deadline: two checks and the way back to its client.
 pub(super) const RESPONSE_MARGIN: TimeDelta = TimeDelta::from_millis(25);
 /// Requests of a class that found no host after which the others of the class are not tried: bounds the
 /// processor time of a dispatch.
 pub(super) const MAX_UNPLACED_PER_CLASS: u32 = 16;
-/// Requests in flight are examined so many times within the shortest latency objective: timers of many
+/// Examinations of requests in flight within the shortest latency objective: few, since timers of many
 /// routers must not become a load.
 const IN_FLIGHT_CHECKS_PER_OBJECTIVE: i64 = 8;
 
 /// Why a waiting request is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GiveUpReason {
-    /// The latency objective cannot be met, and a late response is worth nothing.
+    /// The latency objective cannot be met, and a late response earns nothing.
     ObjectiveUnreachable,
     /// The client is about to stop waiting.
     DeadlineNear,
@@ -92,8 +91,8 @@
     }
 }
 
-/// Returns after which time a rejected client should come again, if it may be told: soon while there is
-/// time left for a response within the objective, else as late as allowed.
+/// Returns the delay after which a rejected client should send the request again, if the settings allow one:
+/// short while a response within the objective is still possible, else the longest allowed.
 pub(super) fn retry_after(context: Context<'_>, request: &PendingRequest) -> Option<TimeDelta> {
     let half_objective = TimeDelta(context.class(request).latency_objective.0 / 2);
     let longest = context.settings.max_retry_after;
--- a/crates/decisions/src/routing/request.rs
+++ b/crates/decisions/src/routing/request.rs
@@ -81,11 +81,19 @@
 /// The requests without a response and the attempts in flight, which may outlive their request.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests {
-    pub requests: BTreeMap<RequestId, PendingRequest>,
-    pub attempts: BTreeMap<(RequestId, u32), Attempt>,
+    requests: BTreeMap<RequestId, PendingRequest>,
+    attempts: BTreeMap<(RequestId, u32), Attempt>,
 }
 
 impl PendingRequests {
+    pub fn is_empty(&self) -> bool {
+        self.requests.is_empty()
+    }
+
+    pub fn ids(&self) -> impl Iterator<Item = RequestId> + '_ {
+        self.requests.keys().copied()
+    }
+
     pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
@@ -94,11 +102,41 @@
         self.requests.get_mut(&id)
     }
 
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut PendingRequest> + '_ {
+        self.requests.values_mut()
+    }
+
+    pub fn insert(&mut self, id: RequestId, request: PendingRequest) {
+        self.requests.insert(id, request);
+    }
+
+    /// Removes a request, but none of its attempts; returns whether it was pending.
+    pub fn remove(&mut self, id: RequestId) -> bool {
+        self.requests.remove(&id).is_some()
+    }
+
     /// Returns the requests that wait for a host.
     pub fn waiting(&self) -> impl Iterator<Item = (RequestId, &PendingRequest)> + '_ {
         self.requests.iter().filter(|(_, request)| request.is_waiting()).map(|(id, request)| (*id, request))
     }
 
+    /// Returns all attempts in flight.
+    pub fn attempts(&self) -> impl Iterator<Item = &Attempt> + '_ {
+        self.attempts.values()
+    }
+
+    pub fn attempt_mut(&mut self, id: RequestId, number: u32) -> Option<&mut Attempt> {
+        self.attempts.get_mut(&(id, number))
+    }
+
+    pub fn insert_attempt(&mut self, id: RequestId, number: u32, attempt: Attempt) {
+        self.attempts.insert((id, number), attempt);
+    }
+
+    pub fn remove_attempt(&mut self, id: RequestId, number: u32) -> Option<Attempt> {
+        self.attempts.remove(&(id, number))
+    }
+
     /// Returns the attempts of a request in flight, by number.
     pub fn attempts_of(&self, id: RequestId) -> impl Iterator<Item = (u32, &Attempt)> + '_ {
         let range = (id, 0)..=(id, u32::MAX);
--- a/crates/decisions/src/routing/selection.rs
+++ b/crates/decisions/src/routing/selection.rs
@@ -1,5 +1,4 @@
-//! Which of the eligible hosts gets a request, and which hosts are worth a health check if none is proven
-//! suitable.
+//! Which eligible host gets a request, and of which hosts a health check would help to place it.
 
 use super::context::Context;
 use super::eligibility::{eligibility, Eligibility};
@@ -15,9 +14,9 @@
 const UNKNOWN_PRIMARY_FRACTION: f64 = 0.5;
 /// Latency ratio of a host from which on one of many routers leaves it out for some of its reads.
 const HOST_OVERLOAD_RATIO: f64 = 0.2;
-/// At most one replica of so many takes the reads that block replication.
+/// One replica in this many takes the reads that block replication.
 const BLOCKING_READ_SHARE: usize = 3;
-/// A read with an objective more than so many times the shortest one blocks replication.
+/// A read whose objective exceeds this multiple of the shortest one blocks replication.
 const BLOCKING_OBJECTIVE_MULTIPLE: i64 = 4;
 /// Least random factor of a host's expected latency; the factor lets equal hosts share the requests.
 const RANDOM_FACTOR_MIN: f64 = 0.75;
--- a/crates/decisions/tests/routing/failures.rs
+++ b/crates/decisions/tests/routing/failures.rs
@@ -43,17 +43,7 @@
         let host = forwarded_to(&sent)[0];
         let stood = world.now - 10 * MS;
         world.now += 1_500 * MS;
-        world.event(Event::AttemptEnded(AttemptResult {
-            id,
-            attempt: 0,
-            host: HostId(host),
-            outcome: Outcome::Ok,
-            latency: TimeDelta(1_500 * MS),
-            request_closed: true,
-            position: Some(LogPosition(stood)),
-            role: Some(Role::Replica),
-            report: None,
-        }));
+        world.serve_first_attempt(id, host, 1_500 * MS, load_report(stood, Role::Replica));
     }
     for n in 0..5 {
         let role = if n == 0 { Role::Primary } else { Role::Replica };
@@ -98,22 +88,9 @@
         let mut world = World::with_positions(settings(), 2);
         for _ in 0..20 {
             let (id, sent) = world.request(0, None);
-            let host = HostId(forwarded_to(&sent)[0]);
+            let host = forwarded_to(&sent)[0];
             world.now += latency;
-            let position = Some(LogPosition(world.now));
-            let (outcome, latency, role) = (Outcome::Ok, TimeDelta(latency), Some(Role::Replica));
-            let reply = AttemptResult {
-                id,
-                attempt: 0,
-                host,
-                outcome,
-                latency,
-                request_closed: true,
-                position,
-                role,
-                report: None,
-            };
-            world.event(Event::AttemptEnded(reply));
+            world.serve_first_attempt(id, host, latency, load_report(world.now, Role::Replica));
         }
         let first: Vec<u32> = (0..40).flat_map(|_| forwarded_to(&world.request(0, None).1)).collect();
         first.iter().filter(|h| **h == 1).count()
@@ -306,20 +283,7 @@
         let written = of(key, key, 3, 0);
         let id = written.id;
         assert_eq!(forwarded_to(&world.event(Event::RequestArrived(written))), [0]);
-        let (host, position, role) = (HostId(0), Some(LogPosition(world.now)), Some(Role::Primary));
-        let (outcome, latency) = (Outcome::Ok, TimeDelta(50 * MS));
-        let reply = AttemptResult {
-            id,
-            attempt: 0,
-            host,
-            outcome,
-            latency,
-            request_closed: true,
-            position,
-            role,
-            report: None,
-        };
-        world.event(Event::AttemptEnded(reply));
+        world.serve_first_attempt(id, 0, 50 * MS, load_report(world.now, Role::Primary));
     }
     world.now += MS;
     let first = world.event(Event::RequestArrived(of(0, 40_000, 1, 0)));
--- a/crates/decisions/tests/routing/rules.rs
+++ b/crates/decisions/tests/routing/rules.rs
@@ -126,21 +126,8 @@
     world.health_checked(1, load_report(world.now - 5_000 * MS, Role::Replica));
     world.health_checked(1, load_report(world.now + 60_000 * MS, Role::Replica));
     let (id, sent) = world.request(0, None);
-    let host = HostId(forwarded_to(&sent)[0]);
-    let (position, role) = (Some(LogPosition(world.now + 60_000 * MS)), Some(Role::Replica));
-    let (outcome, latency) = (Outcome::Ok, TimeDelta(MS));
-    let reply = AttemptResult {
-        id,
-        attempt: 0,
-        host,
-        outcome,
-        latency,
-        request_closed: true,
-        position,
-        role,
-        report: None,
-    };
-    world.event(Event::AttemptEnded(reply));
+    let ahead = load_report(world.now + 60_000 * MS, Role::Replica);
+    world.serve_first_attempt(id, forwarded_to(&sent)[0], MS, ahead);
     world.now += 5_000 * MS;
     let (_, sent) = world.request(1, Some(MS));
     assert!(!forwarded_to(&sent).contains(&1), "{sent:?}");
--- a/crates/decisions/tests/routing/world.rs
+++ b/crates/decisions/tests/routing/world.rs
@@ -131,6 +131,27 @@
         }))
     }
 
+    /// Ends the first attempt of a request with a response that tells the position and role in `observed`.
+    pub fn serve_first_attempt(
+        &mut self,
+        id: RequestId,
+        host: u32,
+        latency_us: i64,
+        observed: Option<LoadReport>,
+    ) -> Vec<Action> {
+        self.event(Event::AttemptEnded(AttemptResult {
+            id,
+            attempt: 0,
+            host: HostId(host),
+            outcome: Outcome::Ok,
+            latency: TimeDelta(latency_us),
+            request_closed: true,
+            position: observed.and_then(|report| report.position),
+            role: observed.and_then(|report| report.role),
+            report: None,
+        }))
+    }
+
     /// Lets time pass in steps of 10 ms, with a timer event at each.
     pub fn advance_ms(&mut self, ms: i64) -> Vec<Action> {
         let mut all = Vec::new();
