--- a/crates/decisions/src/pipeline/mod.rs
+++ b/crates/decisions/src/pipeline/mod.rs
@@ -1,47 +1,37 @@
 //! The requests of one client connection whose answers are not written yet: which of them may run now, and by when each
 //! has to be answered.
 //!
-//! Answers are written in the order of their requests (PostgreSQL protocol 3, "Pipelining"), so a slow request holds up
-//! the answers behind it. Each request is therefore due at the earliest deadline among its own and those of all requests
-//! behind it, less the time that it takes to write the answers in between: the *effective* deadline. A request is given up
-//! at its effective deadline and never before, so it is not sacrificed while the requests behind it can still be met.
+//! Answers are written in the order of their requests (PostgreSQL protocol 3, "Pipelining"), so a slow request delays the
+//! answers behind it. Each request therefore has an *effective deadline*: the earliest deadline among its own and those of
+//! all requests behind it, less the time that it takes to write the answers in between. A request is given up at its
+//! effective deadline and never before, so that it is not sacrificed while the requests behind it can still be met.
 //!
-//! Requests run beside each other unless they conflict, which they do if they concern the same key of the same group and
-//! at least one of them writes: then they run in order, and a read sees the write that was sent ahead of it.
+//! Requests run concurrently unless they conflict ([`Access::conflicts_with`]): they concern the same key of the same group
+//! and at least one of them writes. Conflicting requests run in order, so a read sees the write that was sent ahead of it.
 //!
-//! No I/O and no clock: the caller reads requests, carries them out and writes the answers.
-
+//! No I/O and no clock: the caller reads requests, executes them and writes the answers.
+//!
+//! | file | decides |
+//! | --- | --- |
+//! | `mod.rs` | which request runs next, effective deadlines, the order of answers |
+//! | `access.rs` | which requests conflict |
+//! | `entry.rs` | the state of one request |
+//! | `limits.rs` | how much one connection may have in its pipeline |
+
+mod access;
+mod entry;
 mod limits;
 
-pub use limits::Limits;
+pub use access::Access;
+pub use limits::PipelineLimits;
 
-use crate::interface::{RequestId, SessionId, Timestamp};
+use crate::interface::{RequestId, Timestamp};
+use entry::{Entry, EntryState};
 use std::collections::VecDeque;
 
-/// The time that is kept for writing one answer, in microseconds: an encoder's pass over a value and one system call.
-const ANSWER_WRITE_US: i64 = 100;
-
-/// What a request reads or writes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Access {
-    /// The group that holds the key.
-    pub group: u32,
-    /// The key, as a hash.
-    pub key: SessionId,
-    /// Whether the request writes it.
-    pub write: bool,
-}
-
-impl Access {
-    /// Whether the effects of two requests depend on which of them runs first.
-    pub fn conflicts_with(self, other: Self) -> bool {
-        self.group == other.group && self.key == other.key && (self.write || other.write)
-    }
-}
-
 /// A request as the pipeline sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Demand {
+pub struct PipelinedRequest {
     /// Its number.
     pub id: RequestId,
     /// What it reads or writes, if it names a key: without one it conflicts with nothing.
@@ -54,235 +44,207 @@
 
 /// A request that is to run now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Started<R> {
+pub struct StartedRequest<R> {
     /// Its number.
     pub id: RequestId,
-    /// Whether requests ahead of it have no answer yet.
-    pub behind: bool,
+    /// Whether requests ahead of it have no written answer yet.
+    pub is_behind_others: bool,
     /// Its effective deadline as of now.
-    pub due: Timestamp,
+    pub effective_deadline: Timestamp,
     /// The request itself.
     pub request: R,
 }
 
 /// An effective deadline that has become earlier since the request was started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tightened {
+pub struct ShortenedDeadline {
     /// The request.
     pub id: RequestId,
     /// By when its answer is due now.
-    pub due: Timestamp,
+    pub effective_deadline: Timestamp,
 }
 
 /// An answer whose turn has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ready<A> {
-    /// The request that it answers; none for what was answered as it was read.
+pub struct ReadyAnswer<A> {
+    /// The request that it answers; `None` for what was answered as it was read.
     pub id: Option<RequestId>,
     /// The answer itself.
     pub answer: A,
 }
 
-#[derive(Debug)]
-enum State<R, A> {
-    Waiting(R),
-    Running { due: Timestamp },
-    Answered(A),
-}
-
-#[derive(Debug)]
-struct Entry<R, A> {
-    id: Option<RequestId>,
-    access: Option<Access>,
-    deadline: Timestamp,
-    bytes: usize,
-    state: State<R, A>,
-}
-
-impl<R, A> Entry<R, A> {
-    fn is_finished(&self) -> bool {
-        matches!(self.state, State::Answered(_))
-    }
-
-    /// When it is due if what stands behind it is due at that time.
-    fn due(&self, behind: Timestamp) -> Timestamp {
-        self.deadline.min(Timestamp(behind.0.saturating_sub(ANSWER_WRITE_US)))
-    }
-}
-
 /// The requests of one connection, in the order in which they came; `R` is a request, `A` an answer.
 #[derive(Debug)]
 pub struct Pipeline<R, A> {
     entries: VecDeque<Entry<R, A>>,
-    limits: Limits,
+    limits: PipelineLimits,
+    /// Requests that were started and have no answer.
     running: usize,
+    /// Bytes of the requests that wait to run.
     waiting_bytes: usize,
-    /// Whether something came behind the others since their deadlines were last looked at.
+    /// Whether an entry was added since [`Self::take_shortened_deadlines`] was last called.
     has_grown: bool,
 }
 
 impl<R, A> Pipeline<R, A> {
-    /// A pipeline without requests.
-    pub fn new(limits: Limits) -> Self {
+    /// Returns an empty pipeline.
+    pub fn new(limits: PipelineLimits) -> Self {
         Self { entries: VecDeque::new(), limits, running: 0, waiting_bytes: 0, has_grown: false }
     }
 
-    /// Whether every answer has been taken.
+    /// Returns whether every answer has been taken.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Requests that have come and whose answers have not been taken.
+    /// Returns the number of requests and answers that have not been taken.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether one more request may be read.
-    pub fn has_room(&self) -> bool {
-        self.entries.len() < self.limits.entries && self.waiting_bytes < self.limits.bytes
+    /// Returns whether one more request may be read.
+    pub fn has_capacity(&self) -> bool {
+        self.entries.len() < self.limits.max_entries && self.waiting_bytes < self.limits.max_waiting_bytes
     }
 
-    /// Requests that were started and have no answer yet.
+    /// Returns the number of requests that were started and have no answer yet.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Bytes of the requests that wait to run.
+    /// Returns the bytes of the requests that wait to run.
     pub fn waiting_bytes(&self) -> usize {
         self.waiting_bytes
     }
 
     /// Adds a request behind all others.
-    pub fn push(&mut self, demand: Demand, request: R) {
+    pub fn push(&mut self, pipelined: PipelinedRequest, request: R) {
         self.has_grown = true;
-        self.waiting_bytes += demand.bytes;
-        self.entries.push_back(Entry {
-            id: Some(demand.id),
-            access: demand.access,
-            deadline: demand.deadline,
-            bytes: demand.bytes,
-            state: State::Waiting(request),
-        });
+        self.waiting_bytes += pipelined.bytes;
+        self.entries.push_back(Entry::waiting(pipelined, request));
     }
 
-    /// Adds an answer that is known already, such as an error, to be written in its turn and by that time.
+    /// Adds an answer that is known already, such as an error, to be written in its turn and by that deadline.
     pub fn push_answer(&mut self, answer: A, deadline: Timestamp) {
         self.has_grown = true;
-        let state = State::Answered(answer);
-        self.entries.push_back(Entry { id: None, access: None, deadline, bytes: 0, state });
+        self.entries.push_back(Entry::answered(answer, deadline));
     }
 
-    /// Starts the first request that may run now, if there is one and no more run than may.
-    pub fn start_next(&mut self) -> Option<Started<R>> {
+    /// Starts the first request that may run now. Returns `None` if there is none, or if as many run as the limits allow.
+    pub fn start_next(&mut self) -> Option<StartedRequest<R>> {
         let at = self.next_to_start()?;
-        let due = self.effective_deadline(at);
+        let effective_deadline = self.effective_deadline(at);
         let entry = self.entries.get_mut(at)?;
-        let state = std::mem::replace(&mut entry.state, State::Running { due });
-        let State::Waiting(request) = state else { return None };
+        let state = std::mem::replace(&mut entry.state, EntryState::Running { effective_deadline });
+        let EntryState::Waiting(request) = state else { return None };
         self.running += 1;
         self.waiting_bytes -= entry.bytes;
-        Some(Started { id: entry.id?, behind: at > 0, due, request })
+        Some(StartedRequest { id: entry.id?, is_behind_others: at > 0, effective_deadline, request })
     }
 
-    /// Puts a request back that could not be started after all: it waits until what is ahead of it has ended.
-    pub fn put_back(&mut self, id: RequestId, request: R) {
+    /// Puts a request back that could not be started after all: it waits to run again.
+    pub fn requeue(&mut self, id: RequestId, request: R) {
         let Some(at) = self.position(id) else { return };
         let entry = &mut self.entries[at];
-        if matches!(entry.state, State::Running { .. }) {
-            entry.state = State::Waiting(request);
+        if entry.is_running() {
+            entry.state = EntryState::Waiting(request);
             self.running -= 1;
             self.waiting_bytes += entry.bytes;
         }
     }
 
-    /// The started requests whose effective deadlines are earlier than when this was last asked.
-    pub fn tightened(&mut self) -> Vec<Tightened> {
-        let mut tightened = Vec::new();
+    /// Returns the started requests whose effective deadlines have become earlier since this was last called.
+    pub fn take_shortened_deadlines(&mut self) -> Vec<ShortenedDeadline> {
+        let mut shortened = Vec::new();
         if !std::mem::take(&mut self.has_grown) || self.running == 0 || self.entries.len() < 2 {
-            return tightened;
+            return shortened;
         }
         let mut behind = Timestamp(i64::MAX);
         for entry in self.entries.iter_mut().rev() {
-            behind = entry.due(behind);
-            let (State::Running { due }, Some(id)) = (&mut entry.state, entry.id) else { continue };
-            if behind < *due {
-                *due = behind;
-                tightened.push(Tightened { id, due: behind });
+            behind = entry.effective_deadline(behind);
+            let (EntryState::Running { effective_deadline }, Some(id)) = (&mut entry.state, entry.id) else {
+                continue;
+            };
+            if behind < *effective_deadline {
+                *effective_deadline = behind;
+                shortened.push(ShortenedDeadline { id, effective_deadline: behind });
             }
         }
-        tightened
+        shortened
     }
 
-    /// Gives a request its answer, to be written in its turn. Whether the request was still without one.
+    /// Gives a request its answer, to be written in its turn. Returns whether the request was still without one.
     pub fn finish(&mut self, id: RequestId, answer: A) -> bool {
         let Some(at) = self.position(id) else { return false };
         let entry = &mut self.entries[at];
         match entry.state {
-            State::Answered(_) => return false,
-            State::Running { .. } => self.running -= 1,
-            State::Waiting(_) => self.waiting_bytes -= entry.bytes,
+            EntryState::Answered(_) => return false,
+            EntryState::Running { .. } => self.running -= 1,
+            EntryState::Waiting(_) => self.waiting_bytes -= entry.bytes,
         }
-        entry.state = State::Answered(answer);
+        entry.state = EntryState::Answered(answer);
         true
     }
 
-    /// Gives the first request without an answer this one, since its client has called it off; its number if it was running.
+    /// Gives the first request without an answer this one, since its client has cancelled it. Returns its number if it was
+    /// running.
     pub fn cancel_first(&mut self, answer: A) -> Option<RequestId> {
-        let entry = self.entries.iter().find(|entry| !entry.is_finished())?;
-        let (id, was_running) = (entry.id?, matches!(entry.state, State::Running { .. }));
+        let entry = self.entries.iter().find(|entry| !entry.is_answered())?;
+        let (id, was_running) = (entry.id?, entry.is_running());
         self.finish(id, answer);
         was_running.then_some(id)
     }
 
-    /// Takes all requests out, which their client has called off: none is owed an answer. Those that were running.
-    pub fn call_off_all(&mut self) -> Vec<RequestId> {
+    /// Removes all requests, which their client has cancelled: none gets an answer. Returns those that were running.
+    pub fn cancel_all(&mut self) -> Vec<RequestId> {
         let running = self.running_ids();
         self.entries.clear();
         (self.running, self.waiting_bytes) = (0, 0);
         running
     }
 
-    /// Answers all requests that have no answer yet, since nobody waits for theirs any more. Those that were running.
+    /// Gives this answer to all requests without one, since their client has left. Returns those that were running.
     pub fn abandon(&mut self, mut answer: impl FnMut() -> A) -> Vec<RequestId> {
         let running = self.running_ids();
-        for entry in self.entries.iter_mut().filter(|entry| !entry.is_finished()) {
-            entry.state = State::Answered(answer());
+        for entry in self.entries.iter_mut().filter(|entry| !entry.is_answered()) {
+            entry.state = EntryState::Answered(answer());
         }
         (self.running, self.waiting_bytes) = (0, 0);
         running
     }
 
-    /// Takes the next answer if it is known.
-    pub fn pop_answer(&mut self) -> Option<Ready<A>> {
-        if !self.entries.front()?.is_finished() {
+    /// Takes the next answer in the order of requests; `None` while it isn't known.
+    pub fn pop_answer(&mut self) -> Option<ReadyAnswer<A>> {
+        if !self.entries.front()?.is_answered() {
             return None;
         }
         let entry = self.entries.pop_front()?;
-        let State::Answered(answer) = entry.state else { return None };
-        Some(Ready { id: entry.id, answer })
+        let EntryState::Answered(answer) = entry.state else { return None };
+        Some(ReadyAnswer { id: entry.id, answer })
     }
 
-    /// The first that waits and conflicts with nothing ahead of it that has not ended.
+    /// Returns the position of the first request that waits and conflicts with no unanswered request ahead of it.
     fn next_to_start(&self) -> Option<usize> {
-        if self.running >= self.limits.running {
+        if self.running >= self.limits.max_running {
             return None;
         }
-        let waits = |entry: &Entry<R, A>| matches!(entry.state, State::Waiting(_));
-        (0..self.entries.len()).find(|at| waits(&self.entries[*at]) && !self.has_conflict_ahead(*at))
+        let mut positions = 0..self.entries.len();
+        positions.find(|at| self.entries[*at].is_waiting() && !self.has_conflict_ahead(*at))
     }
 
     fn has_conflict_ahead(&self, at: usize) -> bool {
         let Some(access) = self.entries[at].access else { return false };
-        let unfinished = self.entries.iter().take(at).filter(|entry| !entry.is_finished());
-        unfinished.filter_map(|entry| entry.access).any(|ahead| access.conflicts_with(ahead))
+        let unanswered = self.entries.iter().take(at).filter(|entry| !entry.is_answered());
+        unanswered.filter_map(|entry| entry.access).any(|ahead| access.conflicts_with(ahead))
     }
 
     fn effective_deadline(&self, at: usize) -> Timestamp {
-        self.entries.iter().skip(at).rev().fold(Timestamp(i64::MAX), |behind, entry| entry.due(behind))
+        let entries = self.entries.iter().skip(at).rev();
+        entries.fold(Timestamp(i64::MAX), |behind, entry| entry.effective_deadline(behind))
     }
 
     fn running_ids(&self) -> Vec<RequestId> {
-        let running = self.entries.iter().filter(|entry| matches!(entry.state, State::Running { .. }));
+        let running = self.entries.iter().filter(|entry| entry.is_running());
         running.filter_map(|entry| entry.id).collect()
     }
 
--- a/crates/decisions/tests/pipeline.rs
+++ b/crates/decisions/tests/pipeline.rs
@@ -2,29 +2,34 @@
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
-use wheelpier_decisions::pipeline::{Access, Demand, Limits, Pipeline, Tightened};
+use wheelpier_decisions::pipeline::{Access, Pipeline, PipelineLimits, PipelinedRequest, ShortenedDeadline};
 use wheelpier_decisions::{RequestId, SessionId, Timestamp};
 
 /// Far beyond any deadline of these tests.
 const NEVER: Timestamp = Timestamp(i64::MAX);
 
-fn access(key: u64, write: bool) -> Access {
-    Access { group: 0, key: SessionId(key), write }
+fn access(key: u64, is_write: bool) -> Access {
+    Access { group: 0, key: SessionId(key), is_write }
 }
 
-fn demand(id: u64, key: u64, write: bool, deadline: i64) -> Demand {
-    Demand { id: RequestId(id), access: Some(access(key, write)), deadline: Timestamp(deadline), bytes: 100 }
+fn request(id: u64, key: u64, write: bool, deadline: i64) -> PipelinedRequest {
+    PipelinedRequest {
+        id: RequestId(id),
+        access: Some(access(key, write)),
+        deadline: Timestamp(deadline),
+        bytes: 100,
+    }
 }
 
-fn limits(entries: usize, running: usize) -> Limits {
-    Limits { entries, running, bytes: 10_000 }
+fn limits(max_entries: usize, max_running: usize) -> PipelineLimits {
+    PipelineLimits { max_entries, max_running, max_waiting_bytes: 10_000 }
 }
 
 /// A pipeline of these requests: key, whether it writes, deadline; numbered from 0 on.
 fn pipeline(requests: &[(u64, bool, i64)]) -> Pipeline<(), &'static str> {
     let mut pipeline = Pipeline::new(limits(64, 16));
     for (id, (key, write, deadline)) in requests.iter().enumerate() {
-        pipeline.push(demand(id as u64, *key, *write, *deadline), ());
+        pipeline.push(request(id as u64, *key, *write, *deadline), ());
     }
     pipeline
 }
@@ -65,7 +70,7 @@
 #[test]
 fn a_request_without_a_key_conflicts_with_nothing() {
     let mut pipeline = pipeline(&[(1, true, 100)]);
-    pipeline.push(Demand { access: None, ..demand(1, 1, false, 100) }, ());
+    pipeline.push(PipelinedRequest { access: None, ..request(1, 1, false, 100) }, ());
     assert_eq!(start_all(&mut pipeline), [0, 1]);
 }
 
@@ -79,21 +84,25 @@
 #[test]
 fn a_request_is_due_before_those_behind_it() {
     let mut pipeline = pipeline(&[(1, true, 5_000_000), (2, false, 400_000), (3, false, 900_000)]);
-    let dues: Vec<_> = std::iter::from_fn(|| pipeline.start_next()).map(|started| started.due.0).collect();
+    let dues: Vec<_> =
+        std::iter::from_fn(|| pipeline.start_next()).map(|started| started.effective_deadline.0).collect();
     assert_eq!(dues, [399_900, 400_000, 900_000]);
-    assert_eq!(pipeline.tightened(), [], "what was said at the start is not said again");
-    pipeline.push(demand(3, 4, false, 200_000), ());
-    let tightened = pipeline.tightened();
+    assert_eq!(pipeline.take_shortened_deadlines(), [], "what was said at the start is not said again");
+    pipeline.push(request(3, 4, false, 200_000), ());
+    let tightened = pipeline.take_shortened_deadlines();
     let expected = [(2, 199_900), (1, 199_800), (0, 199_700)];
-    assert_eq!(tightened, expected.map(|(id, due)| Tightened { id: RequestId(id), due: Timestamp(due) }));
-    assert_eq!(pipeline.tightened(), []);
+    assert_eq!(
+        tightened,
+        expected.map(|(id, due)| ShortenedDeadline { id: RequestId(id), effective_deadline: Timestamp(due) })
+    );
+    assert_eq!(pipeline.take_shortened_deadlines(), []);
 }
 
 #[test]
 fn an_error_behind_a_request_bounds_it_and_is_written_in_its_turn() {
     let mut pipeline = pipeline(&[(1, false, 5_000_000)]);
     pipeline.push_answer("error", Timestamp(2_500_000));
-    assert_eq!(pipeline.start_next().map(|started| started.due), Some(Timestamp(2_499_900)));
+    assert_eq!(pipeline.start_next().map(|started| started.effective_deadline), Some(Timestamp(2_499_900)));
     assert_eq!(pipeline.pop_answer(), None);
     pipeline.finish(RequestId(0), "value");
     assert_eq!(pipeline.pop_answer().map(|ready| ready.answer), Some("value"));
@@ -101,14 +110,17 @@
 }
 
 #[test]
-fn what_is_put_back_waits_and_what_is_called_off_is_owed_nothing() {
+fn what_is_requeued_waits_and_what_is_cancelled_gets_no_answer() {
     let mut pipeline = pipeline(&[(1, false, 100), (2, false, 100)]);
     assert_eq!(start_all(&mut pipeline), [0, 1]);
-    pipeline.put_back(RequestId(1), ());
+    pipeline.requeue(RequestId(1), ());
     assert_eq!((pipeline.running(), pipeline.waiting_bytes()), (1, 100));
-    assert_eq!(pipeline.start_next().map(|started| (started.id, started.behind)), Some((RequestId(1), true)));
-    pipeline.put_back(RequestId(1), ());
-    assert_eq!(pipeline.call_off_all(), [RequestId(0)], "only this one was running");
+    assert_eq!(
+        pipeline.start_next().map(|started| (started.id, started.is_behind_others)),
+        Some((RequestId(1), true))
+    );
+    pipeline.requeue(RequestId(1), ());
+    assert_eq!(pipeline.cancel_all(), [RequestId(0)], "only this one was running");
     assert!(!pipeline.finish(RequestId(0), "late") && pipeline.pop_answer().is_none());
     assert_eq!((pipeline.running(), pipeline.waiting_bytes()), (0, 0));
 }
@@ -127,10 +139,16 @@
 
 #[test]
 fn limits_follow_from_what_a_proxy_may_hold_for_each_connection() {
-    assert_eq!(Limits::shared(30_000, 600, 1 << 16), Limits { entries: 64, running: 16, bytes: 1 << 16 });
-    assert_eq!(Limits::shared(1_000, 300, 1 << 16).running, 3);
-    assert_eq!(Limits::shared(100, 600, 1 << 16), Limits { entries: 4, running: 1, bytes: 1 << 16 });
-    assert_eq!(Limits::shared(100, 0, 1 << 16).running, 16);
+    assert_eq!(
+        PipelineLimits::per_connection(30_000, 600, 1 << 16),
+        PipelineLimits { max_entries: 64, max_running: 16, max_waiting_bytes: 1 << 16 }
+    );
+    assert_eq!(PipelineLimits::per_connection(1_000, 300, 1 << 16).max_running, 3);
+    assert_eq!(
+        PipelineLimits::per_connection(100, 600, 1 << 16),
+        PipelineLimits { max_entries: 4, max_running: 1, max_waiting_bytes: 1 << 16 }
+    );
+    assert_eq!(PipelineLimits::per_connection(100, 0, 1 << 16).max_running, 16);
 }
 
 /// A request of the model: when it is sent, how long its client waits, and how long it would run.
@@ -168,26 +186,30 @@
 
 /// Plays a connection in virtual time: requests are read while there is room, run as long as planned, and are given up at
 /// their effective deadlines. Answers are written as their turn comes.
-fn play(plan: &[Planned], limits: Limits) -> Vec<Outcome> {
+fn play(plan: &[Planned], limits: PipelineLimits) -> Vec<Outcome> {
     let mut outcomes = vec![Outcome::default(); plan.len()];
     let mut pipeline: Pipeline<usize, ()> = Pipeline::new(limits);
     // When each running request would end by itself, and by when it is given up.
     let mut running: BTreeMap<usize, (i64, i64)> = BTreeMap::new();
     let (mut now, mut next) = (0, 0);
     loop {
-        while next < plan.len() && plan[next].sent <= now && pipeline.has_room() {
+        while next < plan.len() && plan[next].sent <= now && pipeline.has_capacity() {
             let Planned { sent, wait, key, write, .. } = plan[next];
-            pipeline.push(demand(next as u64, key, write, sent + wait), next);
+            pipeline.push(request(next as u64, key, write, sent + wait), next);
             outcomes[next].read = Some(now);
             next += 1;
         }
         while let Some(started) = pipeline.start_next() {
             outcomes[started.request].started = Some(now);
-            running.insert(started.request, (now + plan[started.request].runs, started.due.0.max(now)));
+            running.insert(
+                started.request,
+                (now + plan[started.request].runs, started.effective_deadline.0.max(now)),
+            );
         }
-        assert!(pipeline.running() <= limits.running);
-        for Tightened { id, due } in pipeline.tightened() {
-            running.get_mut(&(id.0 as usize)).expect("only what runs is tightened").1 = due.0.max(now);
+        assert!(pipeline.running() <= limits.max_running);
+        for ShortenedDeadline { id, effective_deadline } in pipeline.take_shortened_deadlines() {
+            running.get_mut(&(id.0 as usize)).expect("only what runs is tightened").1 =
+                effective_deadline.0.max(now);
         }
         let over: Vec<usize> =
             running.iter().filter(|(_, (ends, due))| *(ends.min(due)) <= now).map(|(n, _)| *n).collect();
@@ -200,7 +222,7 @@
             let request = ready.id.expect("a request").0 as usize;
             assert!(outcomes[request].answered.replace(now).is_none(), "{request} was answered twice");
         }
-        let is_readable = next < plan.len() && plan[next].sent <= now && pipeline.has_room();
+        let is_readable = next < plan.len() && plan[next].sent <= now && pipeline.has_capacity();
         if !over.is_empty() || is_readable {
             continue;
         }
@@ -275,9 +297,9 @@
 }
 
 #[test]
-fn a_pipeline_of_one_has_no_room_for_another() {
-    let mut pipeline: Pipeline<(), ()> = Pipeline::new(Limits::SEQUENTIAL);
-    assert!(pipeline.has_room());
-    pipeline.push(Demand { deadline: NEVER, ..demand(0, 1, false, 0) }, ());
-    assert!(!pipeline.has_room());
+fn a_pipeline_of_one_has_no_capacity_for_another() {
+    let mut pipeline: Pipeline<(), ()> = Pipeline::new(PipelineLimits::SEQUENTIAL);
+    assert!(pipeline.has_capacity());
+    pipeline.push(PipelinedRequest { deadline: NEVER, ..request(0, 1, false, 0) }, ());
+    assert!(!pipeline.has_capacity());
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -261,11 +261,11 @@
     }
 
     /// What one client connection may have in its pipeline.
-    pub fn pipeline(&self) -> pipeline::Limits {
+    pub fn pipeline(&self) -> pipeline::PipelineLimits {
         let buffers = self.plan.terms[Purpose::ClientBuffers as usize].cap;
         let bytes = usize::try_from(buffers).unwrap_or(usize::MAX) / self.limits.clients.max(1);
         let bytes = bytes.clamp(PIPELINE_BYTES.0, PIPELINE_BYTES.1);
-        pipeline::Limits::shared(self.most_held, self.limits.clients, bytes)
+        pipeline::PipelineLimits::per_connection(self.most_held, self.limits.clients, bytes)
     }
 
     /// Where clients connect, and what is spoken there.
--- a/src/net/frontend/client/draining.rs
+++ b/src/net/frontend/client/draining.rs
@@ -2,7 +2,7 @@
 //! may take. The decisions are [`crate::drain::connection`]'s.
 
 use super::{Client, CloseReason, Over, Reply, WRITE};
-use crate::drain::connection::{self, ConnectionState, Permission, Verdict};
+use crate::drain::connection::{self, ConnectionState, DrainDecision, Permission};
 use crate::interface::RequestId;
 use crate::net::frontend::conversation::Conversation;
 use crate::net::frontend::Acceptor;
@@ -48,13 +48,17 @@
 
 impl<C: Conversation, I: Fn() -> RequestId> Client<C, I> {
     /// What the connection may do now; `begun` says whether part of a message is there.
-    pub(super) fn verdict(&self, begun: bool) -> Verdict {
+    pub(super) fn verdict(&self, begun: bool) -> DrainDecision {
         if !self.acceptor.is_draining() {
-            return Verdict::OPEN;
+            return DrainDecision::OPEN;
         }
         let clock = self.acceptor.clock;
-        let state = ConnectionState { quiet: clock.at(self.quiet), asked: self.asked, begun };
-        connection::verdict(self.acceptor.active_drains(), state, clock.now())
+        let state = ConnectionState {
+            last_activity_at: clock.at(self.quiet),
+            has_sent_request: self.asked,
+            has_partial_message: begun,
+        };
+        connection::decide(self.acceptor.active_drains(), state, clock.now())
     }
 
     /// Whether nothing further may be read.
@@ -74,7 +78,8 @@
     /// By when the client has to take something of what is written, which it last did at that moment.
     pub(super) fn write_ends(&self, last_taken: Instant) -> Instant {
         let clock = self.acceptor.clock;
-        let drained = connection::write_ends(self.acceptor.active_drains(), clock.at(last_taken), STALLED);
+        let drained =
+            connection::write_deadline(self.acceptor.active_drains(), clock.at(last_taken), STALLED);
         let patient = last_taken + WRITE;
         drained.map_or(patient, |by| clock.moment(by).min(patient))
     }
--- a/src/net/frontend/client/ending.rs
+++ b/src/net/frontend/client/ending.rs
@@ -60,8 +60,8 @@
 
     /// How long the connection is kept behind its last words, so that they arrive; not beyond the end of a drain.
     fn linger(&self) -> Duration {
-        let cuts =
-            connection::cuts(self.acceptor.active_drains()).map(|cuts| self.acceptor.clock.moment(cuts));
+        let cuts = connection::force_close_at(self.acceptor.active_drains())
+            .map(|cuts| self.acceptor.clock.moment(cuts));
         let left = cuts.map(|cuts| cuts.saturating_duration_since(Instant::now()));
         LINGER.min(left.unwrap_or(LINGER))
     }
--- a/src/net/frontend/client/mod.rs
+++ b/src/net/frontend/client/mod.rs
@@ -20,7 +20,7 @@
 use crate::net::memory::Reclaim;
 use crate::net::messages::ClientMessage;
 use crate::net::socket::Socket;
-use crate::pipeline::{Limits, Pipeline};
+use crate::pipeline::{Pipeline, PipelineLimits};
 use crate::protocol::Protocol;
 use bytes::BytesMut;
 use draining::DrainSignals;
@@ -180,9 +180,9 @@
     registration: Option<Registration>,
 ) {
     let _ = stream.set_nodelay(true);
-    let limits = if conversation.pipelines() { acceptor.pipeline } else { Limits::SEQUENTIAL };
+    let limits = if conversation.pipelines() { acceptor.pipeline } else { PipelineLimits::SEQUENTIAL };
     // An answer for each request that runs, and for each that was called off or abandoned meanwhile.
-    let (address, mailbox) = mpsc::channel(2 * limits.running);
+    let (address, mailbox) = mpsc::channel(2 * limits.max_running);
     let (read, out) = (BytesMut::with_capacity(1024), BytesMut::with_capacity(1024));
     let came = Instant::now();
     let admitted_over_limit = taken(&admission.seat) > acceptor.limit;
--- a/src/net/frontend/client/requests.rs
+++ b/src/net/frontend/client/requests.rs
@@ -10,7 +10,7 @@
 use crate::net::messages::{Answer, Arrival, CoreEvent, Request, Value};
 use crate::net::socket::{is_ready, left};
 use crate::net::stream::{Part, Parts, Rest};
-use crate::pipeline::{Access, Demand, Started};
+use crate::pipeline::{Access, PipelinedRequest, StartedRequest};
 use crate::rejection_reason::RejectionReason;
 use bytes::{Bytes, BytesMut};
 use std::io;
@@ -59,7 +59,7 @@
 
     /// Whether a further statement would be looked at.
     pub(super) fn takes_statements(&self) -> bool {
-        self.closing.is_none() && self.paused.is_none() && self.pipeline.has_room()
+        self.closing.is_none() && self.paused.is_none() && self.pipeline.has_capacity()
     }
 
     /// Ends the connection with a fault once all that was read is answered, and in time for the fault itself.
@@ -94,7 +94,7 @@
             Ok(true) => {}
             Err(fault) => self.closing = Some(Over::Fault(fault)),
         }
-        for id in self.pipeline.call_off_all() {
+        for id in self.pipeline.cancel_all() {
             self.withdraw(id).await;
         }
     }
@@ -194,13 +194,13 @@
             self.acceptor.rejections.record(RejectionReason::Seat, "all seats are taken");
             return self.push_reply(Reply::Fault(Fault::Refused(self.acceptor.retry_after())));
         }
-        let demand = Demand {
+        let pipelined = PipelinedRequest {
             id: (self.id)(),
-            access: request.session.map(|key| Access { group: request.group, key, write: request.write }),
+            access: request.session.map(|key| Access { group: request.group, key, is_write: request.write }),
             deadline: self.acceptor.clock.at(self.read_at + request.timeout),
             bytes: request.statement.text.len(),
         };
-        self.pipeline.push(demand, Pending { request, arrived: self.read_at });
+        self.pipeline.push(pipelined, Pending { request, arrived: self.read_at });
     }
 
     /// Hands the requests that may run to the module.
@@ -222,7 +222,7 @@
             match self.conversation.gives_up(&mut self.read, &mut self.out) {
                 Ok(false) => {}
                 // Given up in the same breath: it never went anywhere.
-                Ok(true) => drop(self.pipeline.call_off_all()),
+                Ok(true) => drop(self.pipeline.cancel_all()),
                 Err(fault) => return Err(fault.into()),
             }
         }
@@ -236,21 +236,26 @@
 
     /// Tells the module of answers that are due earlier than it knows.
     async fn tighten(&mut self) -> Result<(), Over> {
-        for tightened in self.pipeline.tightened() {
-            let due = self.acceptor.clock.moment(tightened.due);
+        for tightened in self.pipeline.take_shortened_deadlines() {
+            let due = self.acceptor.clock.moment(tightened.effective_deadline);
             self.send(CoreEvent::DeadlineShortened { id: tightened.id, due }).await?;
         }
         Ok(())
     }
 
     /// Hands one request to the module. Whether there was room for it.
-    async fn start(&mut self, started: Started<Pending>) -> Result<bool, Over> {
-        let Started { id, behind, due, request: Pending { mut request, arrived } } = started;
-        if behind {
+    async fn start(&mut self, started: StartedRequest<Pending>) -> Result<bool, Over> {
+        let StartedRequest {
+            id,
+            is_behind_others,
+            effective_deadline,
+            request: Pending { mut request, arrived },
+        } = started;
+        if is_behind_others {
             match self.acceptor.memory.answer(request.class, request.tenant) {
                 Ok(room) => self.answer_room.insert(id, room),
                 Err(_) => {
-                    self.pipeline.put_back(id, Pending { request, arrived });
+                    self.pipeline.requeue(id, Pending { request, arrived });
                     return Ok(false);
                 }
             };
@@ -259,7 +264,7 @@
         if let Some(by) = self.acceptor.answers() {
             request.timeout = request.timeout.min(by.saturating_duration_since(arrived));
         }
-        let due = self.acceptor.clock.moment(due);
+        let due = self.acceptor.clock.moment(effective_deadline);
         let (client, presence) = (self.address.clone(), self.stream.presence());
         let arrival = Arrival { id, request, arrived, due, client, presence };
         self.send(CoreEvent::RequestArrived(Box::new(arrival))).await?;
--- a/src/net/frontend/client/waiting.rs
+++ b/src/net/frontend/client/waiting.rs
@@ -78,7 +78,7 @@
         self.note_partial();
         let late = self.partial.and(self.partial_by());
         let verdict = self.verdict(false);
-        let until = verdict.until.map(|until| self.acceptor.clock.moment(until));
+        let until = verdict.reevaluate_at.map(|until| self.acceptor.clock.moment(until));
         let (intake, paused) = (self.intake(verdict.permission), self.paused);
         self.describe(if paused.is_some() { Activity::Paused } else { Activity::Answering });
         let Self { stream, read, mailbox, registration, drains, .. } = self;
@@ -109,7 +109,7 @@
         let late = self.partial_by();
         self.describe(if begun { Activity::Receiving } else { Activity::Idle });
         // What comes at the drain's end may still bring its first request, or the rest of one.
-        let closes = self.verdict(begun).closes.map(|closes| self.acceptor.clock.moment(closes));
+        let closes = self.verdict(begun).close_idle_at.map(|closes| self.acceptor.clock.moment(closes));
         let Self { stream, read, drains, .. } = self;
         tokio::select! {
             biased;
@@ -173,7 +173,7 @@
         }
         let is_open = permission == Permission::Open && self.closing.is_none();
         let may_read = is_open && self.paused.is_none();
-        let is_wanted = self.pipeline.has_room() || self.read.len() < READ_AHEAD;
+        let is_wanted = self.pipeline.has_capacity() || self.read.len() < READ_AHEAD;
         if may_read && is_wanted {
             Intake::Read
         } else {
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -21,10 +21,10 @@
 use super::shortage;
 use crate::config::{Config, Names, OVERFLOW};
 use crate::counters::Counters;
-use crate::drain::connection::{ActiveDrain, ConnectionSpans};
-use crate::drain::Drain;
+use crate::drain::connection::{self, ActiveDrain, ConnectionSchedule};
+use crate::drain::ShutdownSchedule;
 use crate::interface::{RequestId, TimeDelta};
-use crate::pipeline::Limits;
+use crate::pipeline::PipelineLimits;
 use crate::protocol::Protocol;
 use crate::rejection_reason::RejectionReason;
 use std::collections::VecDeque;
@@ -70,7 +70,7 @@
     pub reclaims: watch::Receiver<Vec<Arc<Reclaim>>>,
     pub limit: usize,
     /// What one connection may have in its pipeline.
-    pub pipeline: Limits,
+    pub pipeline: PipelineLimits,
     /// The keys by which clients call off what runs on other connections.
     pub cancellations: Cancellations,
     /// The open connections, as the log shows them.
@@ -83,7 +83,7 @@
     /// What classes and tenants are called.
     pub names: Names,
     /// When a drain does what.
-    pub drain: Drain,
+    pub drain: ShutdownSchedule,
     /// When clients that find no seat may come back.
     pub retry_after: Option<TimeDelta>,
 }
@@ -95,7 +95,9 @@
         let longest = classes.filter(|(name, _)| name.open).map(|(_, class)| class.deadline.0).max();
         Self {
             names: config.names.clone(),
-            drain: Drain::of(Duration::from_micros(longest.unwrap_or(0).max(0) as u64)),
+            drain: ShutdownSchedule::with_longest_deadline(Duration::from_micros(
+                longest.unwrap_or(0).max(0) as u64,
+            )),
             retry_after: config.settings.retry_after_allowed.then_some(config.settings.max_retry_after),
         }
     }
@@ -103,36 +105,35 @@
 
 impl Acceptor {
     /// The spans of the drain, once it has begun, and when that was.
-    fn drain(&self) -> Option<(Instant, Drain)> {
+    fn drain(&self) -> Option<(Instant, ShutdownSchedule)> {
         self.draining.borrow().map(|since| (since, self.terms.borrow().drain))
     }
 
     /// The drains that have begun, as connections see them.
     fn active_drains(&self) -> impl Iterator<Item = ActiveDrain> {
         let quiesced = self.desk.quiesced.borrow().map(|since| ActiveDrain {
-            since: self.clock.at(since),
-            spans: ConnectionSpans::QUIESCE,
-            is_final: false,
+            started_at: self.clock.at(since),
+            schedule: ConnectionSchedule::QUIESCE,
+            ends_process: false,
         });
         let terminated = self.drain().map(|(since, drain)| ActiveDrain {
-            since: self.clock.at(since),
-            spans: drain.into(),
-            is_final: true,
+            started_at: self.clock.at(since),
+            schedule: drain.into(),
+            ends_process: true,
         });
         quiesced.into_iter().chain(terminated)
     }
 
     /// Until when a connection that comes now, or is here as a drain begins, may take to say who it is.
     fn opens(&self) -> Option<Instant> {
-        let drained =
-            self.drain().map(|(since, drain)| (Instant::now() + drain.first).min(since + drain.shuts));
-        let quiesced = self.desk.quiesced.borrow().map(|_| Instant::now() + ConnectionSpans::QUIESCE.first);
-        drained.into_iter().chain(quiesced).min()
+        let deadline = connection::startup_deadline(self.active_drains(), self.clock.now());
+        deadline.map(|deadline| self.clock.moment(deadline))
     }
 
     /// Until when a request that comes now has to be answered, if a drain limits that.
     fn answers(&self) -> Option<Instant> {
-        self.drain().map(|(since, drain)| since + drain.answers)
+        let due = connection::answers_due_at(self.active_drains());
+        due.map(|due| self.clock.moment(due))
     }
 
     /// Whether a drain has begun, by the console or by SIGTERM.
@@ -250,7 +251,7 @@
                     looked = false;
                     acceptor.counters.client();
                     if let (Some(at), Some((since, drain))) = (&mut leave_at, acceptor.drain()) {
-                        *at = (*at).max(Instant::now() + drain.quiet).min(since + drain.answers);
+                        *at = since + drain.exit_after_accept(*at - since, since.elapsed());
                     }
                     let taken = Arc::strong_count(&seats) - 1;
                     unauthenticated.retain(|(_, connection)| connection.strong_count() > 0);
@@ -314,7 +315,7 @@
             }
             Some(_) = clients.join_next() => {}
             Ok(()) = draining.changed(), if leave_at.is_none() => {
-                leave_at = acceptor.drain().map(|(since, drain)| since + drain.stays);
+                leave_at = acceptor.drain().map(|(since, drain)| since + drain.earliest_exit_after);
             }
             () = leave, if clients.is_empty() => {
                 if looked {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -258,7 +258,7 @@
     events: mpsc::Sender<messages::CoreEvent>,
 ) {
     let Ok(Some(since)) = draining.wait_for(Option::is_some).await.map(|since| *since) else { return };
-    let by = since + terms.borrow().drain.answers;
+    let by = since + terms.borrow().drain.answers_due_after;
     // Fails only when the module has ended, and then so does the process.
     let _ = events.send(messages::CoreEvent::DrainStarted(by)).await;
 }
