--- a/src/net/frontend/client/draining.rs
+++ b/src/net/frontend/client/draining.rs
@@ -54,7 +54,7 @@
         }
         let clock = self.acceptor.clock;
         let state = ConnectionState {
-            last_activity_at: clock.at(self.quiet),
+            last_activity_at: clock.timestamp(self.quiet),
             has_sent_request: self.asked,
             has_partial_message: begun,
         };
@@ -79,8 +79,8 @@
     pub(super) fn write_ends(&self, last_taken: Instant) -> Instant {
         let clock = self.acceptor.clock;
         let drained =
-            connection::write_deadline(self.acceptor.active_drains(), clock.at(last_taken), STALLED);
+            connection::write_deadline(self.acceptor.active_drains(), clock.timestamp(last_taken), STALLED);
         let patient = last_taken + WRITE;
-        drained.map_or(patient, |by| clock.moment(by).min(patient))
+        drained.map_or(patient, |by| clock.instant(by).min(patient))
     }
 }
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -15,10 +15,10 @@
 
 use super::clock::Clock;
 use super::console::AdminState;
+use super::local_faults;
 use super::memory::{Memory, Reclaim};
 use super::messages::CoreEvent;
 use super::rejections::Rejections;
-use super::shortage;
 use crate::config::{Config, Names, OVERFLOW};
 use crate::counters::Counters;
 use crate::drain::connection::{self, ActiveDrain, ConnectionSchedule};
@@ -112,12 +112,12 @@
     /// The drains that have begun, as connections see them.
     fn active_drains(&self) -> impl Iterator<Item = ActiveDrain> {
         let quiesced = self.desk.quiesced.borrow().map(|since| ActiveDrain {
-            started_at: self.clock.at(since),
+            started_at: self.clock.timestamp(since),
             schedule: ConnectionSchedule::QUIESCE,
             ends_process: false,
         });
         let terminated = self.drain().map(|(since, drain)| ActiveDrain {
-            started_at: self.clock.at(since),
+            started_at: self.clock.timestamp(since),
             schedule: drain.into(),
             ends_process: true,
         });
@@ -127,13 +127,13 @@
     /// Until when a connection that comes now, or is here as a drain begins, may take to say who it is.
     fn opens(&self) -> Option<Instant> {
         let deadline = connection::startup_deadline(self.active_drains(), self.clock.now());
-        deadline.map(|deadline| self.clock.moment(deadline))
+        deadline.map(|deadline| self.clock.instant(deadline))
     }
 
     /// Until when a request that comes now has to be answered, if a drain limits that.
     fn answers(&self) -> Option<Instant> {
         let due = connection::answers_due_at(self.active_drains());
-        due.map(|due| self.clock.moment(due))
+        due.map(|due| self.clock.instant(due))
     }
 
     /// Whether a drain has begun, by the console or by SIGTERM.
@@ -162,8 +162,8 @@
     pub async fn bind(addresses: &[(Protocol, SocketAddr)]) -> io::Result<Self> {
         let mut all = Vec::with_capacity(addresses.len());
         for (protocol, address) in addresses {
-            let until = Instant::now() + shortage::START;
-            let listener = shortage::retried(until, || async { shared(*address) }).await;
+            let until = Instant::now() + local_faults::STARTUP_TIMEOUT;
+            let listener = local_faults::retry_local_faults(until, || async { shared(*address) }).await;
             let listener = listener.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()));
             let listener = listener.map_err(|e| io::Error::new(e.kind(), format!("{address}: {e}")))?;
             all.push((*protocol, listener));
@@ -271,7 +271,7 @@
                     }
                     let room = match taken < acceptor.limit + OVERFLOW {
                         true => {
-                            let room = acceptor.memory.connection().ok().zip(acceptor.memory.buffers().ok());
+                            let room = acceptor.memory.connection().ok().zip(acceptor.memory.client_buffers().ok());
                             room.ok_or(RejectionReason::Memory)
                         }
                         false => Err(RejectionReason::Seat),
@@ -302,7 +302,7 @@
                         yield_now().await;
                     }
                 }
-                Err(problem) if shortage::is_exhausted(&problem) => {
+                Err(problem) if local_faults::is_exhausted(&problem) => {
                     acceptor.rejections.record(RejectionReason::Local, format_args!("accept: {problem}"));
                     pressure.send_replace(());
                     rests_until = Some(Instant::now() + ACCEPT_BACKOFF);
