--- /dev/null
+++ b/src/net/frontend/acceptor.rs
@@ -0,0 +1,173 @@
+//! The accept loop: accepts connections, starts an actor for each, and ends after SIGTERM once all clients have left.
+
+use super::admission::AdmissionControl;
+use super::client;
+use super::context::ClientContext;
+use super::listeners::Listeners;
+use crate::interface::RequestId;
+use crate::net::local_faults;
+use crate::protocol::Protocol;
+use crate::rejection_reason::RejectionReason;
+use std::future::pending;
+use std::io;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::watch;
+use tokio::task::{yield_now, JoinSet};
+use tokio::time::{sleep_until, Instant};
+
+/// Pause in accepting after this machine has run out of descriptors or buffers.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
+
+/// The source of request numbers; copies share it, so that no number is used twice.
+#[derive(Clone, Debug, Default)]
+pub(super) struct RequestIds(Arc<AtomicU64>);
+
+impl RequestIds {
+    /// Returns a number that was not used before.
+    pub fn next(&self) -> RequestId {
+        RequestId(self.0.fetch_add(1, Relaxed))
+    }
+}
+
+/// What the accept loop waits for.
+enum AcceptorEvent {
+    /// A connection was accepted, or accepting has failed.
+    Accepted(io::Result<(Protocol, TcpStream)>),
+    /// The pause in accepting is over.
+    BackoffElapsed,
+    /// The actor of a client has ended.
+    ClientEnded,
+    /// SIGTERM came.
+    ShutdownStarted,
+    /// The process may exit, and no client is connected.
+    ExitDue,
+}
+
+/// The accept loop and its state.
+#[derive(Debug)]
+pub(crate) struct Acceptor {
+    listeners: Listeners,
+    context: ClientContext,
+    admission: AdmissionControl,
+    request_ids: RequestIds,
+    /// The actors of clients.
+    clients: JoinSet<()>,
+    /// Changes once, at SIGTERM.
+    draining: watch::Receiver<Option<Instant>>,
+    /// Until when nothing is accepted, after this machine has run out of descriptors or buffers.
+    backoff_until: Option<Instant>,
+    /// The earliest exit, as a span from SIGTERM; `None` before.
+    exit_after: Option<Duration>,
+    /// Whether the listeners were polled once more since the exit was due.
+    has_polled_before_exit: bool,
+}
+
+impl Acceptor {
+    /// Returns the acceptor of these listeners.
+    pub fn new(listeners: Listeners, context: ClientContext) -> Self {
+        Self {
+            listeners,
+            admission: AdmissionControl::new(context.clone()),
+            request_ids: RequestIds::default(),
+            clients: JoinSet::new(),
+            draining: context.draining.clone(),
+            backoff_until: None,
+            exit_after: None,
+            has_polled_before_exit: false,
+            context,
+        }
+    }
+
+    /// Accepts connections. Returns after SIGTERM, once all clients have left and no more connect.
+    pub async fn run(mut self) {
+        loop {
+            match self.next_event().await {
+                AcceptorEvent::Accepted(Ok((protocol, stream))) => self.start_client(protocol, stream).await,
+                AcceptorEvent::Accepted(Err(error)) => self.handle_accept_error(&error),
+                AcceptorEvent::BackoffElapsed => self.backoff_until = None,
+                AcceptorEvent::ClientEnded => {}
+                AcceptorEvent::ShutdownStarted => {
+                    self.exit_after =
+                        self.context.shutdown().map(|(_, schedule)| schedule.earliest_exit_after);
+                }
+                AcceptorEvent::ExitDue if self.has_polled_before_exit => return,
+                AcceptorEvent::ExitDue => {
+                    // The runtime may not have polled the listeners since the timer fired: it does so now, and connections
+                    // that wait there are accepted first.
+                    self.has_polled_before_exit = true;
+                    yield_now().await;
+                }
+            }
+        }
+    }
+
+    /// Waits for the next event. Connections are accepted before the process exits.
+    async fn next_event(&mut self) -> AcceptorEvent {
+        let exit_at = self.exit_at();
+        let Self { listeners, clients, draining, backoff_until, exit_after, .. } = self;
+        let exit = async {
+            match exit_at {
+                Some(exit_at) => sleep_until(exit_at).await,
+                None => pending().await,
+            }
+        };
+        tokio::select! {
+            biased;
+            accepted = listeners.accept(), if backoff_until.is_none() => AcceptorEvent::Accepted(accepted),
+            () = sleep_until(backoff_until.unwrap_or_else(Instant::now)), if backoff_until.is_some() => {
+                AcceptorEvent::BackoffElapsed
+            }
+            Some(_) = clients.join_next() => AcceptorEvent::ClientEnded,
+            Ok(()) = draining.changed(), if exit_after.is_none() => AcceptorEvent::ShutdownStarted,
+            () = exit, if clients.is_empty() => AcceptorEvent::ExitDue,
+        }
+    }
+
+    /// Returns the earliest exit; `None` before SIGTERM.
+    fn exit_at(&self) -> Option<Instant> {
+        let exit_after = self.exit_after?;
+        let (started_at, _) = self.context.shutdown()?;
+        Some(started_at + exit_after)
+    }
+
+    /// Starts the actor of a connection that was accepted, if it is admitted.
+    async fn start_client(&mut self, protocol: Protocol, stream: TcpStream) {
+        self.has_polled_before_exit = false;
+        self.context.counters.client();
+        self.delay_exit();
+        let is_full = self.admission.is_full();
+        self.admission.evict_if_short();
+        if let Some(admission) = self.admission.admit(protocol, stream.peer_addr().ok()) {
+            let (context, request_ids) = (self.context.clone(), self.request_ids.clone());
+            self.clients.spawn(client::serve(stream, protocol, context, request_ids, admission));
+        }
+        if is_full {
+            // Evicted clients leave before the next connection is counted.
+            yield_now().await;
+        }
+    }
+
+    /// Delays the exit for the sake of clients that follow the one just accepted.
+    fn delay_exit(&mut self) {
+        if let (Some(exit_after), Some((started_at, schedule))) =
+            (&mut self.exit_after, self.context.shutdown())
+        {
+            *exit_after = schedule.exit_after_accept(*exit_after, started_at.elapsed());
+        }
+    }
+
+    /// Pauses accepting if this machine has run out of descriptors or buffers. Other errors are those of a connection that
+    /// is gone: the next one may wait behind it (accept(2), "Error handling").
+    fn handle_accept_error(&mut self, error: &io::Error) {
+        if local_faults::is_exhausted(error) {
+            self.context.rejections.record(RejectionReason::Local, format_args!("accept: {error}"));
+            self.admission.signal_pressure();
+            self.backoff_until = Some(Instant::now() + ACCEPT_BACKOFF);
+        } else {
+            tracing::debug!(error = %error, "accept failed");
+        }
+    }
+}
--- a/src/net/frontend/cancel.rs
+++ b/src/net/frontend/cancel.rs
@@ -1,5 +1,4 @@
-//! Requests that clients call off from another connection (PostgreSQL protocol 3, CancelRequest): which connection a key
-//! stands for.
+//! Cancellation of requests from another connection (PostgreSQL protocol 3, CancelRequest): the connection of each key.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,31 +6,32 @@
 
 pub(super) use crate::pgwire::CancelKey;
 
-/// How often a secret is drawn anew that is taken already.
-const MOST_DRAWS: usize = 8;
+/// Attempts to draw a secret that is not in use.
+const MAX_SECRET_DRAWS: usize = 8;
 
+/// What notifies each connection, by the secret of its key.
 type Connections = HashMap<u32, Arc<Notify>>;
 
-/// The keys of all open sessions; copies share them. It holds one entry for each connection, at the most.
+/// The keys of all open sessions, one for each connection at most. Copies share them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Cancellations(Arc<Mutex<Connections>>);
 
 impl Cancellations {
-    /// Gives a new session its key; none where no random numbers are to be had, and then it cannot be called upon.
+    /// Returns the key of a new session. `None` if the system has no random numbers: the session then cannot be cancelled.
     pub(super) fn register(&self) -> Option<Registration> {
         let mut connections = self.connections();
-        for _ in 0..MOST_DRAWS {
+        for _ in 0..MAX_SECRET_DRAWS {
             let secret = getrandom::u32().ok()?;
             if let std::collections::hash_map::Entry::Vacant(vacant) = connections.entry(secret) {
                 let cancelled = Arc::clone(vacant.insert(Arc::default()));
                 let key = CancelKey { process: std::process::id(), secret };
-                return Some(Registration { key, cancelled, all: self.clone() });
+                return Some(Registration { key, cancelled, cancellations: self.clone() });
             }
         }
         None
     }
 
-    /// Calls off what runs on the connection of that key. Nobody hears whether there is one.
+    /// Cancels the request that runs on the connection of this key. Nothing says whether there is one.
     pub(super) fn cancel(&self, key: CancelKey) {
         let connections = self.connections();
         if let Some(cancelled) = connections.get(&key.secret).filter(|_| key.process == std::process::id()) {
@@ -44,17 +44,17 @@
     }
 }
 
-/// A session's key, for as long as its connection is open.
+/// The registration of a session's key, removed on drop.
 #[derive(Debug)]
 pub(super) struct Registration {
-    /// What the client is told.
+    /// The key that the client is sent.
     pub key: CancelKey,
-    /// Notified when somebody calls off what runs.
+    /// Notified when the running request is cancelled.
     cancelled: Arc<Notify>,
-    all: Cancellations,
+    cancellations: Cancellations,
 }
 
-/// Returns once somebody calls off what runs there, and never where nobody can.
+/// Returns once the request that runs on the connection is cancelled; never without a registration.
 pub(super) async fn cancelled(registration: Option<&Registration>) {
     match registration {
         Some(registration) => registration.cancelled.notified().await,
@@ -64,6 +64,6 @@
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        self.all.connections().remove(&self.key.secret);
+        self.cancellations.connections().remove(&self.key.secret);
     }
 }
--- /dev/null
+++ b/src/net/frontend/client/answers.rs
@@ -0,0 +1,107 @@
+//! Answers back to the client, in the order of its requests.
+
+use super::limits::WRITE_BATCH_BYTES;
+use super::{Client, ConnectionEnd};
+use crate::interface::RequestId;
+use crate::net::frontend::conversation::Conversation;
+use crate::net::frontend::fault::Fault;
+use crate::net::messages::{Answer, Value};
+use crate::net::stream::{Chunk, Chunks, Remainder};
+use bytes::BytesMut;
+use std::io;
+use tokio::time::Instant;
+
+/// What is written to a client when its turn comes.
+pub(super) enum QueuedAnswer {
+    /// What the protocol itself answers, encoded.
+    Bytes(BytesMut),
+    /// The proxy is ready.
+    Ready,
+    /// A host's value.
+    Value(Value),
+    /// There is no value.
+    Fault(Fault),
+}
+
+impl<C: Conversation> Client<C> {
+    /// Queues the answer to a request until its turn comes.
+    pub(super) fn queue_answer(&mut self, id: RequestId, answer: Answer) {
+        let mut bytes = 0;
+        let answer = match answer {
+            Answer::Served(value) => {
+                bytes = value.postgres_messages.as_ref().unwrap_or(&value.content).len();
+                QueuedAnswer::Value(value)
+            }
+            Answer::Rejected { retry_after } => QueuedAnswer::Fault(Fault::Rejected(retry_after)),
+            Answer::Failed => QueuedAnswer::Fault(Fault::Failed),
+            Answer::Invalid(problem) => {
+                let fault = Fault::Invalid(problem);
+                self.record_protocol_error(&fault);
+                QueuedAnswer::Fault(fault)
+            }
+        };
+        if self.pipeline.finish(id, answer) {
+            if let Some(reservation) = self.answer_reservations.get_mut(&id) {
+                let account = reservation.account();
+                // Less than was reserved: never rejected.
+                let _ = self.context.memory.resize_reservation(reservation, account, bytes as u64);
+            }
+        }
+    }
+
+    /// Writes the answers whose turn it is. Returns whether there were any.
+    ///
+    /// # Errors
+    /// When the connection has broken, or a host has aborted a long answer.
+    pub(super) async fn write_answers(&mut self) -> Result<bool, ConnectionEnd> {
+        let mut has_written = false;
+        while let Some(ready) = self.pipeline.pop_answer() {
+            has_written = true;
+            ready.id.map(|id| self.answer_reservations.remove(&id));
+            if let Some(chunks) = self.encode(ready.answer) {
+                self.write_chunks(chunks).await?;
+            }
+            if self.write_buffer.len() >= WRITE_BATCH_BYTES {
+                self.flush().await?;
+            }
+        }
+        self.flush().await?;
+        if has_written {
+            self.state.last_activity_at = Instant::now();
+        }
+        Ok(has_written)
+    }
+
+    /// Encodes an answer into the write buffer. Returns what follows of a long one.
+    fn encode(&mut self, answer: QueuedAnswer) -> Option<Chunks> {
+        let Self { conversation, write_buffer, .. } = self;
+        match answer {
+            QueuedAnswer::Bytes(bytes) => write_buffer.extend_from_slice(&bytes),
+            QueuedAnswer::Ready => conversation.write_ready(write_buffer),
+            QueuedAnswer::Fault(fault) => conversation.write_fault(&fault, write_buffer),
+            QueuedAnswer::Value(value) => match value.remainder.as_ref().map(Remainder::take) {
+                None => conversation.write_value(&value, write_buffer),
+                Some(chunks) if conversation.begin_large_value(&value, write_buffer) => return chunks,
+                Some(_) => conversation.write_fault(&Fault::Failed, write_buffer),
+            },
+        }
+        None
+    }
+
+    /// Writes a long answer as it comes.
+    ///
+    /// # Errors
+    /// As [`Self::write`]; also if the host aborts the answer, which the client sees by the end of its connection.
+    async fn write_chunks(&mut self, mut chunks: Chunks) -> io::Result<()> {
+        self.flush().await?;
+        loop {
+            match chunks.next().await {
+                Chunk::Bytes(bytes) => self.write(&bytes).await?,
+                Chunk::End => break,
+                Chunk::Aborted => return Err(io::ErrorKind::UnexpectedEof.into()),
+            }
+        }
+        self.conversation.end_large_value(&mut self.write_buffer);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/net/frontend/client/buffers.rs
@@ -0,0 +1,42 @@
+//! Memory accounting of a client's buffers.
+
+use super::limits::{ACCOUNTING_STEP, MAX_RETAINED_CAPACITY};
+use super::{Client, ConnectionEnd};
+use crate::net::frontend::conversation::Conversation;
+use crate::net::frontend::fault::Fault;
+use bytes::BytesMut;
+
+impl<C: Conversation> Client<C> {
+    /// Accounts for the buffers as they are. If the memory budget has too little left, the connection ends once all
+    /// requests are answered.
+    ///
+    /// # Errors
+    /// When the memory budget has too little left and no request is open.
+    pub(super) fn account_buffers(&mut self) -> Result<(), ConnectionEnd> {
+        if self.read_buffer.is_empty() && self.read_buffer.capacity() > MAX_RETAINED_CAPACITY {
+            // Many connections stay idle after one long statement.
+            self.read_buffer = BytesMut::new();
+        }
+        let Err(fault) = self.reserve_buffers() else { return Ok(()) };
+        if self.pipeline.is_empty() {
+            return Err(fault.into());
+        }
+        self.read_buffer = BytesMut::new();
+        self.close_with_fault(fault);
+        Ok(())
+    }
+
+    /// Reserves memory for the buffers as they are.
+    ///
+    /// # Errors
+    /// When the memory budget has too little left: the client may retry.
+    pub(super) fn reserve_buffers(&mut self) -> Result<(), Fault> {
+        let capacity = self.read_buffer.capacity() + self.write_buffer.capacity();
+        let bytes = capacity + self.conversation.buffered_bytes() + self.pipeline.waiting_bytes();
+        // Buffers shrink a little with each message: only complete steps are worth accounting for.
+        let bytes = bytes.next_multiple_of(ACCOUNTING_STEP) as u64;
+        let reservation = &mut self.admission.buffers;
+        let resized = self.context.memory.resize_reservation(reservation, self.account, bytes);
+        resized.map_err(|exceeded| Fault::Rejected(exceeded.rejection.retry_after))
+    }
+}
--- a/src/net/frontend/client/draining.rs
+++ b/src/net/frontend/client/draining.rs
@@ -1,42 +1,41 @@
 //! What a drain means for a client's actor: when one begins or ends, what the connection may do then, and how long a write
-//! may take. The decisions are [`crate::drain::connection`]'s.
+//! may take. The rules stand in [`crate::drain::connection`].
 
-use super::{Client, CloseReason, Over, Reply, WRITE};
+use super::answers::QueuedAnswer;
+use super::limits::{DRAIN_WRITE_STALL_TIMEOUT, WRITE_STALL_TIMEOUT};
+use super::{Client, ConnectionEnd};
 use crate::drain::connection::{self, ConnectionState, DrainDecision, Permission};
-use crate::interface::RequestId;
+use crate::net::frontend::close_reason::CloseReason;
+use crate::net::frontend::context::ClientContext;
 use crate::net::frontend::conversation::Conversation;
-use crate::net::frontend::Acceptor;
 use bytes::BytesMut;
 use std::future::pending;
-use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// Past the end of a drain a client is given up that has taken nothing of what is written for so long.
-const STALLED: Duration = Duration::from_secs(1);
-
-/// Told when a drain begins or is taken back.
+/// Notified when a drain begins or is taken back.
 pub(super) struct DrainSignals(watch::Receiver<()>);
 
 impl DrainSignals {
-    pub fn of(acceptor: &Acceptor) -> Self {
-        Self(acceptor.desk.drain_changes.subscribe())
+    /// Returns the signals of drains that begin or are taken back from now on.
+    pub fn of(context: &ClientContext) -> Self {
+        Self(context.admin.drain_changes.subscribe())
     }
 
-    /// Returns once a drain has begun, or has been taken back.
+    /// Returns once a drain has begun or has been taken back. Cancel safe.
     pub async fn changed(&mut self) {
         if self.0.changed().await.is_err() {
             pending().await
         }
     }
 
-    /// Returns once a connection that has not said who it is has had its time under a drain.
-    pub async fn startup_ends(&mut self, acceptor: &Acceptor) {
+    /// Returns once the startup of a connection has had its time under a drain.
+    pub async fn startup_deadline(&mut self, context: &ClientContext) {
         loop {
-            match acceptor.opens() {
-                Some(by) => {
-                    sleep_until(by).await;
-                    if acceptor.is_draining() {
+            match context.startup_deadline() {
+                Some(deadline) => {
+                    sleep_until(deadline).await;
+                    if context.is_draining() {
                         return;
                     }
                 }
@@ -46,41 +45,42 @@
     }
 }
 
-impl<C: Conversation, I: Fn() -> RequestId> Client<C, I> {
-    /// What the connection may do now; `begun` says whether part of a message is there.
-    pub(super) fn verdict(&self, begun: bool) -> DrainDecision {
-        if !self.acceptor.is_draining() {
+impl<C: Conversation> Client<C> {
+    /// Returns what the connection may do now; `has_partial_message` says whether part of a message was read.
+    pub(super) fn drain_decision(&self, has_partial_message: bool) -> DrainDecision {
+        if !self.context.is_draining() {
             return DrainDecision::OPEN;
         }
-        let clock = self.acceptor.clock;
+        let clock = self.context.clock;
         let state = ConnectionState {
-            last_activity_at: clock.timestamp(self.quiet),
-            has_sent_request: self.asked,
-            has_partial_message: begun,
+            last_activity_at: clock.timestamp(self.state.last_activity_at),
+            has_sent_request: self.state.has_sent_request,
+            has_partial_message,
         };
-        connection::decide(self.acceptor.active_drains(), state, clock.now())
+        connection::decide(self.context.active_drains(), state, clock.now())
     }
 
-    /// Whether nothing further may be read.
+    /// Returns whether nothing further may be read.
     pub(super) fn is_finishing(&self) -> bool {
-        self.verdict(false).permission >= Permission::Finishing
+        self.drain_decision(false).permission >= Permission::Finishing
     }
 
-    /// All that is owed is answered at once: the drain is past its end, and the client has sent more.
-    pub(super) fn finish_now(&mut self) {
-        if self.closing.is_none() {
-            self.closing = Some(Over::Closed(CloseReason::Drained));
-            let now = self.acceptor.clock.now();
-            self.pipeline.push_answer(Reply::Bytes(BytesMut::new()), now);
+    /// Makes all answers due at once: they are overdue under the drain, and the client has sent more.
+    pub(super) fn answer_now(&mut self) {
+        if self.state.closing.is_none() {
+            self.state.closing = Some(ConnectionEnd::Closed(CloseReason::Drained));
+            let now = self.context.clock.now();
+            self.pipeline.push_answer(QueuedAnswer::Bytes(BytesMut::new()), now);
         }
     }
 
-    /// By when the client has to take something of what is written, which it last did at that moment.
-    pub(super) fn write_ends(&self, last_taken: Instant) -> Instant {
-        let clock = self.acceptor.clock;
-        let drained =
-            connection::write_deadline(self.acceptor.active_drains(), clock.timestamp(last_taken), STALLED);
-        let patient = last_taken + WRITE;
-        drained.map_or(patient, |by| clock.instant(by).min(patient))
+    /// Returns by when the client has to take something of what is written, which it last did at `last_progress_at`.
+    pub(super) fn write_deadline(&self, last_progress_at: Instant) -> Instant {
+        let clock = self.context.clock;
+        let undrained = last_progress_at + WRITE_STALL_TIMEOUT;
+        let last_progress_at = clock.timestamp(last_progress_at);
+        let drains = self.context.active_drains();
+        let drained = connection::write_deadline(drains, last_progress_at, DRAIN_WRITE_STALL_TIMEOUT);
+        drained.map_or(undrained, |deadline| clock.instant(deadline).min(undrained))
     }
 }
--- /dev/null
+++ b/src/net/frontend/client/end.rs
@@ -0,0 +1,125 @@
+//! The end of a client connection: why it ends, the error that the client gets, and the close itself.
+
+use super::limits::{LINGER_TIMEOUT, MAX_LINGER_BYTES, MAX_RETAINED_CAPACITY};
+use super::{Activity, Client};
+use crate::drain::connection;
+use crate::net::frontend::close_reason::CloseReason;
+use crate::net::frontend::conversation::Conversation;
+use crate::net::frontend::fault::Fault;
+use crate::net::socket::{has_unread_bytes, peer_closed};
+use bytes::BytesMut;
+use std::io;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::time::{timeout, Instant};
+
+/// Why a connection ends.
+#[derive(Debug)]
+pub(super) enum ConnectionEnd {
+    /// The client gets no error.
+    Closed(CloseReason),
+    /// The client gets this fault; what it still sends is read and dropped for a while.
+    Fault(Fault),
+    /// The client gets this fault and is closed at once, since its slot is needed.
+    Evicted(Fault),
+    /// Too many invalid statements. What was read is answered; the client gets an error if it has sent more.
+    ProtocolErrors,
+}
+
+impl From<io::Error> for ConnectionEnd {
+    fn from(error: io::Error) -> Self {
+        Self::Closed(CloseReason::Io(error.kind()))
+    }
+}
+
+impl From<Fault> for ConnectionEnd {
+    fn from(fault: Fault) -> Self {
+        Self::Fault(fault)
+    }
+}
+
+/// The error that a connection ends with.
+struct FatalError {
+    fault: Fault,
+    /// Whether what the client still sends is read and dropped for a while.
+    lingers: bool,
+}
+
+impl<C: Conversation> Client<C> {
+    /// Writes the error that the connection ends with, if any, and closes it.
+    pub(super) async fn close(&mut self, end: ConnectionEnd) {
+        let (reason, fatal_error) = self.fatal_error(end);
+        self.admission.entry.log_close(&reason, self.context.is_draining());
+        self.set_activity(Activity::Ending);
+        let lingers = fatal_error.as_ref().is_none_or(|error| error.lingers);
+        if let Some(error) = fatal_error {
+            self.write_fatal_error(&error.fault).await;
+            let _ = self.socket.shutdown().await;
+            if lingers {
+                let _ = timeout(self.linger_timeout(), self.drop_unread()).await;
+                return;
+            }
+        }
+        let _ = self.socket.shutdown().await;
+        if lingers && has_unread_bytes(&self.socket) {
+            // A close with unread bytes resets the connection, which discards answers that the system has not sent yet:
+            // the client sees the end of the stream first, and closes its side.
+            let _ = timeout(self.linger_timeout(), peer_closed(&self.socket)).await;
+        }
+    }
+
+    /// Returns why the connection ends, and the error that its client gets, if any.
+    fn fatal_error(&self, end: ConnectionEnd) -> (CloseReason, Option<FatalError>) {
+        match end {
+            ConnectionEnd::Closed(reason) => (reason, None),
+            ConnectionEnd::Fault(fault) => {
+                (CloseReason::Fault(fault.clone()), Some(FatalError { fault, lingers: true }))
+            }
+            ConnectionEnd::Evicted(fault) => {
+                (CloseReason::Fault(fault.clone()), Some(FatalError { fault, lingers: false }))
+            }
+            // Everything was answered: a further error would be a second answer to the last statement.
+            ConnectionEnd::ProtocolErrors if self.read_buffer.is_empty() => {
+                (CloseReason::ProtocolErrors, None)
+            }
+            ConnectionEnd::ProtocolErrors => {
+                let fault = Fault::ProtocolViolation("too many statements made no sense".to_owned());
+                (CloseReason::ProtocolErrors, Some(FatalError { fault, lingers: true }))
+            }
+        }
+    }
+
+    /// Writes a fatal error. The read buffer is released before that: others may wait for its memory.
+    async fn write_fatal_error(&mut self, fault: &Fault) {
+        self.context.counters.malformed();
+        self.record_rejection(fault);
+        self.conversation.write_fatal(fault, &mut self.write_buffer);
+        self.read_buffer = BytesMut::new();
+        let _ = self.reserve_buffers();
+        let _ = self.flush().await;
+    }
+
+    /// Returns how long the connection stays open behind its last bytes so that they arrive; not beyond the forced close of
+    /// a drain.
+    fn linger_timeout(&self) -> Duration {
+        let force_close_at = connection::force_close_at(self.context.active_drains());
+        let remaining = force_close_at.map(|force_close_at| {
+            self.context.clock.instant(force_close_at).saturating_duration_since(Instant::now())
+        });
+        LINGER_TIMEOUT.min(remaining.unwrap_or(LINGER_TIMEOUT))
+    }
+
+    /// Reads what the client still sends and drops it.
+    async fn drop_unread(&mut self) -> io::Result<()> {
+        let mut remaining = MAX_LINGER_BYTES;
+        while remaining > 0 {
+            self.read_buffer.clear();
+            self.read_buffer.reserve(MAX_RETAINED_CAPACITY);
+            match self.socket.read_buf(&mut self.read_buffer).await? {
+                0 => break,
+                read => remaining = remaining.saturating_sub(read),
+            }
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/net/frontend/client/output.rs
@@ -0,0 +1,54 @@
+//! Writes to the client.
+
+use super::limits::MAX_RETAINED_CAPACITY;
+use super::{Activity, Client};
+use crate::net::frontend::conversation::Conversation;
+use bytes::BytesMut;
+use std::io;
+use tokio::io::AsyncWriteExt;
+use tokio::time::{sleep_until, Instant};
+
+impl<C: Conversation> Client<C> {
+    /// Writes all that is in the write buffer.
+    ///
+    /// # Errors
+    /// As [`Self::write`].
+    pub(super) async fn flush(&mut self) -> io::Result<()> {
+        let bytes = self.write_buffer.split();
+        if bytes.is_empty() {
+            return Ok(());
+        }
+        if bytes.len() > MAX_RETAINED_CAPACITY {
+            self.write_buffer = BytesMut::new();
+        }
+        self.write(&bytes).await
+    }
+
+    /// Writes these bytes.
+    ///
+    /// # Errors
+    /// When the connection has broken, or the client takes nothing of what is written for too long.
+    pub(super) async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.set_activity(Activity::Writing);
+        // Usually the system takes all at once.
+        let mut remaining = match self.socket.try_write(bytes) {
+            Ok(written) => &bytes[written..],
+            Err(_) => bytes,
+        };
+        let mut last_progress_at = Instant::now();
+        while !remaining.is_empty() {
+            let deadline = self.write_deadline(last_progress_at);
+            tokio::select! {
+                biased;
+                written = self.socket.write(remaining) => {
+                    remaining = &remaining[written?..];
+                    last_progress_at = Instant::now();
+                }
+                () = sleep_until(deadline) => return Err(io::ErrorKind::TimedOut.into()),
+                // The deadline depends on the drain.
+                () = self.drains.changed() => {}
+            }
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/net/frontend/client/startup.rs
@@ -0,0 +1,68 @@
+//! The startup of a client connection, up to the open session.
+
+use super::waiting::notified;
+use super::{Activity, Client, ConnectionEnd, DrainSignals};
+use crate::net::frontend::close_reason::CloseReason;
+use crate::net::frontend::conversation::{ClientEvent, Conversation};
+use crate::net::socket::has_unread_bytes;
+use tokio::io::AsyncReadExt;
+use tokio::task::yield_now;
+use tokio::time::{sleep_until, Instant};
+
+impl<C: Conversation> Client<C> {
+    /// Serves the startup within its time. Returns once the session is open.
+    ///
+    /// # Errors
+    /// When the connection has broken or is no session, when the startup takes too long, and when the connection is
+    /// evicted. A connection that has sent its first bytes by then is heard once more.
+    pub(super) async fn open_session(&mut self) -> Result<(), ConnectionEnd> {
+        let context = self.context.clone();
+        // A silent client must not delay the end of a drain.
+        let mut drains = DrainSignals::of(&context);
+        let drain_deadline = drains.startup_deadline(&context);
+        tokio::pin!(drain_deadline);
+        let eviction = self.admission.startup_eviction.take();
+        let mut is_past_drain_deadline = false;
+        let deadline = self.state.startup_deadline();
+        loop {
+            tokio::select! {
+                // A session that is open by now stays.
+                biased;
+                opened = self.read_startup() => return opened,
+                () = notified(eviction.as_deref()) => {}
+                () = sleep_until(deadline) => {}
+                () = &mut drain_deadline, if !is_past_drain_deadline => is_past_drain_deadline = true,
+            }
+            if !self.read_buffer.is_empty() || !has_unread_bytes(&self.socket) {
+                return Err(ConnectionEnd::Closed(CloseReason::StartupTimeout));
+            }
+            yield_now().await;
+        }
+    }
+
+    /// Reads up to the open session. Cancel safe: what was read stays in the read buffer.
+    async fn read_startup(&mut self) -> Result<(), ConnectionEnd> {
+        loop {
+            self.set_activity(Activity::Startup);
+            while let Some(event) =
+                self.conversation.next_event(&mut self.read_buffer, &mut self.write_buffer)?
+            {
+                self.flush().await?;
+                match event {
+                    ClientEvent::SessionOpened => return Ok(()),
+                    ClientEvent::Terminated => return Err(ConnectionEnd::Closed(CloseReason::ClientLeft)),
+                    ClientEvent::CancelRequest(key) => {
+                        self.context.cancellations.cancel(key);
+                        return Err(ConnectionEnd::Closed(CloseReason::CancelRequest));
+                    }
+                    _ => {}
+                }
+            }
+            if self.socket.read_buf(&mut self.read_buffer).await? == 0 {
+                return Err(ConnectionEnd::Closed(CloseReason::ClientLeft));
+            }
+            self.state.last_read_at = Instant::now();
+            self.reserve_buffers()?;
+        }
+    }
+}
--- /dev/null
+++ b/src/net/frontend/client/statements.rs
@@ -0,0 +1,135 @@
+//! From bytes into the pipeline: statements that were read become requests, or answers that are known at once.
+
+use super::answers::QueuedAnswer;
+use super::dispatch::PendingRequest;
+use super::limits::ERROR_ANSWER_TIMEOUT;
+use super::{Client, ConnectionEnd};
+use crate::net::frontend::close_reason::CloseReason;
+use crate::net::frontend::conversation::{ClientEvent, Conversation};
+use crate::net::frontend::fault::Fault;
+use crate::net::frontend::request;
+use crate::net::messages::Request;
+use crate::pipeline::{Access, PipelinedRequest};
+use crate::rejection_reason::RejectionReason;
+use bytes::{Bytes, BytesMut};
+use std::sync::Arc;
+use tokio::time::Instant;
+
+impl<C: Conversation> Client<C> {
+    /// Returns whether a further statement would be read.
+    pub(super) fn takes_statements(&self) -> bool {
+        self.state.takes_statements() && self.pipeline.has_capacity()
+    }
+
+    /// Reads all complete statements that the pipeline has capacity for.
+    pub(super) fn read_statements(&mut self) {
+        while !self.read_buffer.is_empty() && self.takes_statements() {
+            let mut reply = BytesMut::new();
+            match self.conversation.next_event(&mut self.read_buffer, &mut reply) {
+                Ok(Some(event)) => {
+                    self.state.partial_since = None;
+                    self.handle_event(event, reply);
+                }
+                Ok(None) => return,
+                Err(fault) => {
+                    self.state.partial_since = None;
+                    self.close_with_fault(fault);
+                }
+            }
+        }
+    }
+
+    /// Ends the connection with a fault once all that was read is answered, and in time for the fault itself.
+    pub(super) fn close_with_fault(&mut self, fault: Fault) {
+        if self.state.closing.is_none() {
+            self.state.closing = Some(ConnectionEnd::Fault(fault));
+            self.push_answer(QueuedAnswer::Bytes(BytesMut::new()));
+        }
+    }
+
+    /// Counts and logs a statement that is no request.
+    pub(super) fn record_protocol_error(&mut self, fault: &Fault) {
+        self.context.counters.malformed();
+        self.record_rejection(fault);
+        self.state.record_protocol_error(Instant::now());
+    }
+
+    fn handle_event(&mut self, event: ClientEvent, reply: BytesMut) {
+        if !reply.is_empty() {
+            self.push_answer(QueuedAnswer::Bytes(reply));
+        }
+        match event {
+            ClientEvent::Statement(text) => {
+                self.state.has_sent_request = true;
+                self.handle_statement(text);
+            }
+            ClientEvent::InvalidStatement(fault) => {
+                self.state.has_sent_request = true;
+                self.reject_statement(fault);
+            }
+            ClientEvent::ReadinessCheck => {
+                self.state.has_sent_request = true;
+                self.handle_readiness_check();
+            }
+            ClientEvent::Answered => self.state.has_sent_request = true,
+            // What it has sent before is answered.
+            ClientEvent::Terminated => {
+                self.state.closing = Some(ConnectionEnd::Closed(CloseReason::ClientLeft));
+            }
+            ClientEvent::NoRequest | ClientEvent::SessionOpened | ClientEvent::CancelRequest(_) => {}
+        }
+    }
+
+    /// Answers whether the proxy is ready. A quiesced one is not, so that load balancers send new clients elsewhere.
+    fn handle_readiness_check(&mut self) {
+        let answer = if self.context.admin.serving() {
+            QueuedAnswer::Ready
+        } else {
+            self.record_rejection(&Fault::NotReady);
+            QueuedAnswer::Fault(Fault::NotReady)
+        };
+        self.push_answer(answer);
+    }
+
+    fn handle_statement(&mut self, text: Bytes) {
+        let settings = Arc::clone(&self.context.settings.borrow());
+        match request::read(text, &settings.names) {
+            Ok(request) => self.queue_request(request),
+            Err(fault) => self.reject_statement(fault),
+        }
+    }
+
+    fn queue_request(&mut self, request: Request) {
+        self.account = self.context.memory.account(request.class, request.tenant);
+        if self.state.is_peer_closed {
+            // The client may be gone, or have nothing more to send: a request from it is not executed.
+            return self.push_answer(QueuedAnswer::Fault(Fault::ClientLeft));
+        }
+        if self.is_rejected_over_limit() {
+            // The time for a retry spreads clients that would return at once otherwise.
+            self.context.rejections.record(RejectionReason::Seat, "all client connection slots are taken");
+            return self.push_answer(QueuedAnswer::Fault(Fault::Rejected(self.context.retry_after())));
+        }
+        let access =
+            request.session.map(|key| Access { group: request.group, key, is_write: request.is_write });
+        let pipelined = PipelinedRequest {
+            id: self.request_ids.next(),
+            access,
+            deadline: self.context.clock.timestamp(self.state.last_read_at + request.timeout),
+            bytes: request.statement.text.len(),
+        };
+        self.pipeline.push(pipelined, PendingRequest { request, arrived_at: self.state.last_read_at });
+    }
+
+    /// Answers a statement that is no request; the next one is read after a pause.
+    fn reject_statement(&mut self, fault: Fault) {
+        self.record_protocol_error(&fault);
+        self.push_answer(QueuedAnswer::Fault(fault));
+    }
+
+    /// Queues an answer that is known at once.
+    fn push_answer(&mut self, answer: QueuedAnswer) {
+        let deadline = self.context.clock.timestamp(Instant::now() + ERROR_ANSWER_TIMEOUT);
+        self.pipeline.push_answer(answer, deadline);
+    }
+}
--- a/src/net/frontend/client/waiting.rs
+++ b/src/net/frontend/client/waiting.rs
@@ -1,18 +1,18 @@
 //! What a client's actor waits for, while requests are open and while none is.
 
-use super::{Activity, Client, Over, FIRST, IDLE, PARTIAL, READ_AHEAD};
+use super::limits::{PRESSURE_IDLE_TIMEOUT, READ_AHEAD_BYTES};
+use super::{Activity, Admission, Client, ConnectionEnd};
 use crate::drain::connection::Permission;
-use crate::interface::RequestId;
 use crate::net::frontend::cancel::cancelled;
 use crate::net::frontend::close_reason::CloseReason;
 use crate::net::frontend::conversation::Conversation;
 use crate::net::frontend::fault::Fault;
 use crate::net::memory::Reclaim;
 use crate::net::messages::ClientMessage;
-use crate::net::socket::Socket;
-use crate::net::socket::{has_unread_bytes, peer_closed};
+use crate::net::socket::{has_unread_bytes, peer_closed, Socket};
 use crate::rejection_reason::RejectionReason;
 use bytes::BytesMut;
+use std::future::pending;
 use std::io;
 use std::sync::Arc;
 use tokio::io::AsyncReadExt;
@@ -20,195 +20,209 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant};
 
-/// What a client's actor does about bytes that come.
+/// What a client's actor does about bytes that arrive while requests are open.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Intake {
+enum ReadMode {
     /// It reads them.
     Read,
-    /// It leaves them in the socket, but sees its client leave.
-    Watch,
-    /// It leaves them in the socket, but sees that there are some.
-    Notice,
+    /// It leaves them in the socket, and waits for the client to end its side.
+    WatchClose,
+    /// It leaves them in the socket, and waits until there are some.
+    WatchBytes,
 }
 
-/// What may end a connection, or what its end depends on, while it has no request open.
-pub(super) struct Signals {
-    pub connection_pressure: watch::Receiver<()>,
-    pub reclaims: watch::Receiver<Vec<Arc<Reclaim>>>,
-    pub idle_new_connection: Option<Arc<Notify>>,
+/// What may end a connection while it has no request open.
+pub(super) struct IdleSignals {
+    /// Idle clients are asked to leave.
+    connection_pressure: watch::Receiver<()>,
+    /// Buffers have to be released.
+    reclaims: watch::Receiver<Vec<Arc<Reclaim>>>,
+    /// The connection is evicted, until its first request.
+    first_request_eviction: Option<Arc<Notify>>,
 }
 
-/// Reads what comes, or waits for the client to leave.
-async fn take_in(stream: &mut Socket, read: &mut BytesMut, intake: Intake) -> io::Result<usize> {
-    match intake {
-        Intake::Read => stream.read_buf(read).await,
-        Intake::Watch => {
-            peer_closed(stream).await;
+impl IdleSignals {
+    /// Returns the signals of a connection whose session was opened now: earlier reclaims don't concern it.
+    pub fn of(admission: &mut Admission) -> Self {
+        let mut reclaims = admission.reclaims.clone();
+        reclaims.mark_unchanged();
+        Self {
+            connection_pressure: admission.connection_pressure.clone(),
+            reclaims,
+            first_request_eviction: admission.first_request_eviction.take(),
+        }
+    }
+}
+
+/// Reads bytes, or waits for what the mode says. Returns how many bytes there are; 0 if the client has ended its side.
+async fn read_or_watch(socket: &mut Socket, read_buffer: &mut BytesMut, mode: ReadMode) -> io::Result<usize> {
+    match mode {
+        ReadMode::Read => socket.read_buf(read_buffer).await,
+        ReadMode::WatchClose => {
+            peer_closed(socket).await;
             Ok(0)
         }
-        Intake::Notice => stream.peek(&mut [0]).await,
+        ReadMode::WatchBytes => socket.peek(&mut [0]).await,
     }
 }
 
-/// Returns at that moment, and never where there is none. A timer is set only once this is waited for.
-async fn reached(moment: Option<Instant>) {
-    match moment {
-        Some(moment) => sleep_until(moment).await,
-        None => std::future::pending().await,
+/// Returns at that time; never if there is none. A timer is set only once this is polled.
+async fn reached(time: Option<Instant>) {
+    match time {
+        Some(time) => sleep_until(time).await,
+        None => pending().await,
     }
 }
 
-/// Returns once somebody is notified, and never where there is nobody to be.
+/// Returns once this is notified; never if there is none.
 pub(super) async fn notified(notify: Option<&Notify>) {
     match notify {
         Some(notify) => notify.notified().await,
-        None => std::future::pending().await,
+        None => pending().await,
     }
 }
 
-impl<C: Conversation, I: Fn() -> RequestId> Client<C, I> {
-    /// Waits while requests are open, or while statements have to wait after an error.
+impl<C: Conversation> Client<C> {
+    /// Waits for one event while requests are open, or while statements have to wait after an error.
     ///
     /// # Errors
     /// When the connection has broken.
-    pub(super) async fn wait_for_answers(&mut self) -> Result<(), Over> {
-        if !self.read.is_empty() {
+    pub(super) async fn wait_for_answers(&mut self) -> Result<(), ConnectionEnd> {
+        if !self.read_buffer.is_empty() {
             self.account_buffers()?;
         }
-        self.note_partial();
-        let late = self.partial.and(self.partial_by());
-        let verdict = self.verdict(false);
-        let until = verdict.reevaluate_at.map(|until| self.acceptor.clock.instant(until));
-        let (intake, paused) = (self.intake(verdict.permission), self.paused);
-        self.describe(if paused.is_some() { Activity::Paused } else { Activity::Answering });
-        let Self { stream, read, mailbox, registration, drains, .. } = self;
+        self.note_partial_message();
+        let message_deadline = self.state.partial_since.and(self.state.statement_deadline());
+        let decision = self.drain_decision(false);
+        let reevaluate_at = decision.reevaluate_at.map(|time| self.context.clock.instant(time));
+        let mode = self.read_mode(decision.permission);
+        let paused_until = self.state.paused_until;
+        self.set_activity(if paused_until.is_some() { Activity::Paused } else { Activity::Answering });
+        let Self { socket, read_buffer, mailbox, cancellation, drains, .. } = self;
         tokio::select! {
             biased;
-            Some(ClientMessage::Answer(id, answer)) = mailbox.recv() => self.take_answer(id, answer),
-            read = take_in(stream, read, intake), if !self.ended => match read {
-                Ok(1..) if intake == Intake::Notice => self.finish_now(),
-                read => self.take_bytes(read).await?,
+            Some(ClientMessage::Answer(id, answer)) = mailbox.recv() => self.queue_answer(id, answer),
+            read = read_or_watch(socket, read_buffer, mode), if !self.state.is_peer_closed => match read {
+                Ok(1..) if mode == ReadMode::WatchBytes => self.answer_now(),
+                read => self.handle_read(read).await?,
             },
-            () = cancelled(registration.as_ref()) => self.cancel_first().await,
-            () = reached(paused), if paused.is_some() => self.paused = None,
-            () = reached(late), if late.is_some() => self.fail_partial(),
+            () = cancelled(cancellation.as_ref()) => self.cancel_first_request().await,
+            () = reached(paused_until), if paused_until.is_some() => self.state.paused_until = None,
+            () = reached(message_deadline), if message_deadline.is_some() => self.fail_partial_message(),
             // What may be read depends on the drain.
-            () = reached(until), if until.is_some() => {}
+            () = reached(reevaluate_at), if reevaluate_at.is_some() => {}
             () = drains.changed() => {}
         }
         Ok(())
     }
 
-    /// Waits while no request is open.
+    /// Waits for one event while no request is open.
     ///
     /// # Errors
     /// When the connection has broken, or has to end.
-    pub(super) async fn wait_for_request(&mut self, signals: &mut Signals) -> Result<(), Over> {
-        signals.idle_new_connection.take_if(|_| self.asked);
-        let begun = self.note_partial();
-        let late = self.partial_by();
-        self.describe(if begun { Activity::Receiving } else { Activity::Idle });
-        // What comes at the drain's end may still bring its first request, or the rest of one.
-        let closes = self.verdict(begun).close_idle_at.map(|closes| self.acceptor.clock.instant(closes));
-        let Self { stream, read, drains, .. } = self;
+    pub(super) async fn wait_for_request(&mut self, signals: &mut IdleSignals) -> Result<(), ConnectionEnd> {
+        signals.first_request_eviction.take_if(|_| self.state.has_sent_request);
+        let has_partial = self.note_partial_message();
+        let statement_deadline = self.state.statement_deadline();
+        self.set_activity(if has_partial { Activity::Receiving } else { Activity::Idle });
+        // What arrives at the drain's end may still be its first request, or the rest of one.
+        let close_idle_at = self.drain_decision(has_partial).close_idle_at;
+        let close_idle_at = close_idle_at.map(|time| self.context.clock.instant(time));
+        let Self { socket, read_buffer, drains, .. } = self;
         tokio::select! {
             biased;
-            read = stream.read_buf(read) => self.take_bytes(read).await?,
-            () = reached(late), if late.is_some() => {
-                if self.partial.is_some() {
-                    self.fail_partial();
-                } else if !has_unread_bytes(&self.stream) {
-                    return Err(Over::Closed(CloseReason::FirstStatementTimeout));
-                } else {
-                    yield_now().await;
-                }
+            read = socket.read_buf(read_buffer) => self.handle_read(read).await?,
+            () = reached(statement_deadline), if statement_deadline.is_some() => {
+                self.handle_statement_deadline().await?;
             }
-            () = notified(signals.idle_new_connection.as_deref()) => {
-                self.acceptor.rejections.record(RejectionReason::Seat, "a new connection that asked for nothing made room");
-                return Err(Over::Seat(Fault::Refused(self.acceptor.retry_after())));
-            }
-            () = reached(closes), if closes.is_some() => {
-                // Once it has begun something its time is over, however much still comes.
-                if begun || !has_unread_bytes(&self.stream) {
-                    return Err(Over::Closed(CloseReason::Drained));
+            () = notified(signals.first_request_eviction.as_deref()) => return Err(self.evict()),
+            () = reached(close_idle_at), if close_idle_at.is_some() => {
+                // The time of a message that has begun is over, however much of it still arrives.
+                if has_partial || !has_unread_bytes(&self.socket) {
+                    return Err(ConnectionEnd::Closed(CloseReason::Drained));
                 }
                 yield_now().await;
             }
             () = drains.changed() => {}
-            Ok(()) = signals.reclaims.changed() => {
-                let (account, held) = (self.account, self.admission.buffers.bytes());
-                let reclaims = signals.reclaims.borrow_and_update();
-                if reclaims.iter().any(|reclaim| reclaim.claims(account, held)) {
-                    return Err(Fault::Refused(self.acceptor.retry_after()).into());
-                }
-            }
+            Ok(()) = signals.reclaims.changed() => self.release_if_reclaimed(&signals.reclaims.borrow_and_update())?,
             Ok(()) = signals.connection_pressure.changed() => {
-                if !begun && self.quiet.elapsed() >= IDLE {
-                    return Err(Over::Closed(CloseReason::ConnectionPressure));
+                if !has_partial && self.state.last_activity_at.elapsed() >= PRESSURE_IDLE_TIMEOUT {
+                    return Err(ConnectionEnd::Closed(CloseReason::ConnectionPressure));
                 }
             }
         }
         Ok(())
     }
 
-    /// Notes when a message began that is not whole yet; whether there is one.
-    fn note_partial(&mut self) -> bool {
-        let begun = self.conversation.begun(&self.read);
-        if begun && self.takes_statements() {
-            self.partial.get_or_insert_with(Instant::now);
+    /// Fails the message that is not complete in time, or closes a connection whose first request hasn't come.
+    async fn handle_statement_deadline(&mut self) -> Result<(), ConnectionEnd> {
+        if self.state.partial_since.is_some() {
+            self.fail_partial_message();
+        } else if !has_unread_bytes(&self.socket) {
+            return Err(ConnectionEnd::Closed(CloseReason::FirstStatementTimeout));
+        } else {
+            yield_now().await;
         }
-        begun
+        Ok(())
     }
 
-    fn fail_partial(&mut self) {
-        self.partial = None;
-        self.fail(Fault::Broken("a message did not come to its end".to_owned()));
+    /// Records the eviction of a connection without a request. Returns what it ends with.
+    fn evict(&self) -> ConnectionEnd {
+        self.context
+            .rejections
+            .record(RejectionReason::Seat, "a new connection without a request was evicted");
+        ConnectionEnd::Evicted(Fault::Rejected(self.context.retry_after()))
     }
 
-    /// Whether bytes are to be read. While the pipeline is full some are read ahead, to see the client leave early; after an
-    /// error, once the connection is to end and late in a drain, none are.
-    fn intake(&self, permission: Permission) -> Intake {
-        if permission == Permission::Overdue && self.closing.is_none() {
-            return Intake::Notice;
+    /// Ends the connection if it has to release its buffers.
+    fn release_if_reclaimed(&self, reclaims: &[Arc<Reclaim>]) -> Result<(), ConnectionEnd> {
+        let bytes = self.admission.buffers.bytes();
+        if reclaims.iter().any(|reclaim| reclaim.claims(self.account, bytes)) {
+            return Err(Fault::Rejected(self.context.retry_after()).into());
         }
-        let is_open = permission == Permission::Open && self.closing.is_none();
-        let may_read = is_open && self.paused.is_none();
-        let is_wanted = self.pipeline.has_capacity() || self.read.len() < READ_AHEAD;
-        if may_read && is_wanted {
-            Intake::Read
-        } else {
-            Intake::Watch
+        Ok(())
+    }
+
+    /// Notes when a message began that is not complete yet. Returns whether there is one.
+    fn note_partial_message(&mut self) -> bool {
+        let has_partial = self.conversation.has_partial_message(&self.read_buffer);
+        if has_partial && self.takes_statements() {
+            self.state.partial_since.get_or_insert_with(Instant::now);
         }
+        has_partial
+    }
+
+    fn fail_partial_message(&mut self) {
+        self.state.partial_since = None;
+        self.close_with_fault(Fault::ProtocolViolation("a message did not come to its end".to_owned()));
     }
 
-    /// When the next whole statement has to have come, if it has to at all: one that has begun, or the first one.
-    fn partial_by(&self) -> Option<Instant> {
-        if self.closing.is_some() {
-            return None;
+    /// Returns what to do about bytes that arrive. While the pipeline is full some are read ahead, to see the client leave
+    /// early; after an error, once the connection is to end, and late in a drain none are read.
+    fn read_mode(&self, permission: Permission) -> ReadMode {
+        if permission == Permission::Overdue && self.state.closing.is_none() {
+            return ReadMode::WatchBytes;
         }
-        match self.partial {
-            Some(since) => Some(if self.asked { since } else { self.came } + PARTIAL),
-            None => (!self.asked).then_some(self.came + FIRST),
+        let may_read = permission == Permission::Open && self.state.takes_statements();
+        let has_capacity = self.pipeline.has_capacity() || self.read_buffer.len() < READ_AHEAD_BYTES;
+        if may_read && has_capacity {
+            ReadMode::Read
+        } else {
+            ReadMode::WatchClose
         }
     }
 
-    /// Takes in what a read has brought.
+    /// Handles the result of a read: more bytes, or the end of the client's side.
     ///
     /// # Errors
     /// When the connection has broken.
-    async fn take_bytes(&mut self, read: io::Result<usize>) -> Result<(), Over> {
-        match read? {
-            0 => {
-                self.ended = true;
-                // Nothing more of it is held back.
-                self.paused = None;
-                self.abandon().await;
-            }
-            _ => {
-                self.quiet = Instant::now();
-                self.read_at = self.quiet;
-                self.look_for_cancel().await;
-            }
+    async fn handle_read(&mut self, read: io::Result<usize>) -> Result<(), ConnectionEnd> {
+        if read? == 0 {
+            self.state.record_peer_closed();
+            self.abandon_requests().await;
+        } else {
+            self.state.record_read(Instant::now());
+            self.cancel_if_asked().await;
         }
         Ok(())
     }
--- a/src/net/frontend/close_reason.rs
+++ b/src/net/frontend/close_reason.rs
@@ -1,49 +1,49 @@
-//! Why a client connection is closed, as logs name it.
+//! Why a client connection is closed, for the log.
 
 use super::fault::Fault;
 use std::{fmt, io};
 
-/// Why a connection was closed.
+/// Why a connection was closed. Each says whose side ended it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// The client has ended its side, or said goodbye.
+    /// Client: it has ended its side, or terminated the session.
     ClientLeft,
-    /// It called off a request of another connection and had nothing more to say.
+    /// Client: the connection carried a cancel request, which is all it may carry.
     CancelRequest,
-    /// The connection has broken, or takes nothing of what is written.
+    /// Network: the connection has broken, or the client takes nothing of what is written.
     Io(io::ErrorKind),
-    /// The startup did not come to its end in time.
+    /// Client: the startup was not complete in time.
     StartupTimeout,
-    /// No whole statement came in time.
+    /// Client: no complete statement came in time.
     FirstStatementTimeout,
-    /// A drain closes idle connections.
+    /// Proxy: a drain closed it.
     Drained,
-    /// It was idle for long, and connections have run short.
+    /// Proxy: it was idle, and client connection slots had run short.
     ConnectionPressure,
-    /// All places for connections are taken.
+    /// Proxy: all client connection slots are taken.
     OverLimit,
-    /// Too many statements made no sense.
+    /// Client: too many invalid statements.
     ProtocolErrors,
-    /// The client was told this fault.
+    /// The client got this fault, which says whose side failed.
     Fault(Fault),
-    /// The module's actor has ended.
-    ModuleEnded,
+    /// Proxy: the core actor has ended.
+    CoreEnded,
 }
 
 impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::ClientLeft => f.write_str("the client left"),
-            Self::CancelRequest => f.write_str("a cancel request"),
+            Self::ClientLeft => f.write_str("client left"),
+            Self::CancelRequest => f.write_str("cancel request"),
             Self::Io(kind) => write!(f, "{kind}"),
-            Self::StartupTimeout => f.write_str("no startup in time"),
-            Self::FirstStatementTimeout => f.write_str("no statement in time"),
-            Self::Drained => f.write_str("a drain"),
-            Self::ConnectionPressure => f.write_str("connections run short"),
-            Self::OverLimit => f.write_str("over the limit of connections"),
+            Self::StartupTimeout => f.write_str("startup timeout"),
+            Self::FirstStatementTimeout => f.write_str("first statement timeout"),
+            Self::Drained => f.write_str("drain"),
+            Self::ConnectionPressure => f.write_str("connection pressure"),
+            Self::OverLimit => f.write_str("over the connection limit"),
             Self::ProtocolErrors => f.write_str("too many protocol errors"),
             Self::Fault(fault) => write!(f, "{}", fault.text()),
-            Self::ModuleEnded => f.write_str("the module has ended"),
+            Self::CoreEnded => f.write_str("core actor ended"),
         }
     }
 }
--- a/src/net/frontend/fault.rs
+++ b/src/net/frontend/fault.rs
@@ -1,4 +1,4 @@
-//! What clients are told when there is no value, in each protocol's own terms.
+//! What clients get when there is no value, encoded for each protocol. The texts are part of the interface.
 
 use crate::interface::TimeDelta;
 use crate::net::messages::InvalidRequest;
@@ -12,48 +12,50 @@
 
 /// A TLS alert: fatal, protocol version (RFC 8446, 6). A client that begins with TLS can read nothing else.
 const TLS_ALERT: [u8; 7] = [0x15, 0x03, 0x01, 0x00, 0x02, 0x02, 0x46];
-const USERS_ERROR: u8 = 16;
-const SYNTAX_ERROR: u8 = 15;
-/// From here on the connection ends.
-const FATAL: u8 = 20;
+/// The TDS error class of an error that the user can correct.
+const USER_ERROR_CLASS: u8 = 16;
+/// The TDS error class of a syntax error.
+const SYNTAX_ERROR_CLASS: u8 = 15;
+/// The lowest TDS error class that ends the connection.
+const FATAL_ERROR_CLASS: u8 = 20;
 
 /// Why there is no value, or why a connection ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
-    /// Refused: trying again is harmless, after that time if there is one.
-    Refused(Option<TimeDelta>),
-    /// The list of ledger hosts has not come yet.
+    /// Rejected: nothing was done and a retry is harmless, after this time if there is one. The proxy's side.
+    Rejected(Option<TimeDelta>),
+    /// There is no endpoint list yet, or the proxy is quiesced. The proxy's side.
     NotReady,
-    /// No ledger host answered; it may have had an effect.
+    /// No host answered in time; the request may have had an effect. The hosts' side.
     Failed,
-    /// The client has ended its side.
-    Left,
-    /// The client has called the request off.
+    /// The client has ended its side of the connection.
+    ClientLeft,
+    /// The client has cancelled the request.
     Cancelled,
-    /// The statement is no text.
+    /// The statement is not UTF-8. The client's side, as all that follow.
     Encoding,
-    /// The statement has another form, or says too little or too much.
+    /// The statement has another form, or lacks or repeats a part.
     Statement(StatementError),
-    /// The call that brings the statement has another form.
+    /// The procedure call that carries the statement has another form.
     Syntax(String),
-    /// The statement names what is not there, or does not fit its class.
+    /// The statement does not fit this installation.
     Invalid(InvalidRequest),
-    /// A part of the protocol that is not served.
+    /// It uses a part of the protocol that is not supported.
     Unsupported(String),
-    /// A message is longer than is taken.
+    /// A message exceeds the length limit.
     TooLong,
-    /// The stream breaks the protocol.
-    Broken(String),
-    /// The login cannot be accepted.
+    /// The stream violates the protocol.
+    ProtocolViolation(String),
+    /// The login is not accepted.
     Login(String),
-    /// Another protocol than this port's: to be told in that one.
-    Foreign(Foreign),
+    /// The client speaks another protocol than this port's, and is answered in that one.
+    WrongProtocol(ForeignProtocol),
 }
 
-/// What else a client may speak.
+/// A protocol that a client speaks on the wrong port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Foreign {
-    /// Another protocol of the proxy's, on the port of the one that is named second.
+pub(super) enum ForeignProtocol {
+    /// The first protocol, on a port of the second.
     Protocol(Protocol, Protocol),
     /// TLS from the first byte on, as TDS 8.0 does.
     Tls,
@@ -63,7 +65,7 @@
     fn from(problem: WireError) -> Self {
         match problem {
             WireError::TooLong => Self::TooLong,
-            WireError::Malformed => Self::Broken(problem.to_string()),
+            WireError::Malformed => Self::ProtocolViolation(problem.to_string()),
         }
     }
 }
@@ -72,38 +74,40 @@
     fn from(problem: wheelpier_tds::WireError) -> Self {
         match problem {
             wheelpier_tds::WireError::TooLong => Self::TooLong,
-            _ => Self::Broken(problem.to_string()),
+            _ => Self::ProtocolViolation(problem.to_string()),
         }
     }
 }
 
 impl Fault {
-    /// In words.
+    /// Returns the text that clients are sent.
     pub fn text(&self) -> String {
         match self {
-            Self::Refused(_) => "not now: trying again is harmless".to_owned(),
+            Self::Rejected(_) => "not now: trying again is harmless".to_owned(),
             Self::NotReady => "the list of ledger hosts has not come yet".to_owned(),
             Self::Failed => "no ledger host answered in time".to_owned(),
-            Self::Left => "the client has ended the connection".to_owned(),
+            Self::ClientLeft => "the client has ended the connection".to_owned(),
             Self::Cancelled => "called off on the client's request".to_owned(),
             Self::Encoding => "the statement is not UTF-8".to_owned(),
             Self::TooLong => "a message is longer than is taken here".to_owned(),
             Self::Statement(problem) => problem.to_string(),
             Self::Invalid(problem) => problem.to_string(),
-            Self::Syntax(text) | Self::Unsupported(text) | Self::Broken(text) | Self::Login(text) => {
-                text.clone()
-            }
-            Self::Foreign(Foreign::Protocol(spoken, port)) => {
+            Self::Syntax(text)
+            | Self::Unsupported(text)
+            | Self::ProtocolViolation(text)
+            | Self::Login(text) => text.clone(),
+            Self::WrongProtocol(ForeignProtocol::Protocol(spoken, port)) => {
                 format!("this port speaks {port}, not {spoken}")
             }
-            Self::Foreign(Foreign::Tls) => "encryption is not had here".to_owned(),
+            Self::WrongProtocol(ForeignProtocol::Tls) => "encryption is not had here".to_owned(),
         }
     }
 
-    /// As figures and logs name it; none where nothing is turned away, or where whoever did so has told.
+    /// Returns the reason that counters and logs give for it; `None` if nothing was rejected, or if the core actor has
+    /// counted the rejection.
     pub fn reason(&self) -> Option<RejectionReason> {
         Some(match self {
-            Self::Refused(_) | Self::Failed | Self::Left | Self::Cancelled => return None,
+            Self::Rejected(_) | Self::Failed | Self::ClientLeft | Self::Cancelled => return None,
             Self::NotReady => RejectionReason::NotReady,
             Self::Encoding => RejectionReason::Encoding,
             Self::Statement(StatementError::Form) | Self::Syntax(_) => RejectionReason::Form,
@@ -111,66 +115,67 @@
             Self::Statement(StatementError::Twice(_)) => RejectionReason::Twice,
             Self::Statement(StatementError::Value(_)) => RejectionReason::Value,
             Self::Invalid(problem) => problem.reason(),
-            Self::Unsupported(_) | Self::Foreign(_) => RejectionReason::Unsupported,
+            Self::Unsupported(_) | Self::WrongProtocol(_) => RejectionReason::Unsupported,
             Self::TooLong => RejectionReason::TooLong,
-            Self::Broken(_) => RejectionReason::Broken,
+            Self::ProtocolViolation(_) => RejectionReason::Broken,
             Self::Login(_) => RejectionReason::Login,
         })
     }
 
-    /// Milliseconds to stay away, where they are told.
-    fn wait(&self) -> Option<i64> {
+    /// Returns after how many milliseconds the client may retry, if it is given a time.
+    fn retry_after_ms(&self) -> Option<i64> {
         match self {
-            Self::Refused(wait) => wait.map(|wait| (wait.0 / 1000).max(1)),
+            Self::Rejected(retry_after) => retry_after.map(|retry_after| (retry_after.0 / 1000).max(1)),
             _ => None,
         }
     }
 
-    /// SQLSTATE.
-    fn state(&self) -> &'static str {
+    /// Returns the SQLSTATE.
+    fn sqlstate(&self) -> &'static str {
         match self {
-            Self::Refused(_) => "53300",
+            Self::Rejected(_) => "53300",
             Self::NotReady => "57P03",
             Self::Failed => "58000",
-            Self::Left | Self::Cancelled => "57014",
+            Self::ClientLeft | Self::Cancelled => "57014",
             Self::Encoding => "22021",
             Self::Statement(_) | Self::Syntax(_) => "42601",
             Self::Invalid(_) => "22023",
-            Self::Unsupported(_) | Self::Foreign(_) => "0A000",
+            Self::Unsupported(_) | Self::WrongProtocol(_) => "0A000",
             Self::TooLong => "54000",
-            Self::Broken(_) => "08P01",
+            Self::ProtocolViolation(_) => "08P01",
             Self::Login(_) => "28000",
         }
     }
 
+    /// Returns the TDS error number.
     fn number(&self) -> i32 {
         match self {
-            Self::Refused(_) => numbers::BUSY,
+            Self::Rejected(_) => numbers::BUSY,
             Self::NotReady => numbers::UNAVAILABLE,
             Self::Failed => numbers::FAILED,
-            Self::Left | Self::Cancelled => numbers::LEFT,
+            Self::ClientLeft | Self::Cancelled => numbers::LEFT,
             Self::Encoding | Self::Statement(_) | Self::Syntax(_) => numbers::SYNTAX,
             Self::Invalid(_) => numbers::INVALID,
-            Self::Unsupported(_) | Self::Foreign(_) => numbers::UNSUPPORTED,
-            Self::TooLong | Self::Broken(_) => numbers::PROTOCOL,
+            Self::Unsupported(_) | Self::WrongProtocol(_) => numbers::UNSUPPORTED,
+            Self::TooLong | Self::ProtocolViolation(_) => numbers::PROTOCOL,
             Self::Login(_) => numbers::LOGIN,
         }
     }
 
-    /// As ErrorResponse.
+    /// Encodes it as an ErrorResponse of PostgreSQL's protocol.
     pub fn put_postgres(&self, severity: &str, out: &mut BytesMut) {
-        let wait = self.wait().map(|ms| ms.to_string());
-        pgwire::error(out, severity, self.state(), &self.text(), wait.as_deref());
+        let retry_after = self.retry_after_ms().map(|ms| ms.to_string());
+        pgwire::error(out, severity, self.sqlstate(), &self.text(), retry_after.as_deref());
     }
 
-    /// As ERROR and the end that follows it.
+    /// Encodes it as the tokens ERROR and DONE of TDS.
     pub fn put_tds(&self, kind: DoneKind, fatal: bool, out: &mut BytesMut) {
         let class = match self {
-            _ if fatal => FATAL,
-            Self::Encoding | Self::Statement(_) | Self::Syntax(_) => SYNTAX_ERROR,
-            _ => USERS_ERROR,
+            _ if fatal => FATAL_ERROR_CLASS,
+            Self::Encoding | Self::Statement(_) | Self::Syntax(_) => SYNTAX_ERROR_CLASS,
+            _ => USER_ERROR_CLASS,
         };
-        let message = match self.wait() {
+        let message = match self.retry_after_ms() {
             Some(ms) => format!("{}. Come again after {ms} ms.", self.text()),
             None => self.text(),
         };
@@ -178,12 +183,12 @@
         put_done(out, kind, Done { error: true, ..Done::default() });
     }
 
-    /// As the last that a client hears which speaks another protocol.
-    pub fn put_foreign(&self, foreign: Foreign, out: &mut BytesMut) {
+    /// Encodes it for a client of another protocol, whose connection ends with it.
+    pub fn put_foreign(&self, foreign: ForeignProtocol, out: &mut BytesMut) {
         match foreign {
-            Foreign::Tls => out.put_slice(&TLS_ALERT),
-            Foreign::Protocol(Protocol::Postgres, _) => self.put_postgres("FATAL", out),
-            Foreign::Protocol(Protocol::Tds, _) => {
+            ForeignProtocol::Tls => out.put_slice(&TLS_ALERT),
+            ForeignProtocol::Protocol(Protocol::Postgres, _) => self.put_postgres("FATAL", out),
+            ForeignProtocol::Protocol(Protocol::Tds, _) => {
                 let mut payload = BytesMut::new();
                 self.put_tds(DoneKind::Batch, true, &mut payload);
                 put_message(out, PacketType::Result, Status::default(), &payload, PACKET_SIZE);
--- a/src/net/frontend/postgres.rs
+++ b/src/net/frontend/postgres.rs
@@ -1,88 +1,92 @@
 //! PostgreSQL's protocol 3 with a client: simple queries, which may be pipelined.
 
 use super::cancel::CancelKey;
-use super::conversation::{Conversation, Step};
-use super::fault::{Fault, Foreign};
+use super::conversation::{ClientEvent, Conversation};
+use super::fault::{Fault, ForeignProtocol};
 use crate::net::messages::Value;
 use crate::pgwire::{self, FrontendMessage, Startup};
 use crate::protocol::Protocol;
 use bytes::BytesMut;
 
-/// How TDS begins: a packet of type PRELOGIN that is the whole message. As a startup packet it would be far too
-/// long.
-const TDS: [u8; 2] = [0x12, 0x01];
+/// The first bytes of TDS: a packet of type PRELOGIN that is the complete message. Read as a startup packet it would exceed
+/// the length limit.
+const TDS_PRELOGIN: [u8; 2] = [0x12, 0x01];
 
+/// A session of PostgreSQL's protocol.
 #[derive(Debug)]
 pub(super) struct Postgres {
-    /// What the session is known by to those who call off what runs on it.
-    key: CancelKey,
-    open: bool,
-    /// In a run of extended messages after an error: all is skipped up to Sync.
-    skipping: bool,
+    /// The key that cancel requests name.
+    cancel_key: CancelKey,
+    /// Whether the startup is complete.
+    is_open: bool,
+    /// Whether all messages up to Sync are skipped, after an error in extended ones.
+    is_skipping: bool,
 }
 
 impl Postgres {
-    /// A conversation that has not begun.
-    pub fn new(key: CancelKey) -> Self {
-        Self { key, open: false, skipping: false }
+    /// Returns a session before its startup.
+    pub fn new(cancel_key: CancelKey) -> Self {
+        Self { cancel_key, is_open: false, is_skipping: false }
     }
 
-    fn startup(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<Step>, Fault> {
-        if read.starts_with(&TDS) {
-            return Err(Fault::Foreign(Foreign::Protocol(Protocol::Tds, Protocol::Postgres)));
+    fn startup(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<ClientEvent>, Fault> {
+        if read.starts_with(&TDS_PRELOGIN) {
+            return Err(Fault::WrongProtocol(ForeignProtocol::Protocol(Protocol::Tds, Protocol::Postgres)));
         }
         let Some((startup, length)) = Startup::parse(read)? else { return Ok(None) };
         let _ = read.split_to(length);
         match startup {
             Startup::Encryption => {
                 out.extend_from_slice(b"N");
-                Ok(Some(Step::Passed))
+                Ok(Some(ClientEvent::NoRequest))
             }
-            Startup::Cancel(key) => Ok(Some(Step::Cancels(key))),
+            Startup::Cancel(key) => Ok(Some(ClientEvent::CancelRequest(key))),
             Startup::Unsupported => Err(Fault::Unsupported("only protocol 3 is spoken".to_owned())),
             Startup::Session { minor } => {
-                pgwire::welcome(out, minor, (self.key.process, self.key.secret));
-                self.open = true;
-                Ok(Some(Step::Opened))
+                pgwire::welcome(out, minor, (self.cancel_key.process, self.cancel_key.secret));
+                self.is_open = true;
+                Ok(Some(ClientEvent::SessionOpened))
             }
         }
     }
 
-    fn query(&mut self, text: BytesMut, out: &mut BytesMut) -> Step {
-        let Ok(words) = std::str::from_utf8(&text) else { return Step::Senseless(Fault::Encoding) };
+    fn query(&mut self, text: BytesMut, out: &mut BytesMut) -> ClientEvent {
+        let Ok(words) = std::str::from_utf8(&text) else {
+            return ClientEvent::InvalidStatement(Fault::Encoding);
+        };
         if words.trim_matches(|c: char| c.is_whitespace() || c == ';').is_empty() {
-            return Step::Ready;
+            return ClientEvent::ReadinessCheck;
         }
         match session_command(words) {
             Some(tag) => {
                 pgwire::command_complete(out, tag);
                 pgwire::ready(out);
-                Step::Answered
+                ClientEvent::Answered
             }
-            None => Step::Statement(text.freeze()),
+            None => ClientEvent::Statement(text.freeze()),
         }
     }
 }
 
 impl Conversation for Postgres {
-    fn next(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<Step>, Fault> {
-        if !self.open {
+    fn next_event(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<ClientEvent>, Fault> {
+        if !self.is_open {
             return self.startup(read, out);
         }
         let Some((message, length)) = FrontendMessage::parse(read)? else { return Ok(None) };
         let query = match message {
-            FrontendMessage::Query(text) if !self.skipping => Some(text.len()),
-            FrontendMessage::Terminate => return Ok(Some(Step::Leaves)),
+            FrontendMessage::Query(text) if !self.is_skipping => Some(text.len()),
+            FrontendMessage::Terminate => return Ok(Some(ClientEvent::Terminated)),
             FrontendMessage::Unknown(kind) => {
-                return Err(Fault::Broken(format!("unknown message type {kind}")));
+                return Err(Fault::ProtocolViolation(format!("unknown message type {kind}")));
             }
-            FrontendMessage::Extended if !self.skipping => {
-                self.skipping = true;
+            FrontendMessage::Extended if !self.is_skipping => {
+                self.is_skipping = true;
                 Fault::Unsupported("only simple queries are served".to_owned()).put_postgres("ERROR", out);
                 None
             }
             FrontendMessage::Sync => {
-                self.skipping = false;
+                self.is_skipping = false;
                 pgwire::ready(out);
                 None
             }
@@ -95,33 +99,33 @@
                 text.truncate(length);
                 self.query(text, out)
             }
-            None => Step::Passed,
+            None => ClientEvent::NoRequest,
         }))
     }
 
-    fn begun(&self, read: &BytesMut) -> bool {
+    fn has_partial_message(&self, read: &BytesMut) -> bool {
         !read.is_empty()
     }
 
-    fn held(&self) -> usize {
+    fn buffered_bytes(&self) -> usize {
         0
     }
 
-    fn pipelines(&self) -> bool {
+    fn is_pipelined(&self) -> bool {
         true
     }
 
-    /// A cancel comes on a connection of its own.
-    fn gives_up(&mut self, _read: &mut BytesMut, _out: &mut BytesMut) -> Result<bool, Fault> {
+    /// Cancel requests come on a connection of their own.
+    fn take_cancellation(&mut self, _read: &mut BytesMut, _out: &mut BytesMut) -> Result<bool, Fault> {
         Ok(false)
     }
 
-    fn ready(&mut self, out: &mut BytesMut) {
+    fn write_ready(&mut self, out: &mut BytesMut) {
         pgwire::empty_query(out);
         pgwire::ready(out);
     }
 
-    fn served(&mut self, value: &Value, out: &mut BytesMut) {
+    fn write_value(&mut self, value: &Value, out: &mut BytesMut) {
         match &value.postgres_messages {
             Some(messages) => out.extend_from_slice(messages),
             None => pgwire::row(out, "content", &value.content),
@@ -129,29 +133,29 @@
         pgwire::ready(out);
     }
 
-    fn begin_value(&mut self, value: &Value, out: &mut BytesMut) -> bool {
+    fn begin_large_value(&mut self, value: &Value, out: &mut BytesMut) -> bool {
         value.postgres_messages.iter().for_each(|messages| out.extend_from_slice(messages));
         value.postgres_messages.is_some()
     }
 
-    fn end_value(&mut self, out: &mut BytesMut) {
+    fn end_large_value(&mut self, out: &mut BytesMut) {
         pgwire::ready(out);
     }
 
-    fn fault(&mut self, fault: &Fault, out: &mut BytesMut) {
+    fn write_fault(&mut self, fault: &Fault, out: &mut BytesMut) {
         fault.put_postgres("ERROR", out);
         pgwire::ready(out);
     }
 
-    fn end(&mut self, fault: &Fault, out: &mut BytesMut) {
+    fn write_fatal(&mut self, fault: &Fault, out: &mut BytesMut) {
         match fault {
-            Fault::Foreign(foreign) => fault.put_foreign(*foreign, out),
+            Fault::WrongProtocol(foreign) => fault.put_foreign(*foreign, out),
             _ => fault.put_postgres("FATAL", out),
         }
     }
 }
 
-/// The tag of a statement that only sets up a session: libraries send them; they have no effect here.
+/// Returns the command tag of a statement that only sets up a session. Client libraries send them; they have no effect here.
 fn session_command(words: &str) -> Option<&'static str> {
     let verb = words.split_whitespace().next()?.trim_end_matches(';');
     ["SET", "RESET", "DISCARD"].into_iter().find(|tag| verb.eq_ignore_ascii_case(tag))
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -1,4 +1,4 @@
-//! What a statement asks: names become numbers, and what must be there is.
+//! From a statement to a request: names become indices into the settings, and required parts are checked.
 
 use super::fault::Fault;
 use crate::config::Names;
@@ -8,14 +8,14 @@
 use bytes::Bytes;
 use std::time::Duration;
 
-/// A client that waits longer is taken to wait so long: timers cannot be set for any time to come.
-const MOST_WAIT: Duration = Duration::from_secs(3_600);
+/// The longest timeout of a request; a longer one counts as this. Timers have an upper bound.
+const MAX_TIMEOUT: Duration = Duration::from_secs(3_600);
 
-/// Reads a statement.
+/// Parses a statement.
 ///
 /// # Errors
-/// When it has another form, names a class that is not there or does not fit it, or lacks what this
-/// installation needs of it: a tenant where the settings have tenants, a key where its class is keyed.
+/// When it has another form, names an unknown class or one that it doesn't fit, or lacks what this installation requires:
+/// a tenant if the settings have tenants, an idempotency key if its class needs one.
 pub(super) fn read(text: Bytes, names: &Names) -> Result<Request, Fault> {
     let words = std::str::from_utf8(&text).map_err(|_| Fault::Encoding)?;
     let KvStatement { write, key, value_at, comment } =
@@ -33,7 +33,7 @@
     if comment.tenant.is_none() && names.has_tenants() {
         return Err(Fault::Statement(StatementError::Lacks("t")));
     }
-    // A tenant that the settings do not name has no share of its own: the module gives it full worth.
+    // A tenant that the settings do not name has no quota: the router gives it full weight.
     let tenant = comment.tenant.as_deref().and_then(|name| names.tenant(name));
     let last_write = comment.after_ms.filter(|ms| *ms > 0.0).map(|ms| Timestamp((ms * 1e3) as i64));
     let session = Some(SessionId::of(key));
@@ -45,7 +45,8 @@
         session,
         is_client_retry: comment.again,
         last_write_at: last_write,
-        timeout: Duration::try_from_secs_f64(comment.wait_ms / 1e3).map_or(MOST_WAIT, |d| d.min(MOST_WAIT)),
+        timeout: Duration::try_from_secs_f64(comment.wait_ms / 1e3)
+            .map_or(MAX_TIMEOUT, |d| d.min(MAX_TIMEOUT)),
         name: comment.id,
         statement: Statement { timeout_range: comment.wait_at, value_range: value_at, text },
     })
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -140,23 +140,23 @@
         let memory = Memory::new(budget, config.plan.clone(), clock);
         let rejections = Rejections::new(Arc::clone(&counters), clock);
         let (reclaims, reclaimed) = watch::channel(Vec::new());
-        let acceptor = frontend::Acceptor {
+        let context = frontend::ClientContext {
             clock,
             events: events.clone(),
-            terms: agreed,
-            desk,
+            settings: agreed,
+            admin: desk,
             draining,
             counters: Arc::clone(&counters),
             rejections: rejections.clone(),
             memory: memory.clone(),
             reclaims: reclaimed,
-            limit: config.limits.clients,
-            pipeline: config.pipeline(),
+            max_clients: config.limits.clients,
+            pipeline_limits: config.pipeline(),
             cancellations: frontend::Cancellations::default(),
             connections: frontend::ConnectionRegistry::default(),
         };
-        let (quiesced, drained) = (acceptor.desk.quiesced.subscribe(), acceptor.draining.clone());
-        let reporter = tokio::spawn(frontend::report_drains(acceptor.connections.clone(), quiesced, drained));
+        let reporter =
+            tokio::spawn(frontend::report_drains(context.connections.clone(), context.admin.clone()));
         let core = core::Core::new(
             config.clone(),
             clock,
@@ -177,7 +177,7 @@
         let retuner = tokio::spawn(retune(file, events.clone(), terms, drain.subscribe()));
         let follower = tokio::spawn(discovery::follow(discovery, zones, since, asking, events));
         let watcher = tokio::spawn(memory.watch(reclaims));
-        let mut front = tokio::spawn(frontend::accept(listeners, acceptor));
+        let mut front = tokio::spawn(frontend::Acceptor::new(listeners, context).run());
         let mut core = tokio::spawn(core.run(mailbox));
         let ended = loop {
             tokio::select! {
@@ -252,7 +252,7 @@
     events: mpsc::Sender<messages::CoreEvent>,
 ) {
     let Ok(Some(since)) = draining.wait_for(Option::is_some).await.map(|since| *since) else { return };
-    let by = since + terms.borrow().drain.answers_due_after;
+    let by = since + terms.borrow().shutdown.answers_due_after;
     // Fails only when the module has ended, and then so does the process.
     let _ = events.send(messages::CoreEvent::DrainStarted(by)).await;
 }
@@ -273,7 +273,7 @@
             return;
         }
         if draining.borrow().is_some() {
-            agreed.drain = terms.borrow().drain;
+            agreed.shutdown = terms.borrow().shutdown;
         }
         tracing::info!("the configuration is read anew: {} classes", agreed.names.classes.len());
         terms.send_replace(Arc::new(agreed));
