--- /dev/null
+++ b/src/net/core/attempts.rs
@@ -0,0 +1,132 @@
+//! Forwarding a request to a host, and the end of an attempt.
+
+use super::request_table::send_answer;
+use super::Core;
+use crate::counters::Ended;
+use crate::interface::{AttemptResult, Event, HostId, Outcome, ReadRequirement, RequestId, TimeDelta};
+use crate::net::messages::{Answer, AttemptEnd};
+use crate::net::upstream::{Attempt, Command};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The router's decision to forward a request.
+#[derive(Debug)]
+pub(super) struct Forward {
+    pub id: RequestId,
+    pub host: HostId,
+    /// How long the attempt may take; until the request's deadline if there is none.
+    pub timeout: Option<TimeDelta>,
+    /// What the data behind the answer has to satisfy.
+    pub requirement: ReadRequirement,
+    /// After this time the query is not written any more.
+    pub write_by: Option<Instant>,
+}
+
+impl Core {
+    /// Gives a request to a host's actor. The attempt ends as not sent if the request is closed, its deadline has passed,
+    /// its attempts are used up or the host is gone.
+    pub(super) async fn forward(&mut self, forward: Forward) {
+        let Forward { id, host, timeout, requirement, write_by } = forward;
+        let now = Instant::now();
+        let Some(request) = self.requests.get_mut(id) else {
+            return tracing::error!(request_id = id.0, "request forwarded after its end");
+        };
+        let attempt = request.attempt_hosts.len() as u32;
+        request.attempt_hosts.push(host);
+        request.requirement = requirement;
+        let is_pointless =
+            request.is_closed() || now >= request.deadline || attempt >= self.config.max_attempts;
+        let Some(handle) = self.hosts.get_mut(host).filter(|_| !is_pointless) else {
+            let request_closed = request.is_closed();
+            return self.attempt_not_sent(id, attempt, host, request_closed);
+        };
+        request.in_flight_attempts += 1;
+        handle.outstanding += 1;
+        self.counters.attempt_sent();
+        let timeout = timeout.map(|timeout| now + Duration::from_micros(timeout.0.max(0) as u64));
+        let command = Command::Attempt(Attempt {
+            id,
+            attempt,
+            statement: request.statement.clone(),
+            client_liveness: request.client_liveness.clone(),
+            sent_at: now,
+            deadline: timeout.map_or(request.deadline, |at| at.min(request.deadline)),
+            write_by,
+        });
+        handle.actor.send(command).await;
+    }
+
+    fn attempt_not_sent(&mut self, id: RequestId, attempt: u32, host: HostId, request_closed: bool) {
+        self.counters.outcome(Outcome::NotSent);
+        self.pending_events.push_back(Event::AttemptEnded(AttemptResult {
+            id,
+            attempt,
+            host,
+            outcome: Outcome::NotSent,
+            latency: TimeDelta(0),
+            request_closed,
+            position: None,
+            role: None,
+            report: None,
+        }));
+    }
+
+    /// Cancels an attempt, whatever it has come to.
+    pub(super) async fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
+        let request = self.requests.get(id);
+        let host = request.and_then(|request| request.attempt_hosts.get(attempt as usize));
+        if let Some(handle) = host.and_then(|host| self.hosts.get(*host)) {
+            handle.actor.send(Command::Cancel { id, attempt }).await;
+        }
+    }
+
+    /// Withdraws the attempts in flight of a request that has ended: a query that its host does not have completely yet is
+    /// not written any more. This is no cancellation, since such a query never runs.
+    pub(super) async fn withdraw_attempts(&mut self, id: RequestId) {
+        let request = self.requests.get(id).filter(|request| request.in_flight_attempts > 0);
+        let Some(request) = request else { return };
+        for (attempt, host) in request.attempt_hosts.iter().enumerate() {
+            if let Some(handle) = self.hosts.get(*host) {
+                handle.actor.send(Command::Withdraw { id, attempt: attempt as u32 }).await;
+            }
+        }
+    }
+
+    /// Takes the end of an attempt: answers the request if it brought a value, and notifies the router.
+    pub(super) async fn attempt_ended(&mut self, mut end: AttemptEnd) {
+        let outcome = if self.is_stale(&end) { Outcome::Stale } else { end.outcome };
+        let id = end.id;
+        self.counters.outcome(outcome);
+        self.hosts.work_ended(end.host);
+        let is_open = self.note_attempt_ended(id);
+        let mut served = None;
+        if outcome == Outcome::Ok && is_open {
+            served = self.close(id, Ended::Served).zip(end.value.take());
+        }
+        let result = AttemptResult {
+            id,
+            attempt: end.attempt,
+            host: end.host,
+            outcome,
+            latency: end.latency,
+            request_closed: !is_open || outcome == Outcome::Ok,
+            position: self.observe_position(&end, outcome),
+            role: end.role,
+            report: None,
+        };
+        // Before the answer is sent, so that the client's next read finds the commit known.
+        self.notify_router(Event::AttemptEnded(result)).await;
+        if let Some((client, value)) = served {
+            send_answer(&client, id, Answer::Served(value));
+            self.withdraw_attempts(id).await;
+        }
+        self.requests.remove_if_finished(id);
+    }
+
+    /// Counts an attempt as ended. Returns whether its request is open.
+    fn note_attempt_ended(&mut self, id: RequestId) -> bool {
+        let Some(request) = self.requests.get_mut(id) else { return false };
+        request.in_flight_attempts -= 1;
+        !request.is_closed()
+    }
+}
--- /dev/null
+++ b/src/net/core/endpoints.rs
@@ -0,0 +1,80 @@
+//! Endpoint lists from discovery.
+
+use super::Core;
+use crate::endpoint_list::{EndpointList, ListedEndpoint};
+use crate::interface::{EndpointEntry, EndpointUpdate, Event, HostId, HostState};
+use crate::net::upstream::{Command, HostAddress};
+use std::collections::HashSet;
+use tokio::time::Instant;
+
+impl Core {
+    /// Takes an endpoint list: updates the hosts and their actors, and notifies the router.
+    pub(super) async fn update_endpoints(&mut self, list: EndpointList, kind: EndpointUpdate) {
+        self.counters.endpoint_list();
+        let now = Instant::now();
+        let mut entries = Vec::with_capacity(list.entries.len());
+        let mut listed_hosts = HashSet::new();
+        for listed in list.entries {
+            let entry = self.update_endpoint(listed, now).await;
+            listed_hosts.insert(entry.host);
+            entries.push(entry);
+        }
+        if kind != EndpointUpdate::Delta {
+            self.keep_unreadable(&list.unread, &mut listed_hosts, &mut entries);
+            self.remove_unlisted(&listed_hosts, now).await;
+        }
+        self.hosts.remove_expired(now);
+        self.counters.discovered(self.hosts.listed());
+        let can_serve = entries.iter().any(|entry| entry.state == HostState::Running);
+        self.notify_router(Event::EndpointList(kind, entries)).await;
+        if can_serve {
+            self.ready.send_replace(true);
+        }
+    }
+
+    /// Registers or updates a host. Returns its entry for the router.
+    async fn update_endpoint(&mut self, listed: ListedEndpoint, now: Instant) -> EndpointEntry {
+        let protocol = self.config.operator.hosts.protocol(&listed.kind);
+        let address = HostAddress { address: listed.address, protocol };
+        let host = self.hosts.register(&listed, address);
+        let ListedEndpoint { group, zone, weight, state, since, .. } = listed;
+        let entry = EndpointEntry {
+            host,
+            group,
+            zone,
+            weight,
+            listed_as_primary: false,
+            state,
+            started_at: since.map(|since| self.host_clock.local(since)),
+        };
+        if let Some(handle) = self.hosts.update(&entry, now) {
+            // Precedes every attempt that the router decides on from now on.
+            handle.actor.send(Command::Listed { address, state }).await;
+        }
+        entry
+    }
+
+    /// Adds the previous entries of hosts that a complete list names, but whose new entries cannot be read.
+    fn keep_unreadable(
+        &self,
+        names: &[String],
+        listed_hosts: &mut HashSet<HostId>,
+        entries: &mut Vec<EndpointEntry>,
+    ) {
+        for handle in names.iter().filter_map(|name| self.hosts.by_name(name)) {
+            if listed_hosts.insert(handle.entry.host) {
+                entries.push(handle.entry.clone());
+            }
+        }
+    }
+
+    /// Marks the hosts that a complete list does not name as removed.
+    async fn remove_unlisted(&mut self, listed_hosts: &HashSet<HostId>, now: Instant) {
+        for (host, handle) in self.hosts.iter_mut() {
+            if !listed_hosts.contains(&host) {
+                handle.removed_at.get_or_insert(now);
+                handle.actor.send(Command::Unlisted).await;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/net/core/positions.rs
@@ -0,0 +1,62 @@
+//! Log positions and times that hosts report, in this machine's time.
+
+use super::Core;
+use crate::interface::{HostId, LoadReport, LogPosition, Outcome, Role, Timestamp};
+use crate::net::messages::AttemptEnd;
+use crate::state::host_clock::Sample;
+
+impl Core {
+    /// Returns the position that an attempt's answer reported, in local time, after the hosts' clock has been checked
+    /// against it.
+    pub(super) fn observe_position(&mut self, end: &AttemptEnd, outcome: Outcome) -> Option<LogPosition> {
+        let is_commit = outcome == Outcome::Ok && self.is_write(end);
+        let position = end.position?.rounded(is_commit);
+        let written_at = end.written_at.map(|at| self.clock.timestamp(at));
+        self.observe_host_clock(end.host, position, end.role, written_at);
+        Some(self.host_clock.local_position(position))
+    }
+
+    /// Returns a load report in local time. Its position is left out while the host's positions contradict the clock; its
+    /// role still counts.
+    pub(super) fn report_in_local_time(&mut self, host: HostId, report: LoadReport) -> LoadReport {
+        let Some(position) = report.position else { return report };
+        self.observe_host_clock(host, position, report.role, None);
+        let position = Some(self.host_clock.local_position(position));
+        LoadReport { position: position.filter(|_| !self.host_clock.is_in_doubt(host)), ..report }
+    }
+
+    /// Checks the hosts' clock against a position, and moves all that is known in it if the clock has to be set anew.
+    fn observe_host_clock(
+        &mut self,
+        host: HostId,
+        position: LogPosition,
+        role: Option<Role>,
+        sent: Option<Timestamp>,
+    ) {
+        let received = self.clock.now();
+        let sample = Sample { position, role, sent, received };
+        let Some(shift) = self.host_clock.note(host, sample) else { return };
+        let offset_ms = self.host_clock.offset_us() / 1000;
+        tracing::warn!(offset_ms, "offset of the hosts' clock changed");
+        self.hosts.shift_start_times(shift);
+        self.router.rebase(received, shift);
+    }
+
+    /// Returns whether the data behind an answer are too old for its request, where the settings leave that check to the
+    /// proxy. The bound counts from the query's last byte, which may have waited for its connection since the router's
+    /// decision. A primary is never stale.
+    pub(super) fn is_stale(&self, end: &AttemptEnd) -> bool {
+        if !self.config.settings.responses_verified || end.outcome != Outcome::Ok {
+            return false;
+        }
+        let request = self.requests.get(end.id).filter(|request| !request.is_write);
+        let Some((request, written_at)) = request.zip(end.written_at) else { return false };
+        let applied = end.position.map(|position| self.host_clock.local_position(position.rounded(false)));
+        end.role != Some(Role::Primary)
+            && !request.requirement.is_met_by(applied, self.clock.timestamp(written_at))
+    }
+
+    fn is_write(&self, end: &AttemptEnd) -> bool {
+        self.requests.get(end.id).is_some_and(|request| request.is_write)
+    }
+}
--- /dev/null
+++ b/src/net/core/requests.rs
@@ -0,0 +1,218 @@
+//! Arrival, answer and end of a request.
+
+use super::request_table::{send_answer, InFlightRequest};
+use super::timers::{final_reply_at, request_deadline};
+use super::Core;
+use crate::budget::{BudgetExceeded, Reservation};
+use crate::counters::Ended;
+use crate::interface::{
+    self, Event, Freshness, Idempotency, KeyScope, ReadRequirement, RequestId, TimeDelta, Timestamp,
+};
+use crate::net::messages::{Answer, Arrival, ClientMessage, InvalidRequest, Request};
+use crate::rejection_reason::RejectionReason;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+/// Why a request is not taken into the request table.
+#[derive(Debug, thiserror::Error)]
+enum AdmissionError {
+    /// No group is known yet, though any may be listed.
+    #[error("no endpoint list has come yet")]
+    NotReady,
+    #[error("the limit of requests in flight is reached")]
+    TooManyRequests,
+    #[error("no memory is left for a request: {0}")]
+    OutOfMemory(BudgetExceeded),
+    #[error("the request is invalid: {0}")]
+    Invalid(InvalidRequest),
+}
+
+impl Core {
+    /// Admits a request and notifies the router of it, or answers it at once.
+    pub(super) async fn request_arrived(&mut self, arrival: Arrival) {
+        self.counters.request_accepted();
+        match self.admit(&arrival.request) {
+            Ok(memory_reservation) => {
+                let request = self.insert_request(arrival, memory_reservation);
+                self.notify_router(Event::RequestArrived(request)).await;
+            }
+            Err(error) => self.refuse(&arrival, error),
+        }
+    }
+
+    /// Reserves the request's name and its memory.
+    fn admit(&mut self, request: &Request) -> Result<Reservation, AdmissionError> {
+        if self.hosts.is_empty() {
+            return Err(AdmissionError::NotReady);
+        }
+        if self.requests.open() >= self.config.most_held {
+            return Err(AdmissionError::TooManyRequests);
+        }
+        // The router would queue a request of an unknown group until its client disconnects.
+        if !self.hosts.has_group(request.group) {
+            return Err(AdmissionError::Invalid(InvalidRequest::UnknownGroup(request.group)));
+        }
+        if !self.requests.reserve_name(&request.name) {
+            return Err(AdmissionError::Invalid(InvalidRequest::DuplicateId));
+        }
+        let statement_bytes = request.statement.text.len();
+        self.memory.request(request.class, request.tenant, statement_bytes).map_err(|error| {
+            self.requests.release_name(&request.name);
+            AdmissionError::OutOfMemory(error)
+        })
+    }
+
+    /// Answers a request that is not admitted.
+    fn refuse(&self, arrival: &Arrival, error: AdmissionError) {
+        let retry_after = self.max_retry_after();
+        let (reason, retry_after) = match error {
+            AdmissionError::NotReady => (RejectionReason::NotReady, retry_after),
+            AdmissionError::TooManyRequests => (RejectionReason::Held, retry_after),
+            AdmissionError::OutOfMemory(ref error) => {
+                (RejectionReason::Memory, retry_after.and(error.rejection.retry_after))
+            }
+            AdmissionError::Invalid(invalid) => {
+                self.counters.ended(Ended::Failed, arrival.request.class);
+                return send_answer(&arrival.client, arrival.id, Answer::Invalid(invalid));
+            }
+        };
+        self.rejections.record(reason, error);
+        self.counters.ended(Ended::Rejected, arrival.request.class);
+        send_answer(&arrival.client, arrival.id, Answer::Rejected { retry_after });
+    }
+
+    /// Takes an admitted request into the table. Returns what the router is told of it.
+    fn insert_request(&mut self, arrival: Arrival, memory_reservation: Reservation) -> interface::Request {
+        let Arrival { id, request, arrived_at, reply_due, client, client_liveness } = arrival;
+        let deadline = request_deadline(arrived_at, request.timeout);
+        let final_reply_at = final_reply_at(arrived_at, reply_due.min(arrived_at + request.timeout));
+        let Request {
+            class, tenant, group, session, is_client_retry, last_write_at, name, statement, ..
+        } = request;
+        let router_request = interface::Request {
+            id,
+            class,
+            group,
+            tenant,
+            time_since_write: last_write_at.map(|at| self.time_since_write(arrived_at, at)),
+            is_client_retry,
+            timeout: time_delta(deadline.saturating_duration_since(Instant::now())),
+            session,
+        };
+        let in_flight = InFlightRequest {
+            name,
+            statement,
+            deadline,
+            client: Some(client),
+            client_liveness,
+            final_reply_timer: Some(self.timers.set_final_reply(final_reply_at, id)),
+            is_reply_due_early: reply_due < deadline,
+            attempt_hosts: Vec::new(),
+            requirement: ReadRequirement::Any,
+            in_flight_attempts: 0,
+            is_write: self.config.settings.classes[class].freshness == Freshness::Write,
+            class,
+            _memory_reservation: memory_reservation,
+        };
+        self.requests.insert(id, in_flight);
+        router_request
+    }
+
+    /// Returns how long before `arrived_at` the session's last write was. A write that lies ahead of the clock counts as
+    /// made just now.
+    fn time_since_write(&self, arrived_at: Instant, last_write_at: Timestamp) -> TimeDelta {
+        let since_write = self.clock.timestamp(arrived_at).0 - self.host_clock.local(last_write_at).0;
+        TimeDelta(since_write.max(1))
+    }
+
+    /// Makes the reply to a request due at `reply_due`, if it was due later.
+    pub(super) fn bring_reply_forward(&mut self, id: RequestId, reply_due: Instant) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let Some(timer) = &request.final_reply_timer else { return };
+        let at = final_reply_at(Instant::now(), reply_due);
+        request.is_reply_due_early |= self.timers.bring_forward(timer, at);
+    }
+
+    /// Ends a request whose client has disconnected.
+    pub(super) async fn client_disconnected(&mut self, id: RequestId) {
+        if self.close(id, Ended::Left).is_some() {
+            self.notify_router(Event::ClientDisconnected(id)).await;
+        }
+        self.withdraw_attempts(id).await;
+        self.requests.remove_if_finished(id);
+    }
+
+    /// Answers a request whose reply is due. Guarantees that every request is answered in time, whatever the router does.
+    pub(super) async fn reply_finally(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.final_reply_timer = None;
+        }
+        if let Some(request) = self.requests.get(id) {
+            self.record_final_reply(id, request);
+        }
+        let (ended, answer) = match self.requests.get(id).is_none_or(|request| self.retry_is_safe(request)) {
+            true => (Ended::Rejected, Answer::Rejected { retry_after: self.max_retry_after() }),
+            false => (Ended::Failed, Answer::Failed),
+        };
+        if let Some(client) = self.close(id, ended) {
+            send_answer(&client, id, answer);
+            self.notify_router(Event::ClientDisconnected(id)).await;
+        }
+        self.withdraw_attempts(id).await;
+        self.requests.remove_if_finished(id);
+    }
+
+    fn record_final_reply(&self, id: RequestId, request: &InFlightRequest) {
+        if request.is_reply_due_early {
+            let attempts = request.attempt_hosts.len();
+            let cause = format_args!(
+                "a request without an answer after {attempts} attempts, with others behind it on its connection"
+            );
+            self.rejections.record(RejectionReason::Order, cause);
+        } else {
+            tracing::warn!(
+                request_id = id.0,
+                attempt_hosts = ?request.attempt_hosts,
+                in_flight_attempts = request.in_flight_attempts,
+                "request not answered by its deadline"
+            );
+        }
+    }
+
+    /// Returns whether the client may retry: no host had the request, or repeating it does no harm.
+    fn retry_is_safe(&self, request: &InFlightRequest) -> bool {
+        let class = self.config.settings.classes.get(request.class);
+        let idempotency = class.map(|class| class.idempotency);
+        request.attempt_hosts.is_empty()
+            || matches!(idempotency, Some(Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All)))
+    }
+
+    /// Returns the longest Retry-After of the settings; none where the settings allow none.
+    fn max_retry_after(&self) -> Option<TimeDelta> {
+        let settings = &self.config.settings;
+        settings.retry_after_allowed.then_some(settings.max_retry_after)
+    }
+
+    /// Marks a request as ended. Returns where its answer goes; none if it is not open.
+    pub(super) fn close(&mut self, id: RequestId, ended: Ended) -> Option<mpsc::Sender<ClientMessage>> {
+        let closed = self.requests.close(id)?;
+        if let Some(timer) = closed.final_reply_timer {
+            self.timers.cancel(timer);
+        }
+        self.counters.ended(ended, closed.class);
+        Some(closed.client)
+    }
+
+    /// Answers a request, if it is open.
+    pub(super) fn answer(&mut self, id: RequestId, ended: Ended, answer: Answer) {
+        if let Some(client) = self.close(id, ended) {
+            send_answer(&client, id, answer);
+        }
+        self.requests.remove_if_finished(id);
+    }
+}
+
+fn time_delta(duration: Duration) -> TimeDelta {
+    TimeDelta(duration.as_micros() as i64)
+}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -157,15 +157,15 @@
         };
         let (quiesced, drained) = (acceptor.desk.quiesced.subscribe(), acceptor.draining.clone());
         let reporter = tokio::spawn(frontend::report_drains(acceptor.connections.clone(), quiesced, drained));
-        let core = core::Core::new(
-            config.clone(),
+        let context = core::CoreContext {
             clock,
-            events.clone(),
+            events: events.clone(),
             ready,
-            Arc::clone(&counters),
+            counters: Arc::clone(&counters),
             rejections,
-            memory.clone(),
-        );
+            memory: memory.clone(),
+        };
+        let core = core::Core::new(config.clone(), context);
         let core = core.map_err(io::Error::other)?;
         let asking = DiscoveryRetry::new(
             config.settings.router_count,
--- /dev/null
+++ b/src/net/upstream/attempt.rs
@@ -0,0 +1,191 @@
+//! One attempt: connects, writes the query, reads the answer, and concludes the outcome.
+
+use super::connection::{Connection, ConnectionStatus};
+use super::connector::Connector;
+use super::dialect::Query;
+use super::exchange::Exchange;
+use super::host_actor::Finished;
+use super::large::{LargeRow, Slot};
+use super::Attempt;
+use crate::interface::{HostId, Outcome, TimeDelta};
+use crate::net::messages::{AttemptEnd, CoreEvent};
+use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
+use tokio::sync::oneshot;
+use tokio::time::{sleep_until, Instant};
+
+/// Stops an attempt. Each way can be used once.
+#[derive(Debug)]
+pub(super) struct StopHandle {
+    cancel: Option<oneshot::Sender<()>>,
+    withdraw: Option<oneshot::Sender<()>>,
+}
+
+/// The attempt's end of a [`StopHandle`].
+#[derive(Debug)]
+pub(super) struct StopSignals {
+    cancelled: oneshot::Receiver<()>,
+    withdrawn: oneshot::Receiver<()>,
+}
+
+impl StopHandle {
+    /// Returns both ends.
+    pub fn new() -> (Self, StopSignals) {
+        let (cancel, cancelled) = oneshot::channel();
+        let (withdraw, withdrawn) = oneshot::channel();
+        (Self { cancel: Some(cancel), withdraw: Some(withdraw) }, StopSignals { cancelled, withdrawn })
+    }
+
+    /// Stops the attempt, whatever it has come to.
+    pub fn cancel(&mut self) {
+        signal(&mut self.cancel);
+    }
+
+    /// Stops the attempt unless its query is written completely.
+    pub fn withdraw(&mut self) {
+        signal(&mut self.withdraw);
+    }
+}
+
+fn signal(sender: &mut Option<oneshot::Sender<()>>) {
+    if let Some(sender) = sender.take() {
+        // Fails only when the attempt has ended.
+        let _ = sender.send(());
+    }
+}
+
+/// Why work on an attempt came to an end.
+#[derive(Clone, Copy, Debug)]
+enum Ending {
+    /// The answer ended, or the connection failed after the query was begun.
+    Answered(ConnectionStatus),
+    /// The query was not begun: its client has disconnected, or it would have been late.
+    NotWritten,
+    /// There was no connection, or the attempt was stopped.
+    Stopped(Outcome),
+}
+
+/// Makes an attempt until it ends, is stopped or reaches its deadline.
+pub(super) async fn run(
+    host: HostId,
+    attempt: Attempt,
+    connector: Connector,
+    signals: StopSignals,
+) -> Finished {
+    let StopSignals { cancelled, withdrawn } = signals;
+    let deadline = attempt.deadline;
+    let is_written = AtomicBool::new(false);
+    let withdrawn_unwritten = async {
+        // A query that is written completely may run: only a cancellation stops it.
+        if withdrawn.await.is_err() || is_written.load(Relaxed) {
+            std::future::pending::<()>().await;
+        }
+    };
+    let mut work = AttemptWork::new(attempt, connector);
+    let ending = tokio::select! {
+        biased;
+        Ok(()) = cancelled => Ending::Stopped(Outcome::Cancelled),
+        () = withdrawn_unwritten => Ending::Stopped(Outcome::NotSent),
+        ending = work.run(&is_written) => ending,
+        () = sleep_until(deadline) => Ending::Stopped(Outcome::Timeout),
+    };
+    work.finish(host, ending)
+}
+
+/// An attempt and how far it has come.
+#[derive(Debug)]
+struct AttemptWork {
+    attempt: Attempt,
+    connector: Connector,
+    connection: Option<Connection>,
+    exchange: Exchange,
+    /// The right to forward a large row, once it is there.
+    slot: Option<Slot>,
+}
+
+impl AttemptWork {
+    fn new(attempt: Attempt, connector: Connector) -> Self {
+        // A write's answer tells the commit's position behind the row, and the session's next read needs that position.
+        let may_stream = connector.context.may_stream && attempt.statement.value_range.is_none();
+        Self { attempt, connector, connection: None, exchange: Exchange::new(may_stream), slot: None }
+    }
+
+    async fn run(&mut self, is_written: &AtomicBool) -> Ending {
+        let Self { attempt, connector, connection, exchange, slot } = self;
+        let connection = match connector.connect(attempt.deadline).await {
+            Ok(opened) => connection.insert(opened),
+            Err(outcome) => return Ending::Stopped(outcome),
+        };
+        let is_late = attempt.write_by.is_some_and(|write_by| Instant::now() > write_by);
+        // The client may have disconnected in this turn, and the message of it be on its way.
+        if is_late || attempt.client_liveness.has_closed().await {
+            return Ending::NotWritten;
+        }
+        let context = &connector.context;
+        let on_written = || {
+            is_written.store(true, Relaxed);
+            context.counters.forwarded();
+        };
+        let timeout = attempt.deadline.saturating_duration_since(Instant::now());
+        let query = Query::Statement(&attempt.statement, timeout);
+        let status = connection.query(&query, exchange, on_written).await;
+        if exchange.large_row_bytes.is_some() {
+            // Nothing is read meanwhile: the host keeps what it has not written yet.
+            *slot = context.large_answers.acquire().await;
+        }
+        Ending::Answered(status)
+    }
+
+    fn finish(self, host: HostId, ending: Ending) -> Finished {
+        let latency = TimeDelta(self.attempt.sent_at.elapsed().as_micros() as i64);
+        let Self { attempt, mut connection, exchange, slot, .. } = self;
+        let (written_at, position, role) = (exchange.written_at, exchange.position, exchange.role);
+        let large_row = match (exchange.large_row_bytes, slot, ending) {
+            (Some(bytes), Some(slot), Ending::Answered(ConnectionStatus::Reusable)) => {
+                connection.take().map(|connection| LargeRow { connection, bytes, slot })
+            }
+            _ => None,
+        };
+        let (outcome, status) = match &large_row {
+            Some(_) => (Outcome::Ok, ConnectionStatus::Unusable),
+            None => conclude(ending, &exchange),
+        };
+        let value = match large_row {
+            Some(row) => Some(row.forward(exchange)),
+            None => (outcome == Outcome::Ok).then(|| exchange.into_value()),
+        };
+        let end = AttemptEnd {
+            id: attempt.id,
+            attempt: attempt.attempt,
+            host,
+            outcome,
+            latency,
+            written_at,
+            position,
+            role,
+            value,
+        };
+        Finished {
+            connection: connection.filter(|_| status == ConnectionStatus::Reusable),
+            event: CoreEvent::AttemptEnded(Box::new(end)),
+        }
+    }
+}
+
+/// Returns the outcome of an attempt that forwards no large row, and whether its connection can be reused.
+fn conclude(ending: Ending, exchange: &Exchange) -> (Outcome, ConnectionStatus) {
+    use ConnectionStatus::{Reusable, Unusable};
+    match ending {
+        // The query has run, but there is no memory to forward its answer.
+        Ending::Answered(_) if exchange.large_row_bytes.is_some() => (Outcome::Error, Unusable),
+        Ending::Answered(status) => (exchange.outcome(), status),
+        Ending::NotWritten => (Outcome::NotSent, Reusable),
+        // A complete result counts, though the end of the answer did not come in time.
+        Ending::Stopped(Outcome::Timeout) if exchange.has_result() => (exchange.outcome(), Unusable),
+        // An incomplete query never runs.
+        Ending::Stopped(Outcome::Timeout) if exchange.written_at.is_none() => {
+            (Outcome::ConnectFailed, Unusable)
+        }
+        Ending::Stopped(Outcome::Cancelled) if exchange.written_at.is_none() => (Outcome::NotSent, Unusable),
+        Ending::Stopped(outcome) => (outcome, Unusable),
+    }
+}
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -1,164 +1,202 @@
-//! A connection to a ledger host, in whatever protocol that speaks.
+//! A connection to a host, whatever its protocol.
 
-use super::dialect::{Ask, Dialect};
+use super::dialect::{Dialect, Query};
 use super::exchange::Exchange;
 use super::postgres::Postgres;
 use super::tds::Tds;
+use super::HostAddress;
 use crate::interface::Outcome;
 use crate::net::local_faults;
-use crate::net::socket::peek;
-use crate::net::socket::Socket;
+use crate::net::socket::{peek, Socket};
 use crate::protocol::Protocol;
 use bytes::{BufMut, Bytes, BytesMut};
 use std::io;
-use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// A buffer that has grown beyond this is given back after its answer.
-const KEPT: usize = 4 * 1024;
-/// An answer whose first byte has come is there whole after this time, or never will be: hosts write it at once.
-const REST: Duration = Duration::from_millis(250);
+/// A buffer that has grown beyond this many bytes is released after its answer.
+const MAX_RETAINED_BUFFER_BYTES: usize = 4 * 1024;
+/// Bytes that the buffer of a new connection takes.
+const INITIAL_BUFFER_BYTES: usize = 1024;
+/// How long after its first byte an answer is complete. Hosts write an answer at once, so that an incomplete one stays so.
+const ANSWER_COMPLETION_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Where a ledger host is, and what it speaks.
+/// Whether a connection can be used after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Place {
-    pub address: SocketAddr,
-    pub protocol: Protocol,
+pub(super) enum ConnectionStatus {
+    /// It can take the next query.
+    Reusable,
+    /// It has to be closed.
+    Unusable,
 }
 
+/// A connection that has logged in. Holds its permit until it is closed.
 #[derive(Debug)]
 pub(super) struct Connection {
     stream: Socket,
-    place: Place,
+    address: HostAddress,
     dialect: Box<dyn Dialect>,
     read: BytesMut,
     _permit: OwnedSemaphorePermit,
 }
 
 impl Connection {
-    /// Opens a connection until that moment; it is ready for its first request. What this machine lacks for it is waited
-    /// for, and is no fault of the host's.
-    pub async fn open(place: Place, permit: OwnedSemaphorePermit, until: Instant) -> Result<Self, Outcome> {
-        let connected = local_faults::retry_local_faults(until, || Socket::connect(place.address)).await;
-        let stream = connected.ok_or(Outcome::ConnectFailed)?.map_err(|problem| {
-            if local_faults::is_local_fault(&problem) {
-                Outcome::NotSent
-            } else {
-                Outcome::ConnectFailed
-            }
-        })?;
-        let greeted = timeout_at(until, Self::greet(stream, place, permit)).await;
-        greeted.unwrap_or(Err(Outcome::ConnectFailed))
+    /// Connects and logs in. Local faults are retried until then, and are no fault of the host.
+    ///
+    /// # Errors
+    /// The attempt's outcome: [`Outcome::NotSent`] for a local fault, else as the host's fault is.
+    pub async fn open(
+        address: HostAddress,
+        permit: OwnedSemaphorePermit,
+        until: Instant,
+    ) -> Result<Self, Outcome> {
+        let connect = || Socket::connect(address.address);
+        let connected = local_faults::retry_local_faults(until, connect).await;
+        let stream = connected.ok_or(Outcome::ConnectFailed)?.map_err(|error| connect_outcome(&error))?;
+        let mut connection = Self {
+            stream,
+            address,
+            dialect: dialect(address.protocol),
+            read: BytesMut::with_capacity(INITIAL_BUFFER_BYTES),
+            _permit: permit,
+        };
+        timeout_at(until, connection.log_in()).await.unwrap_or(Err(Outcome::ConnectFailed))?;
+        Ok(connection)
     }
 
-    async fn greet(stream: Socket, place: Place, permit: OwnedSemaphorePermit) -> Result<Self, Outcome> {
+    async fn log_in(&mut self) -> Result<(), Outcome> {
         let failed = |_: io::Error| Outcome::ConnectFailed;
-        let dialect: Box<dyn Dialect> = match place.protocol {
-            Protocol::Postgres => Box::new(Postgres),
-            Protocol::Tds => Box::new(Tds::new()),
-        };
-        let mut new = Self { stream, place, dialect, read: BytesMut::with_capacity(1024), _permit: permit };
         let mut out = BytesMut::new();
-        new.dialect.greet(&mut out);
+        self.dialect.start_login(&mut out);
         loop {
             if !out.is_empty() {
-                new.stream.write_all(&out.split()).await.map_err(failed)?;
+                self.stream.write_all(&out.split()).await.map_err(failed)?;
             }
-            if new.stream.read_buf(&mut new.read).await.map_err(failed)? == 0 {
+            if self.stream.read_buf(&mut self.read).await.map_err(failed)? == 0 {
                 return Err(Outcome::ConnectFailed);
             }
-            if new.dialect.greeted(&mut new.read, &mut out)? {
-                // What comes unasked would be read as the first request's answer.
-                return if new.read.is_empty() { Ok(new) } else { Err(Outcome::ConnectFailed) };
+            if self.dialect.continue_login(&mut self.read, &mut out)? {
+                // Bytes behind the login would be read as the first query's answer.
+                return if self.read.is_empty() { Ok(()) } else { Err(Outcome::ConnectFailed) };
             }
         }
     }
 
-    pub fn place(&self) -> Place {
-        self.place
+    /// Returns where it is connected to.
+    pub fn address(&self) -> HostAddress {
+        self.address
     }
 
-    /// Whether an idle connection is still open and silent, as it has to be. Asks the socket itself: the
-    /// runtime may not have seen yet that it was closed.
-    pub fn stands(&self) -> bool {
-        matches!(peek(&self.stream), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+    /// Returns whether an idle connection is open and has nothing to read. Asks the system: the runtime may not have seen
+    /// yet that it was closed.
+    pub fn is_open_and_silent(&self) -> bool {
+        matches!(peek(&self.stream), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Asks, and reads the answer into `exchange`; false if the connection is of no further use. `written` is
-    /// told once the question's last byte is written.
-    pub async fn ask(&mut self, ask: &Ask<'_>, exchange: &mut Exchange, written: impl FnOnce()) -> bool {
-        let good = self.converse(ask, exchange, written).await;
-        // What has been read of a row that is passed on belongs to that.
-        if self.read.capacity() > KEPT && exchange.large.is_none() {
-            // Hundreds of idle connections must not each keep room for the longest answer.
+    /// Writes a query and reads the answer into `exchange`. Calls `on_written` once the query's last byte is written.
+    pub async fn query(
+        &mut self,
+        query: &Query<'_>,
+        exchange: &mut Exchange,
+        on_written: impl FnOnce(),
+    ) -> ConnectionStatus {
+        let status = self.exchange(query, exchange, on_written).await;
+        // What has been read of a large row is taken from the buffer when the row is forwarded. Otherwise hundreds of idle
+        // connections must not each keep a buffer for the longest answer.
+        if self.read.capacity() > MAX_RETAINED_BUFFER_BYTES && exchange.large_row_bytes.is_none() {
             self.read = BytesMut::new();
         }
-        good
+        status
     }
 
-    /// Takes what has been read of a message of so many bytes.
+    /// Takes what has been read of a message of `length` bytes.
     pub fn take_buffered(&mut self, length: usize) -> BytesMut {
         let buffered = self.read.len().min(length);
         self.read.split_to(buffered)
     }
 
-    /// Reads a part of a message, of so many bytes at the most; none once the host has closed.
-    pub async fn read_part(&mut self, most: usize) -> io::Result<Bytes> {
-        let mut part = BytesMut::with_capacity(most).limit(most);
-        self.stream.read_buf(&mut part).await?;
-        Ok(part.into_inner().freeze())
+    /// Reads at most `limit` bytes of a message. Returns no bytes once the host has closed.
+    pub async fn read_chunk(&mut self, limit: usize) -> io::Result<Bytes> {
+        let mut chunk = BytesMut::with_capacity(limit).limit(limit);
+        self.stream.read_buf(&mut chunk).await?;
+        Ok(chunk.into_inner().freeze())
     }
 
-    /// Reads what stands behind a row that was passed on.
-    pub async fn rest(&mut self, exchange: &mut Exchange) -> bool {
+    /// Reads what follows a row that was forwarded.
+    pub async fn read_remainder(&mut self, exchange: &mut Exchange) -> ConnectionStatus {
         loop {
-            if let Some(good) = self.dialect.heard(&mut self.read, exchange) {
-                return good;
+            if let Some(status) = self.dialect.read_answer(&mut self.read, exchange) {
+                return status;
             }
             if !matches!(self.stream.read_buf(&mut self.read).await, Ok(1..)) {
-                return false;
+                return ConnectionStatus::Unusable;
             }
         }
     }
 
-    async fn converse(&mut self, ask: &Ask<'_>, exchange: &mut Exchange, written: impl FnOnce()) -> bool {
+    async fn exchange(
+        &mut self,
+        query: &Query<'_>,
+        exchange: &mut Exchange,
+        on_written: impl FnOnce(),
+    ) -> ConnectionStatus {
         let mut out = BytesMut::new();
-        self.dialect.ask(ask, &mut out);
-        // One write for the message: a part of it alone would be a request that never ends.
+        self.dialect.write_query(query, &mut out);
+        // One write for the message: a part of it alone would be a query that never ends.
         if self.stream.write_all(&out).await.is_err() {
-            return false;
+            return ConnectionStatus::Unusable;
         }
-        exchange.written = Some(Instant::now());
-        written();
+        exchange.written_at = Some(Instant::now());
+        on_written();
         drop(out);
-        let mut whole_by = None;
+        self.read_answer(exchange).await
+    }
+
+    async fn read_answer(&mut self, exchange: &mut Exchange) -> ConnectionStatus {
+        let mut complete_by = None;
         loop {
-            if let Some(good) = self.dialect.heard(&mut self.read, exchange) {
-                return good;
+            if let Some(status) = self.dialect.read_answer(&mut self.read, exchange) {
+                return status;
             }
-            let late = async {
-                match whole_by {
-                    Some(at) => sleep_until(at).await,
-                    None => std::future::pending().await,
-                }
-            };
             tokio::select! {
                 biased;
                 read = self.stream.read_buf(&mut self.read) => match read {
-                    Ok(0) | Err(_) => return false,
-                    Ok(_) => { whole_by.get_or_insert_with(|| Instant::now() + REST); }
+                    Ok(0) | Err(_) => return ConnectionStatus::Unusable,
+                    Ok(_) => {
+                        complete_by.get_or_insert_with(|| Instant::now() + ANSWER_COMPLETION_TIMEOUT);
+                    }
                 },
-                () = late => {
-                    // A line with no end: the answer was said whole before it, or never will be.
-                    if !exchange.told() {
-                        exchange.spoil();
+                () = sleep_until_some(complete_by) => {
+                    if !exchange.has_result() {
+                        exchange.invalidate();
                     }
-                    return false;
+                    return ConnectionStatus::Unusable;
                 }
             }
         }
     }
 }
+
+async fn sleep_until_some(at: Option<Instant>) {
+    match at {
+        Some(at) => sleep_until(at).await,
+        None => std::future::pending().await,
+    }
+}
+
+fn connect_outcome(error: &io::Error) -> Outcome {
+    if local_faults::is_local_fault(error) {
+        Outcome::NotSent
+    } else {
+        Outcome::ConnectFailed
+    }
+}
+
+fn dialect(protocol: Protocol) -> Box<dyn Dialect> {
+    match protocol {
+        Protocol::Postgres => Box::new(Postgres),
+        Protocol::Tds => Box::new(Tds::new()),
+    }
+}
--- a/src/net/upstream/dialect.rs
+++ b/src/net/upstream/dialect.rs
@@ -1,5 +1,6 @@
-//! A protocol as it is spoken with ledger hosts: bytes in, bytes out, no sockets.
+//! The interface of a protocol towards hosts: bytes in, bytes out, no sockets.
 
+use super::connection::ConnectionStatus;
 use super::exchange::Exchange;
 use crate::interface::Outcome;
 use crate::net::messages::Statement;
@@ -7,31 +8,33 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// What is asked on a connection.
+/// A query to a host.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Ask<'a> {
-    /// A client's statement, and how long is waited for its answer.
+pub(super) enum Query<'a> {
+    /// A client's statement, with the timeout that the host is told.
     Statement(&'a Statement, Duration),
     /// The host's load report.
-    Load,
-    /// Nothing but an answer.
+    LoadReport,
+    /// Any answer.
     Ping,
 }
 
-/// One side of the conversation on one connection.
+/// The client's side of a protocol on one connection.
 pub(super) trait Dialect: Debug + Send {
-    /// The first words.
-    fn greet(&mut self, out: &mut BytesMut);
+    /// Writes the first message of the login.
+    fn start_login(&mut self, out: &mut BytesMut);
 
-    /// Takes what has come in answer, and says what follows; whether the first request may come.
+    /// Consumes what has been read in answer to the login, and writes the next message of it. Returns whether the login is
+    /// complete.
     ///
     /// # Errors
-    /// When the host does not let the proxy in.
-    fn greeted(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<bool, Outcome>;
+    /// The attempt's outcome, when the host does not accept the login.
+    fn continue_login(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<bool, Outcome>;
 
-    /// Writes a request.
-    fn ask(&mut self, ask: &Ask<'_>, out: &mut BytesMut);
+    /// Writes a query.
+    fn write_query(&mut self, query: &Query<'_>, out: &mut BytesMut);
 
-    /// Takes what has come so far; once the answer is over, whether the connection can be used again.
-    fn heard(&mut self, read: &mut BytesMut, exchange: &mut Exchange) -> Option<bool>;
+    /// Consumes what has been read of an answer. Returns none until the answer has ended, then whether the connection can
+    /// be reused.
+    fn read_answer(&mut self, read: &mut BytesMut, exchange: &mut Exchange) -> Option<ConnectionStatus>;
 }
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request on a connection and what has come back for it, whatever protocol it came in.
+//! One query on a connection and its answer, whatever the protocol.
 
 use crate::interface::{LoadReport, LogPosition, Outcome, Role};
 use crate::net::messages::{ReportedPosition, Value};
@@ -6,200 +6,213 @@
 use std::ops::Range;
 use tokio::time::Instant;
 
-/// One request and what has come back for it.
+/// One query and what has been read of its answer.
+///
+/// Invariant: the stages of an answer are passed once each and in order; otherwise the answer is invalid.
 #[derive(Debug, Default)]
 pub(super) struct Exchange {
-    /// When the request's last byte was written.
-    pub written: Option<Instant>,
+    /// When the query's last byte was written; none if it was not.
+    pub written_at: Option<Instant>,
     pub position: Option<ReportedPosition>,
     pub role: Option<Role>,
-    /// What brought the value, as it came.
+    /// Length of the row's message, if the row is to be forwarded before the answer is complete.
+    pub large_row_bytes: Option<usize>,
+    /// The messages that brought the value, unchanged.
     messages: BytesMut,
-    /// Where in it the value itself stands, or the value where that is elsewhere.
     content: Content,
-    /// Whether a long row may be passed on before the answer is whole.
+    /// Whether a large row may be forwarded before the answer is complete.
     may_stream: bool,
-    /// How long the row is that is passed on so.
-    pub large: Option<usize>,
     stage: Stage,
     error: Option<Outcome>,
 }
 
+/// Where the value is.
 #[derive(Debug, Default)]
 enum Content {
     #[default]
     None,
-    Within(Range<usize>),
-    Apart(Bytes),
+    /// In this range of the messages.
+    InMessages(Range<usize>),
+    Separate(Bytes),
 }
 
-/// How far an answer has come. Each step is taken once and in this order, or the answer is spoilt.
+/// How far an answer has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Stage {
     #[default]
-    Nothing,
-    Described,
+    Empty,
+    RowDescribed,
     Row,
     Complete,
-    /// An error instead of what was still to come.
+    /// An error in place of what was still to come.
     Failed,
-    Ready,
-    /// No answer, or not this request's: it has run, but nothing that came can be believed.
-    Spoilt,
+    /// Nothing more follows.
+    Finished,
+    /// It breaks the protocol, or is not this query's answer. The query has run.
+    Invalid,
 }
 
 impl Exchange {
-    /// Nothing has come yet; a long row may be passed on before the answer is whole, or not.
+    /// Returns an exchange whose large row may, or may not, be forwarded before the answer is complete.
     pub fn new(may_stream: bool) -> Self {
         Self { may_stream, ..Self::default() }
     }
 
-    /// Whether the host has said how it went.
-    pub fn told(&self) -> bool {
-        matches!(self.stage, Stage::Complete | Stage::Failed | Stage::Ready)
+    /// Returns an exchange for what follows a row that was forwarded.
+    pub fn after_row() -> Self {
+        Self { stage: Stage::Row, ..Self::default() }
     }
 
-    /// Whether the answer is over, and nothing of it may follow.
-    pub fn over(&self) -> bool {
-        self.stage == Stage::Ready
+    /// Returns whether the host has said that the query succeeded or failed.
+    pub fn has_result(&self) -> bool {
+        matches!(self.stage, Stage::Complete | Stage::Failed | Stage::Finished)
     }
 
-    /// What comes behind a row that was passed on.
-    pub fn behind_row() -> Self {
-        Self { stage: Stage::Row, ..Self::default() }
+    /// Returns whether the answer has ended as the protocol says.
+    pub fn is_finished(&self) -> bool {
+        self.stage == Stage::Finished
     }
 
-    /// Whether the next message, if it is a long row, is passed on before the answer is whole.
-    pub fn streams_row(&self) -> bool {
-        self.may_stream && self.stage == Stage::Described
-    }
-
-    /// What has come of an answer that is not yet whole, or stands behind one.
-    pub fn begun(self) -> Bytes {
-        self.messages.freeze()
+    /// Returns whether the answer is invalid.
+    pub fn is_invalid(&self) -> bool {
+        self.stage == Stage::Invalid
     }
 
-    pub fn spoilt(&self) -> bool {
-        self.stage == Stage::Spoilt
+    /// Returns whether the next message, if it is a large row, is forwarded before the answer is complete.
+    pub fn may_stream_row(&self) -> bool {
+        self.may_stream && self.stage == Stage::RowDescribed
     }
 
-    /// Nothing that came is believed, the position least of all. The request has run; the host is well: all
-    /// hosts alike spoil answers, and to leave each one out for it leaves none.
-    pub fn spoil(&mut self) {
-        (self.stage, self.position, self.role) = (Stage::Spoilt, None, None);
+    /// Discards what the answer says, its position above all. The query has run. The outcome does not count against the
+    /// host's connections: if all hosts send invalid answers, ejecting each leaves none.
+    pub fn invalidate(&mut self) {
+        self.stage = Stage::Invalid;
+        self.position = None;
+        self.role = None;
         self.error = Some(Outcome::Error);
     }
 
-    /// The rows to come have so many columns.
-    pub fn described(&mut self, columns: usize) {
-        self.step(columns == 1 && self.stage == Stage::Nothing, Stage::Described);
+    /// Takes the description of rows with this many columns. Only rows of one column are valid.
+    pub fn row_described(&mut self, columns: usize) {
+        self.advance(columns == 1 && self.stage == Stage::Empty, Stage::RowDescribed);
     }
 
-    /// The row, whose value stands in what is kept from there to there.
-    pub fn row_within(&mut self, place: Range<usize>) {
-        self.step(self.stage == Stage::Described, Stage::Row);
-        self.content = Content::Within(place);
+    /// Takes the row, whose value is in this range of the kept messages.
+    pub fn row_in_messages(&mut self, range: Range<usize>) {
+        self.advance(self.stage == Stage::RowDescribed, Stage::Row);
+        self.content = Content::InMessages(range);
     }
 
-    /// The row, with its value.
+    /// Takes the row with its value.
     pub fn row(&mut self, value: Bytes) {
-        self.step(self.stage == Stage::Described, Stage::Row);
-        self.content = Content::Apart(value);
+        self.advance(self.stage == Stage::RowDescribed, Stage::Row);
+        self.content = Content::Separate(value);
     }
 
-    /// The statement is done.
+    /// Takes the end of the statement.
     pub fn complete(&mut self) {
-        self.step(self.stage == Stage::Row, Stage::Complete);
+        self.advance(self.stage == Stage::Row, Stage::Complete);
     }
 
-    /// The host has answered with an error.
-    pub fn failed(&mut self, outcome: Outcome) {
-        // If it had begun to answer it has run.
-        self.error = Some(if self.stage == Stage::Nothing { outcome } else { Outcome::Error });
-        let open = matches!(self.stage, Stage::Nothing | Stage::Described | Stage::Row);
-        self.step(open, Stage::Failed);
+    /// Takes an error. `outcome` holds if the host sent nothing before it; otherwise the query has run.
+    pub fn fail(&mut self, outcome: Outcome) {
+        self.error = Some(if self.stage == Stage::Empty { outcome } else { Outcome::Error });
+        let has_no_result = matches!(self.stage, Stage::Empty | Stage::RowDescribed | Stage::Row);
+        self.advance(has_no_result, Stage::Failed);
     }
 
-    /// Nothing more comes.
-    pub fn ready(&mut self) {
-        self.step(matches!(self.stage, Stage::Complete | Stage::Failed), Stage::Ready);
+    /// Takes the end of the answer.
+    pub fn finish(&mut self) {
+        self.advance(matches!(self.stage, Stage::Complete | Stage::Failed), Stage::Finished);
     }
 
-    fn step(&mut self, right: bool, next: Stage) {
-        match right {
-            true => self.stage = next,
-            false => self.spoil(),
+    fn advance(&mut self, is_in_order: bool, next: Stage) {
+        if is_in_order {
+            self.stage = next;
+        } else {
+            self.invalidate();
         }
     }
 
-    /// The position up to which the host stands, or at which it committed, as it writes it.
-    pub fn stamp(&mut self, text: &str) {
-        match text.parse::<f64>().ok().filter(|ms| ms.is_finite() && *ms >= 0.0) {
-            Some(ms) => self.position = Some(ReportedPosition(ms)).filter(|_| ms > 0.0),
-            None => self.spoil(),
+    /// Takes a position in Unix milliseconds: up to which the host has applied the log, or at which it committed. Zero
+    /// stands for none.
+    pub fn set_position(&mut self, text: &str) {
+        let milliseconds = text.parse::<f64>().ok();
+        match milliseconds.filter(|milliseconds| milliseconds.is_finite() && *milliseconds >= 0.0) {
+            Some(milliseconds) => {
+                self.position = Some(ReportedPosition(milliseconds)).filter(|_| milliseconds > 0.0);
+            }
+            None => self.invalidate(),
         }
     }
 
-    /// The host's role, as it writes it.
-    pub fn stand(&mut self, text: &str) {
+    /// Takes the host's role.
+    pub fn set_role(&mut self, text: &str) {
         match text {
             "primary" => self.role = Some(Role::Primary),
             "replica" => self.role = Some(Role::Replica),
-            _ => self.spoil(),
+            _ => self.invalidate(),
         }
     }
 
-    /// Keeps a message that brings a part of the value; where it begins.
-    pub fn keep(&mut self, raw: &[u8]) -> usize {
-        let at = self.messages.len();
-        self.messages.extend_from_slice(raw);
-        at
+    /// Keeps a message that brings a part of the value. Returns where it begins in the kept messages.
+    pub fn keep_message(&mut self, message: &[u8]) -> usize {
+        let start = self.messages.len();
+        self.messages.extend_from_slice(message);
+        start
     }
 
-    /// How it went, once nothing more comes.
+    /// Returns the attempt's outcome once nothing more is read.
     pub fn outcome(&self) -> Outcome {
         match self.error {
             Some(outcome) => outcome,
-            None if self.told() => Outcome::Ok,
-            None if self.written.is_some() => Outcome::Reset,
+            None if self.has_result() => Outcome::Ok,
+            None if self.written_at.is_some() => Outcome::Reset,
             None => Outcome::ConnectFailed,
         }
     }
 
-    /// The value, where all went well.
-    pub fn value(self) -> Value {
+    /// Returns the value of an answer whose outcome is [`Outcome::Ok`].
+    pub fn into_value(self) -> Value {
         match self.content {
             Content::None => Value::default(),
-            Content::Apart(content) => Value { content, postgres_messages: None, remainder: None },
-            Content::Within(place) => {
+            Content::Separate(content) => Value { content, ..Value::default() },
+            Content::InMessages(range) => {
                 let messages = self.messages.freeze();
-                Value { content: messages.slice(place), postgres_messages: Some(messages), remainder: None }
+                let content = messages.slice(range);
+                Value { content, postgres_messages: Some(messages), remainder: None }
             }
         }
     }
 
-    /// The load report in the row.
-    pub fn report(&self) -> Option<LoadReport> {
+    /// Returns the kept messages of an answer that is not complete, or of what follows a row that was forwarded.
+    pub fn into_messages(self) -> Bytes {
+        self.messages.freeze()
+    }
+
+    /// Returns the load report in the row; none if the row cannot be read as one.
+    pub fn load_report(&self) -> Option<LoadReport> {
         let row = match &self.content {
             Content::None => return None,
-            Content::Apart(content) => &content[..],
-            Content::Within(place) => self.messages.get(place.clone())?,
+            Content::Separate(content) => &content[..],
+            Content::InMessages(range) => self.messages.get(range.clone())?,
         };
-        report(std::str::from_utf8(row).ok()?)
+        parse_load_report(std::str::from_utf8(row).ok()?)
     }
 }
 
-fn report(text: &str) -> Option<LoadReport> {
-    // One part that cannot be read makes the others doubtful too.
+/// Parses `name=number,...`: `x0` is the applied position in Unix seconds, `x1` is 1 at a primary and 0 at a replica. One
+/// pair that cannot be read invalidates the report.
+fn parse_load_report(text: &str) -> Option<LoadReport> {
     let pair = |pair: &str| {
         let (name, value) = pair.split_once('=')?;
-        let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite())?;
+        let value = value.trim().parse::<f64>().ok().filter(|value| value.is_finite())?;
         Some((name.trim().to_owned(), value))
     };
     let pairs: Vec<(String, f64)> = text.split(',').map(pair).collect::<Option<_>>()?;
-    let value = |name: &str| pairs.iter().find(|(n, _)| n == name).map(|(_, value)| *value);
-    let position = value("x0").map(|s| LogPosition((s * 1e6).floor() as i64));
-    let role = match value("x1") {
+    let number = |wanted: &str| pairs.iter().find(|(name, _)| name == wanted).map(|(_, value)| *value);
+    let position = number("x0").map(|seconds| LogPosition((seconds * 1e6).floor() as i64));
+    let role = match number("x1") {
         Some(1.0) => Some(Role::Primary),
         Some(0.0) => Some(Role::Replica),
         Some(_) => return None,
--- a/src/net/upstream/tds.rs
+++ b/src/net/upstream/tds.rs
@@ -1,9 +1,10 @@
-//! What is said to a ledger host that speaks TDS, and what it answers.
+//! TDS towards hosts.
 //!
-//! A request is given up by closing its connection, never by ATTENTION: the acknowledgement would say nothing
-//! about whether it ran, and keep the connection until it came.
+//! A query is cancelled by closing its connection, never by ATTENTION: the acknowledgement would not say whether the query
+//! ran, and would occupy the connection until it came.
 
-use super::dialect::{Ask, Dialect};
+use super::connection::ConnectionStatus;
+use super::dialect::{Dialect, Query};
 use super::exchange::Exchange;
 use crate::interface::Outcome;
 use crate::net::messages::Statement;
@@ -16,33 +17,36 @@
     Value, PACKET_SIZE, SP_EXECUTESQL,
 };
 
-/// What a write's value is called.
-const VALUE: &str = "@value";
+/// Name of the parameter that carries a write's value.
+const VALUE_PARAMETER: &str = "@value";
+/// The user and the database of the login.
 const USER: &str = "backend";
 const DATABASE: &str = "store";
-/// Asked for at the login: an answer at its longest then takes few packets.
-const PACKET: usize = 16_384;
-/// What an answer may have beside its value: descriptions, notices, the heads of chunks.
-const FRAME: usize = 16 * 1024;
+/// Packet size in bytes that the login asks for, so that the longest answer takes few packets.
+const REQUESTED_PACKET_BYTES: usize = 16_384;
+/// Bytes that an answer may have beside its value: descriptions, notices, headers of chunks.
+const MAX_OVERHEAD_BYTES: usize = 16 * 1024;
 
+/// The protocol on one connection.
 #[derive(Debug)]
 pub(super) struct Tds {
     assembler: Assembler,
-    packet: usize,
-    /// LOGIN7 has been sent.
-    login: bool,
+    /// The packet size in force.
+    packet_bytes: usize,
+    /// Whether LOGIN7 has been sent.
+    login_sent: bool,
 }
 
 impl Tds {
     pub fn new() -> Self {
-        let assembler = Assembler::new(pgwire::MOST_ANSWER + FRAME);
-        Self { assembler, packet: PACKET_SIZE, login: false }
+        let assembler = Assembler::new(pgwire::MOST_ANSWER + MAX_OVERHEAD_BYTES);
+        Self { assembler, packet_bytes: PACKET_SIZE, login_sent: false }
     }
 
-    fn log_in(&mut self, out: &mut BytesMut) {
+    fn write_login(&mut self, out: &mut BytesMut) {
         let login = Login {
             version: version::V7_4,
-            packet_size: PACKET as u32,
+            packet_size: REQUESTED_PACKET_BYTES as u32,
             user: USER.to_owned(),
             app: "wheelpier".to_owned(),
             library: "wheelpier".to_owned(),
@@ -51,18 +55,18 @@
         };
         let mut payload = BytesMut::new();
         login.put(&mut payload);
-        put_message(out, PacketType::Login, Status::default(), &payload, self.packet);
-        self.login = true;
+        put_message(out, PacketType::Login, Status::default(), &payload, self.packet_bytes);
+        self.login_sent = true;
     }
 
-    /// The answer to the login: whether it lets the proxy in.
-    fn logged_in(&mut self, payload: &[u8]) -> Result<(), Outcome> {
+    /// Reads the answer to LOGIN7.
+    fn check_login(&mut self, payload: &[u8]) -> Result<(), Outcome> {
         let mut acknowledged = false;
         for token in Tokens::new(payload) {
             match token.map_err(|_| Outcome::ConnectFailed)? {
                 Token::LoginAck(ack) => acknowledged = ack.version == version::V7_4,
                 Token::Environment(Environment::PacketSize(size)) => {
-                    self.packet = size;
+                    self.packet_bytes = size;
                     self.assembler.agree(size);
                 }
                 Token::Error(notice) if numbers::FULL.contains(&notice.number) => {
@@ -75,57 +79,61 @@
         acknowledged.then_some(()).ok_or(Outcome::ConnectFailed)
     }
 
-    fn batch(&self, text: &str, out: &mut BytesMut) {
+    fn write_batch(&self, text: &str, out: &mut BytesMut) {
         let mut payload = BytesMut::with_capacity(text.len() * 2 + 22);
         put_all_headers(&mut payload);
         put_text(&mut payload, text);
-        put_message(out, PacketType::SqlBatch, Status::default(), &payload, self.packet);
+        put_message(out, PacketType::SqlBatch, Status::default(), &payload, self.packet_bytes);
     }
 
-    /// A read goes as a batch; a write as a call, so that its value goes as it is and not as digits.
-    fn statement(&self, statement: &Statement, wait: Duration, out: &mut BytesMut) {
-        match statement.with_value_parameter(VALUE, wait) {
-            None => self.batch(&String::from_utf8_lossy(&statement.with_timeout(wait)), out),
+    /// Writes a read as a batch, and a write as a procedure call, so that its value goes as bytes and not as digits.
+    fn write_statement(&self, statement: &Statement, timeout: Duration, out: &mut BytesMut) {
+        match statement.with_value_parameter(VALUE_PARAMETER, timeout) {
+            None => {
+                let text = statement.with_timeout(timeout);
+                self.write_batch(&String::from_utf8_lossy(&text), out);
+            }
             Some((text, value)) => {
                 let text = String::from_utf8_lossy(&text).into_owned();
-                let declared = format!("{VALUE} varbinary(max)");
-                let parameter = |name: &str, kind, value| {
-                    let (name, output) = (name.to_owned(), false);
-                    Parameter { name, output, kind, value }
-                };
-                let parameters = vec![
-                    parameter("", DataType::Text, Value::Text(text)),
-                    parameter("", DataType::Text, Value::Text(declared)),
-                    parameter(VALUE, DataType::LongBinary, Value::Binary(value.into())),
-                ];
-                let procedure = Procedure::Number(SP_EXECUTESQL);
                 let mut payload = BytesMut::new();
-                Rpc { procedure, options: 0, parameters }.put(&mut payload);
-                put_message(out, PacketType::Rpc, Status::default(), &payload, self.packet);
+                execute_sql(text, value).put(&mut payload);
+                put_message(out, PacketType::Rpc, Status::default(), &payload, self.packet_bytes);
             }
         }
     }
 }
 
+/// Returns the call of sp_executesql with this text and the value as its parameter.
+fn execute_sql(text: String, value: Vec<u8>) -> Rpc {
+    let parameter = |name: &str, kind, value| Parameter { name: name.to_owned(), output: false, kind, value };
+    let declaration = format!("{VALUE_PARAMETER} varbinary(max)");
+    let parameters = vec![
+        parameter("", DataType::Text, Value::Text(text)),
+        parameter("", DataType::Text, Value::Text(declaration)),
+        parameter(VALUE_PARAMETER, DataType::LongBinary, Value::Binary(value.into())),
+    ];
+    Rpc { procedure: Procedure::Number(SP_EXECUTESQL), options: 0, parameters }
+}
+
 impl Dialect for Tds {
-    fn greet(&mut self, out: &mut BytesMut) {
+    fn start_login(&mut self, out: &mut BytesMut) {
         let mut payload = BytesMut::new();
         Prelogin { version: (15, 0, 0), ..Prelogin::default() }.put(&mut payload);
-        put_message(out, PacketType::Prelogin, Status::default(), &payload, self.packet);
+        put_message(out, PacketType::Prelogin, Status::default(), &payload, self.packet_bytes);
     }
 
-    fn greeted(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<bool, Outcome> {
+    fn continue_login(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<bool, Outcome> {
         while let Some(message) = self.assembler.next(read).map_err(|_| Outcome::ConnectFailed)? {
             if message.kind != PacketType::Result {
                 return Err(Outcome::ConnectFailed);
             }
-            if self.login {
-                return self.logged_in(&message.payload).map(|()| true);
+            if self.login_sent {
+                return self.check_login(&message.payload).map(|()| true);
             }
             match Prelogin::parse(&message.payload) {
-                // A host that does not go on without encryption is none for this proxy.
+                // The proxy does not encrypt: a host that requires it cannot be used.
                 Ok(host) if matches!(host.encryption, Encryption::NotSupported | Encryption::Off) => {
-                    self.log_in(out);
+                    self.write_login(out);
                 }
                 _ => return Err(Outcome::ConnectFailed),
             }
@@ -133,79 +141,80 @@
         Ok(false)
     }
 
-    fn ask(&mut self, ask: &Ask<'_>, out: &mut BytesMut) {
-        match ask {
-            Ask::Statement(statement, wait) => self.statement(statement, *wait, out),
-            Ask::Load => self.batch("SHOW load", out),
-            Ask::Ping => self.batch("SELECT 1", out),
+    fn write_query(&mut self, query: &Query<'_>, out: &mut BytesMut) {
+        match query {
+            Query::Statement(statement, timeout) => self.write_statement(statement, *timeout, out),
+            Query::LoadReport => self.write_batch("SHOW load", out),
+            Query::Ping => self.write_batch("SELECT 1", out),
         }
     }
 
-    fn heard(&mut self, read: &mut BytesMut, exchange: &mut Exchange) -> Option<bool> {
+    fn read_answer(&mut self, read: &mut BytesMut, exchange: &mut Exchange) -> Option<ConnectionStatus> {
         match self.assembler.next(read) {
             Ok(None) => return None,
             Ok(Some(message)) if message.kind == PacketType::Result => {
-                take_all(exchange, &message.payload);
+                apply_result(exchange, &message.payload);
             }
-            _ => exchange.spoil(),
+            _ => exchange.invalidate(),
         }
-        Some(exchange.over() && read.is_empty() && !self.assembler.begun())
+        let is_reusable = exchange.is_finished() && read.is_empty() && !self.assembler.begun();
+        Some(if is_reusable { ConnectionStatus::Reusable } else { ConnectionStatus::Unusable })
     }
 }
 
-fn take_all(exchange: &mut Exchange, payload: &[u8]) {
+fn apply_result(exchange: &mut Exchange, payload: &[u8]) {
     for token in Tokens::new(payload) {
         match token {
-            Ok(token) => take(exchange, token),
-            Err(_) => exchange.spoil(),
+            Ok(token) => apply_token(exchange, token),
+            Err(_) => exchange.invalidate(),
         }
-        if exchange.spoilt() {
+        if exchange.is_invalid() {
             return;
         }
     }
-    exchange.ready();
+    exchange.finish();
 }
 
-fn take(exchange: &mut Exchange, token: Token) {
+fn apply_token(exchange: &mut Exchange, token: Token) {
     match token {
-        Token::Columns(columns) => exchange.described(columns.len()),
+        Token::Columns(columns) => exchange.row_described(columns.len()),
         Token::Row(mut values) => match (values.pop(), values.is_empty()) {
             (Some(Value::Binary(value)), true) => exchange.row(value),
             (Some(Value::Text(text)), true) => exchange.row(text.into()),
-            _ => exchange.spoil(),
+            _ => exchange.invalidate(),
         },
-        Token::Info(notice) if notice.number == numbers::STAMP => stamp(exchange, &notice.message),
-        Token::Error(notice) => exchange.failed(outcome(&notice)),
-        // An error's own end says no more than the error did.
-        Token::Done(kind, done) if done.error || exchange.told() => {
+        Token::Info(notice) if notice.number == numbers::STAMP => apply_stamp(exchange, &notice.message),
+        Token::Error(notice) => exchange.fail(error_outcome(&notice)),
+        // The end of a statement that failed says no more than the error did.
+        Token::Done(kind, done) if done.error || exchange.has_result() => {
             if done.attention || (kind == DoneKind::Batch && !done.error && done.counted) {
-                exchange.spoil();
+                exchange.invalidate();
             }
         }
         Token::Done(..) => exchange.complete(),
         Token::Info(_) | Token::Environment(_) | Token::Order(_) | Token::ReturnStatus(_) => {}
-        Token::LoginAck(_) | Token::ReturnValue(_) | Token::Features => exchange.spoil(),
+        Token::LoginAck(_) | Token::ReturnValue(_) | Token::Features => exchange.invalidate(),
     }
 }
 
-/// `role=replica applied_ms=1767225600123`: see the design note on TDS.
-fn stamp(exchange: &mut Exchange, text: &str) {
+/// Reads a notice like `role=replica applied_ms=1767225600123`: see the design note on TDS.
+fn apply_stamp(exchange: &mut Exchange, text: &str) {
     for word in text.split(' ') {
         match word.split_once('=') {
-            Some(("role", role)) => exchange.stand(role),
-            Some(("applied_ms", position)) => exchange.stamp(position),
-            _ => exchange.spoil(),
+            Some(("role", role)) => exchange.set_role(role),
+            Some(("applied_ms", position)) => exchange.set_position(position),
+            _ => exchange.invalidate(),
         }
     }
 }
 
-fn outcome(notice: &Notice) -> Outcome {
+fn error_outcome(notice: &Notice) -> Outcome {
     match notice.number {
         numbers::READ_ONLY | numbers::BEHIND => Outcome::Misdirected,
         number if numbers::FULL.contains(&number) => Outcome::Overloaded,
         numbers::HOST_ERROR => Outcome::Error,
-        number => {
-            tracing::warn!("a ledger host answered {number}: {}", notice.message);
+        code => {
+            tracing::warn!(code, error = notice.message, "host answered with an unknown error code");
             Outcome::Error
         }
     }
