--- a/crates/testbench/src/soak/process.rs
+++ b/crates/testbench/src/soak/process.rs
@@ -110,7 +110,7 @@
         let until = Instant::now() + CALL.0;
         loop {
             let lines = self.lines();
-            let line = lines.iter().rev().find(|line| line.contains("counters:"));
+            let line = lines.iter().rev().find(|line| line.contains("counters totals="));
             let count = |name: &str| {
                 let found = line?.split(' ').find_map(|figure| figure.strip_prefix(name)?.strip_prefix('='));
                 found?.parse::<u64>().ok()
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -130,8 +130,8 @@
 fn signals() -> io::Result<mpsc::Receiver<Control>> {
     let (sender, control) = mpsc::channel(4);
     let meanings = [
-        (SignalKind::hangup(), Control::Reread),
-        (SignalKind::user_defined1(), Control::Report),
+        (SignalKind::hangup(), Control::ReloadConfiguration),
+        (SignalKind::user_defined1(), Control::LogCounters),
         (SignalKind::terminate(), Control::Drain),
     ];
     for (kind, meaning) in meanings {
