--- /dev/null
+++ b/src/net/core/mod.rs
@@ -0,0 +1,150 @@
+//! The core actor: connects the router's decisions with the actors of clients and hosts. It alone owns the router.
+//!
+//! - `request_table`: the requests in flight
+//! - `requests`: arrival, answer and end of a request
+//! - `attempts`: forwarding a request to a host and the end of an attempt
+//! - `positions`: log positions and times of the hosts in this machine's time
+//! - `host_registry`: the hosts, their ids and their actors
+//! - `endpoints`: endpoint lists from discovery
+//! - `timers`: the router's timers and the final reply of each request
+//! - `actions`: events to the router, and carrying out its actions
+
+mod actions;
+mod attempts;
+mod endpoints;
+mod host_registry;
+mod positions;
+mod request_table;
+mod requests;
+mod timers;
+
+use super::clock::Clock;
+use super::memory::Memory;
+use super::messages::{CoreEvent, HealthCheckResult};
+use super::rejections::Rejections;
+use super::upstream::{LargeAnswers, UpstreamContext};
+use crate::config::Config;
+use crate::counters::Counters;
+use crate::interface::{Action, EndpointUpdate, Event, SettingsError};
+use crate::state::host_clock::HostClock;
+use crate::Router;
+use host_registry::HostRegistry;
+use request_table::RequestTable;
+use std::collections::VecDeque;
+use std::sync::Arc;
+use timers::{ScheduledEvent, Timers};
+use tokio::sync::{mpsc, watch};
+use tokio::time::Instant;
+
+/// What the core actor shares with other actors.
+#[derive(Debug)]
+pub(crate) struct CoreContext {
+    pub clock: Clock,
+    /// Mailbox of the core actor, for the actors that it starts.
+    pub events: mpsc::Sender<CoreEvent>,
+    /// Set once a host that can serve is listed.
+    pub ready: watch::Sender<bool>,
+    pub counters: Arc<Counters>,
+    pub rejections: Rejections,
+    pub memory: Memory,
+}
+
+/// The core actor.
+pub(crate) struct Core {
+    router: Router,
+    config: Config,
+    clock: Clock,
+    /// The clock of the hosts' log positions, start times and write times.
+    host_clock: HostClock,
+    requests: RequestTable,
+    hosts: HostRegistry,
+    timers: Timers,
+    ready: watch::Sender<bool>,
+    counters: Arc<Counters>,
+    rejections: Rejections,
+    memory: Memory,
+    /// Buffer for the actions of one event, empty between events.
+    actions: Vec<Action>,
+    /// Events for the router that arose while its actions were carried out.
+    pending_events: VecDeque<Event>,
+}
+
+impl Core {
+    /// Returns an actor that has not started.
+    ///
+    /// # Errors
+    /// When the settings contradict one another.
+    pub fn new(config: Config, context: CoreContext) -> Result<Self, SettingsError> {
+        let CoreContext { clock, events, ready, counters, rejections, memory } = context;
+        let large_answers = LargeAnswers::new(memory.clone());
+        let upstream =
+            UpstreamContext::new(&config, Arc::clone(&counters), rejections.clone(), large_answers);
+        Ok(Self {
+            router: Router::new(config.settings.clone(), config.seed)?,
+            config,
+            clock,
+            host_clock: HostClock::default(),
+            requests: RequestTable::default(),
+            hosts: HostRegistry::new(upstream, events),
+            timers: Timers::default(),
+            ready,
+            counters,
+            rejections,
+            memory,
+            actions: Vec::new(),
+            pending_events: VecDeque::new(),
+        })
+    }
+
+    /// Runs until all senders of the mailbox are dropped, or the task is aborted.
+    pub async fn run(mut self, mut mailbox: mpsc::Receiver<CoreEvent>) {
+        if let Some(cached) = self.config.known.take() {
+            self.update_endpoints(cached, EndpointUpdate::Cached).await;
+        }
+        loop {
+            tokio::select! {
+                event = mailbox.recv() => match event {
+                    Some(event) => self.handle(event).await,
+                    None => return,
+                },
+                Some(event) = self.timers.next(), if !self.timers.is_empty() => match event {
+                    ScheduledEvent::RouterTimer(token) => self.notify_router(Event::Timer(token)).await,
+                    ScheduledEvent::FinalReply(id) => self.reply_finally(id).await,
+                },
+            }
+        }
+    }
+
+    async fn handle(&mut self, event: CoreEvent) {
+        match event {
+            CoreEvent::RequestArrived(arrival) => self.request_arrived(*arrival).await,
+            CoreEvent::ClientDisconnected(id) => self.client_disconnected(id).await,
+            CoreEvent::DeadlineShortened { id, reply_due } => self.bring_reply_forward(id, reply_due),
+            CoreEvent::AttemptEnded(end) => self.attempt_ended(*end).await,
+            CoreEvent::HealthChecked(result) => self.health_checked(result).await,
+            CoreEvent::EndpointList(list) => {
+                let kind = if list.whole { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
+                self.update_endpoints(list, kind).await;
+            }
+            CoreEvent::Reconfigured(config) => {
+                self.router.retune(config.settings.clone());
+                self.config = *config;
+            }
+            CoreEvent::DrainStarted(reply_by) => self.bring_all_replies_forward(reply_by),
+        }
+    }
+
+    async fn health_checked(&mut self, result: HealthCheckResult) {
+        let HealthCheckResult { host, outcome, latency, report } = result;
+        self.hosts.work_ended(host);
+        let report = report.map(|report| self.report_in_local_time(host, report));
+        self.notify_router(Event::HealthChecked { host, outcome, latency, report }).await;
+    }
+
+    /// Makes the final reply of each open request due at `reply_by` at the latest.
+    fn bring_all_replies_forward(&mut self, reply_by: Instant) {
+        for timer in self.requests.final_reply_timers() {
+            self.timers.bring_forward(timer, reply_by);
+        }
+    }
+}
