--- a/src/net/core/actions.rs
+++ b/src/net/core/actions.rs
@@ -21,7 +21,7 @@
             let may_change_ejections = matches!(event, Event::EndpointList(..) | Event::Timer(_));
             self.router.handle(now, event, &mut actions);
             if may_change_ejections {
-                self.counters.ejected(self.router.avoided());
+                self.counters.ejected(self.router.ejected_hosts());
             }
             for action in actions.drain(..) {
                 tracing::trace!(at_us = now.0, ?action, "router action");
--- a/src/net/core/positions.rs
+++ b/src/net/core/positions.rs
@@ -39,7 +39,7 @@
         let offset_ms = self.host_clock.offset_us() / 1000;
         tracing::warn!(offset_ms, "offset of the hosts' clock changed");
         self.hosts.shift_start_times(shift);
-        self.router.rebase(received, shift);
+        self.router.shift_host_clock(received, shift);
     }
 
     /// Returns whether the data behind an answer are too old for its request, where the settings leave that check to the
