--- a/crates/decisions/src/routing/eligibility.rs
+++ b/crates/decisions/src/routing/eligibility.rs
@@ -7,6 +7,9 @@
 use super::{retry, slow_start};
 use crate::interface::{Freshness, HostId, Idempotency, RequestClass, TimeDelta};
 
+#[cfg(test)]
+mod tests;
+
 /// A primary that responded longer ago than this may have failed over: it is checked before a write that
 /// must not be repeated.
 const PRIMARY_EVIDENCE_MAX_AGE: TimeDelta = TimeDelta::from_secs(1);
--- a/crates/decisions/src/routing/host.rs
+++ b/crates/decisions/src/routing/host.rs
@@ -15,6 +15,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Host {
     pub group: u32,
+    /// Availability zone.
     pub zone: u32,
     /// State of its process by the endpoint list.
     pub state: HostState,
@@ -22,13 +23,17 @@
     pub was_draining: bool,
     /// When it was first found removed from the list and idle.
     pub removed_at: Option<Timestamp>,
+    /// Whether the endpoint list names it as the primary.
     pub listed_as_primary: bool,
+    /// When its process started, if known.
     pub started_at: Option<Timestamp>,
     /// Whether `started_at` is what the list says.
     pub start_is_listed: bool,
     /// The latest position that it is known to have applied.
     pub applied_position: LogPosition,
+    /// When it last told a position.
     pub position_observed_at: Option<Timestamp>,
+    /// The latest role that it was seen in.
     pub role: Option<ObservedRole>,
     /// When it last responded. A load report may be old, and does not count.
     pub last_response_at: Option<Timestamp>,
@@ -44,8 +49,11 @@
     pub latency_ratio: DecayingAverage,
     /// Fraction of its responses that are errors.
     pub error_rate: DecayingAverage,
+    /// Ejects the host after failures.
     pub circuit_breaker: CircuitBreaker,
+    /// When its last health check started.
     pub health_checked_at: Option<Timestamp>,
+    /// Whether a health check has not ended yet.
     pub health_check_in_flight: bool,
     /// Whether a rule needs a health check of it at the next opportunity.
     pub health_check_requested: bool,
@@ -101,18 +109,22 @@
 }
 
 impl HostTable {
+    /// Returns a host, if it is known.
     pub fn get(&self, id: HostId) -> Option<&Host> {
         self.hosts.get(&id)
     }
 
+    /// Returns a host to be changed, if it is known.
     pub fn get_mut(&mut self, id: HostId) -> Option<&mut Host> {
         self.hosts.get_mut(&id)
     }
 
+    /// Returns all hosts, by number.
     pub fn iter(&self) -> impl Iterator<Item = (HostId, &Host)> + '_ {
         self.hosts.iter().map(|(id, host)| (*id, host))
     }
 
+    /// Returns all hosts, by number, to be changed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (HostId, &mut Host)> + '_ {
         self.hosts.iter_mut().map(|(id, host)| (*id, host))
     }
@@ -131,6 +143,7 @@
         })
     }
 
+    /// Returns whether the group has had a member that is not forgotten.
     pub fn has_group(&self, group: u32) -> bool {
         self.groups.contains_key(&group)
     }
--- a/crates/decisions/src/routing/queue.rs
+++ b/crates/decisions/src/routing/queue.rs
@@ -6,6 +6,9 @@
 use super::retry;
 use crate::interface::{Idempotency, KeyScope, RequestClass, RequestId, TimeDelta};
 
+#[cfg(test)]
+mod tests;
+
 /// Waiting requests are examined this often: a small part of any latency objective.
 pub(super) const CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
 /// A waiting request ends this long before its deadline: two checks and the way back to its client.
--- a/crates/decisions/src/routing/request.rs
+++ b/crates/decisions/src/routing/request.rs
@@ -86,26 +86,32 @@
 }
 
 impl PendingRequests {
+    /// Returns whether no request is pending.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
+    /// Returns the numbers of the requests, ascending.
     pub fn ids(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.requests.keys().copied()
     }
 
+    /// Returns a request, if it is pending.
     pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
+    /// Returns a request to be changed, if it is pending.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
+    /// Returns all requests, to be changed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut PendingRequest> + '_ {
         self.requests.values_mut()
     }
 
+    /// Adds a request.
     pub fn insert(&mut self, id: RequestId, request: PendingRequest) {
         self.requests.insert(id, request);
     }
@@ -125,14 +131,17 @@
         self.attempts.values()
     }
 
+    /// Returns an attempt to be changed, if it is in flight.
     pub fn attempt_mut(&mut self, id: RequestId, number: u32) -> Option<&mut Attempt> {
         self.attempts.get_mut(&(id, number))
     }
 
+    /// Adds an attempt in flight.
     pub fn insert_attempt(&mut self, id: RequestId, number: u32, attempt: Attempt) {
         self.attempts.insert((id, number), attempt);
     }
 
+    /// Removes an attempt that has ended, and returns it.
     pub fn remove_attempt(&mut self, id: RequestId, number: u32) -> Option<Attempt> {
         self.attempts.remove(&(id, number))
     }
