--- a/src/net/local_faults/tests.rs
+++ b/src/net/local_faults/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn what_this_machine_lacks_is_told_from_what_the_path_or_the_other_side_does() {
+fn local_faults_are_distinguished_from_those_of_the_path_and_the_other_side() {
     use libc::*;
     for number in [EADDRNOTAVAIL, EMFILE, ENFILE, ENOBUFS, ENOMEM, EINTR] {
         assert!(is_local_fault(&error(number)), "{number}");
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test]
-async fn a_lack_is_waited_out() {
+async fn a_local_fault_is_retried() {
     let calls = Cell::new(0);
     let call = || async {
         calls.set(calls.get() + 1);
@@ -28,20 +28,21 @@
         }
     };
     let began = Instant::now();
-    let done = retry_local_faults(began + Duration::from_secs(1), call).await;
-    assert_eq!(done.expect("in time").expect("made"), 7);
+    let result = retry_local_faults(began + Duration::from_secs(1), call).await;
+    assert_eq!(result.expect("in time").expect("made"), 7);
     assert!(began.elapsed() >= Duration::from_millis(5 + 10 + 20 + 40));
 }
 
 #[tokio::test]
-async fn a_lack_that_lasts_is_told_in_time_and_another_failure_at_once() {
+async fn a_lasting_local_fault_is_returned_in_time_and_another_failure_at_once() {
     let began = Instant::now();
     let lasting = retry_local_faults(began + Duration::from_millis(200), || async {
         Err::<(), _>(error(libc::EMFILE))
     })
     .await;
     assert!(
-        is_local_fault(&lasting.expect("told").unwrap_err()) && began.elapsed() <= Duration::from_millis(220)
+        is_local_fault(&lasting.expect("returned").unwrap_err())
+            && began.elapsed() <= Duration::from_millis(220)
     );
     let began = Instant::now();
     let refused = retry_local_faults(began + Duration::from_secs(1), || async {
@@ -49,6 +50,7 @@
     })
     .await;
     assert!(
-        !is_local_fault(&refused.expect("told").unwrap_err()) && began.elapsed() < Duration::from_millis(500)
+        !is_local_fault(&refused.expect("returned").unwrap_err())
+            && began.elapsed() < Duration::from_millis(500)
     );
 }
--- a/src/net/stream/tests.rs
+++ b/src/net/stream/tests.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-const SOON: Duration = Duration::from_millis(50);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(50);
 
 #[tokio::test]
 async fn the_host_waits_for_the_client() {
     let (sender, remainder) = channel();
     assert!(sender.send(Bytes::from_static(b"a")).await);
-    assert!(timeout(SOON, sender.send(Bytes::from_static(b"b"))).await.is_err());
+    assert!(timeout(SHORT_TIMEOUT, sender.send(Bytes::from_static(b"b"))).await.is_err());
     let mut chunks = remainder.take().unwrap();
     assert_eq!(chunks.next().await, Chunk::Bytes(Bytes::from_static(b"a")));
     tokio::spawn(sender.finish());
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_breaks_off_is_known_from_one_that_ends() {
+async fn an_aborted_answer_is_distinguished_from_a_complete_one() {
     let (sender, remainder) = channel();
     assert!(sender.send(Bytes::from_static(b"a")).await);
     drop(sender);
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test]
-async fn the_host_hears_that_the_client_has_left() {
+async fn the_host_is_notified_that_the_client_has_disconnected() {
     let (sender, remainder) = channel();
     let copy = remainder.clone();
     assert_eq!(copy, remainder);
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -1,6 +1,7 @@
 //! One query on a connection and its answer, whatever the protocol.
 
-use crate::interface::{LoadReport, LogPosition, Outcome, Role};
+use super::load_report;
+use crate::interface::{LoadReport, Outcome, Role};
 use crate::net::messages::{ReportedPosition, Value};
 use bytes::{Bytes, BytesMut};
 use std::ops::Range;
@@ -197,26 +198,6 @@
             Content::Separate(content) => &content[..],
             Content::InMessages(range) => self.messages.get(range.clone())?,
         };
-        parse_load_report(std::str::from_utf8(row).ok()?)
+        load_report::parse(std::str::from_utf8(row).ok()?)
     }
 }
-
-/// Parses `name=number,...`: `x0` is the applied position in Unix seconds, `x1` is 1 at a primary and 0 at a replica. One
-/// pair that cannot be read invalidates the report.
-fn parse_load_report(text: &str) -> Option<LoadReport> {
-    let pair = |pair: &str| {
-        let (name, value) = pair.split_once('=')?;
-        let value = value.trim().parse::<f64>().ok().filter(|value| value.is_finite())?;
-        Some((name.trim().to_owned(), value))
-    };
-    let pairs: Vec<(String, f64)> = text.split(',').map(pair).collect::<Option<_>>()?;
-    let number = |wanted: &str| pairs.iter().find(|(name, _)| name == wanted).map(|(_, value)| *value);
-    let position = number("x0").map(|seconds| LogPosition((seconds * 1e6).floor() as i64));
-    let role = match number("x1") {
-        Some(1.0) => Some(Role::Primary),
-        Some(0.0) => Some(Role::Replica),
-        Some(_) => return None,
-        None => None,
-    };
-    Some(LoadReport { position, role })
-}
--- a/src/net/upstream/large/tests.rs
+++ b/src/net/upstream/large/tests.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Slots for so many long answers, and the budget that has them.
+/// Returns slots for `number` large answers, and the budget that accounts for them.
 pub(in crate::net::upstream) fn slots(number: usize) -> (LargeAnswers, Budget) {
     let buffers = Override { cap: Some(2 * (number * MAX_BUFFERED_BYTES) as u64), reserve: Some(0) };
     let overrides = BTreeMap::from([(Purpose::UpstreamBuffers, buffers)]);
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn a_long_answer_waits_for_its_slot_and_is_accounted_for() {
+async fn a_large_answer_waits_for_its_slot_and_is_accounted_for() {
     let (large, budget) = slots(2);
     let soon = || timeout(Duration::from_millis(50), large.acquire());
     let first = soon().await.unwrap().unwrap();
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -7,6 +7,7 @@
 //! - `connection`: one connection, whatever its protocol
 //! - `exchange`: one query and its answer
 //! - `dialect`, `postgres`, `tds`: the protocols
+//! - `load_report`: a host's load report
 //! - `large`: answers that are too long to be held in memory
 
 mod attempt;
@@ -18,6 +19,7 @@
 mod host_actor;
 mod idle;
 mod large;
+mod load_report;
 mod postgres;
 mod tds;
 
