--- a/adapter/src/wire/instance.rs
+++ b/adapter/src/wire/instance.rs
@@ -3,7 +3,7 @@
 use super::error::WireError;
 use super::fields::Fields;
 use std::collections::HashMap;
-use wheelpier_decisions::settings::Reading;
+use wheelpier_decisions::settings::ReportFormat;
 use wheelpier_decisions::{HostId, LoadReport, LogPosition, RequestId, Role, Router};
 
 /// A request's name, held until its last attempt has ended.
@@ -18,7 +18,7 @@
 pub struct Instance {
     /// The decisions.
     pub router: Router,
-    reading: Reading,
+    report_format: ReportFormat,
     host_ids: HashMap<String, HostId>,
     host_names: Vec<String>,
     request_ids: HashMap<String, RequestId>,
@@ -28,10 +28,10 @@
 
 impl Instance {
     /// An instance that knows no host and no request.
-    pub fn new(router: Router, reading: Reading) -> Self {
+    pub fn new(router: Router, report_format: ReportFormat) -> Self {
         Self {
             router,
-            reading,
+            report_format,
             host_ids: HashMap::new(),
             host_names: Vec::new(),
             request_ids: HashMap::new(),
@@ -116,24 +116,24 @@
     /// When one of its values is not a number.
     pub fn load_report(&self, text: Option<&str>, fields: &Fields) -> Result<Option<LoadReport>, WireError> {
         let Some(text) = text else { return Ok(None) };
-        let mut values = Vec::with_capacity(self.reading.fields);
+        let mut values = Vec::with_capacity(self.report_format.field_count);
         for value in text.split(',') {
             values.push(report_value(value, fields)?);
         }
         let value = |place: Option<usize>| place.and_then(|place| values.get(place).copied().flatten());
-        let position = value(self.reading.position_field).map(|seconds| self.position_floor(seconds));
-        let role = value(self.reading.role_field).map(role_of);
+        let position = value(self.report_format.position_field).map(|seconds| self.position_floor(seconds));
+        let role = value(self.report_format.role_field).map(role_of);
         Ok(Some(LoadReport { position, role }))
     }
 
     /// A position in whole milliseconds, as responses carry it.
     pub fn position_from_millis(&self, millis: i64) -> LogPosition {
-        LogPosition(self.reading.zero + millis * 1000)
+        LogPosition(self.report_format.position_origin.0 + millis * 1000)
     }
 
     /// A position in seconds, rounded down to whole microseconds, as it is a lower bound.
     fn position_floor(&self, seconds: f64) -> LogPosition {
-        LogPosition(self.reading.zero + (seconds * 1e6).floor() as i64)
+        LogPosition(self.report_format.position_origin.0 + (seconds * 1e6).floor() as i64)
     }
 }
 
