--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -45,11 +45,13 @@
     /// Set once a host that can serve is listed.
     pub ready: watch::Sender<bool>,
     pub counters: Arc<Counters>,
+    /// Counts and logs rejections.
     pub rejections: Rejections,
+    /// Accounts for the memory of requests.
     pub memory: Memory,
 }
 
-/// The core actor.
+/// The core actor. See the module for its parts.
 pub(crate) struct Core {
     router: Router,
     config: Config,
--- a/src/net/core/request_table.rs
+++ b/src/net/core/request_table.rs
@@ -14,11 +14,13 @@
 pub(super) struct InFlightRequest {
     /// The client's name for it.
     pub name: String,
+    /// What each attempt forwards.
     pub statement: Statement,
     /// Until when it may be worked on.
     pub deadline: Instant,
     /// Where the answer goes; none once it is answered.
     pub client: Option<mpsc::Sender<ClientMessage>>,
+    /// Tells whether the client's connection is still open.
     pub client_liveness: PeerLiveness,
     /// None once it is answered.
     pub final_reply_timer: Option<FinalReplyTimer>,
@@ -30,6 +32,7 @@
     pub requirement: ReadRequirement,
     /// How many attempts have not ended.
     pub in_flight_attempts: u32,
+    /// Whether its class writes.
     pub is_write: bool,
     /// Index of its class in the settings at its arrival.
     pub class: usize,
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -190,6 +190,7 @@
 /// A request as it reaches the core actor.
 #[derive(Debug)]
 pub(crate) struct Arrival {
+    /// The proxy's own id for the request.
     pub id: RequestId,
     pub request: Request,
     /// When its last byte was read.
@@ -224,11 +225,15 @@
     pub attempt: u32,
     pub host: HostId,
     pub outcome: Outcome,
+    /// From the core actor's command to the end.
     pub latency: TimeDelta,
     /// When the query's last byte was written; none if it was not.
     pub written_at: Option<Instant>,
+    /// The log position that the answer reported.
     pub position: Option<ReportedPosition>,
+    /// The role that the answer reported.
     pub role: Option<Role>,
+    /// The value; only with [`Outcome::Ok`].
     pub value: Option<Value>,
 }
 
@@ -237,6 +242,8 @@
 pub(crate) struct HealthCheckResult {
     pub host: HostId,
     pub outcome: Outcome,
+    /// From the core actor's command to the end.
     pub latency: TimeDelta,
+    /// The load report; only with [`Outcome::Ok`], and only where the settings have load reports.
     pub report: Option<LoadReport>,
 }
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -91,7 +91,7 @@
     work.finish(host, ending)
 }
 
-/// An attempt and how far it has come.
+/// An attempt in progress.
 #[derive(Debug)]
 struct AttemptWork {
     attempt: Attempt,
