--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -105,15 +105,15 @@
     let memory = Memory::new(budget, config.plan.clone(), clock);
     let rejections = Rejections::new(Arc::clone(&counters), clock);
     let shared = Shared { clock, events, counters: Arc::clone(&counters), rejections, memory };
-    let acceptor = shared.acceptor(&config, &admin, current_settings, reclaimed);
+    let clients = shared.client_context(&config, &admin, current_settings, reclaimed);
     let core = shared.core(&config, ready)?;
     let console =
         console.map(|listener| tokio::spawn(console::serve(listener, admin.clone(), config.limits.callers)));
     let background = BackgroundChannels { discovery_addresses, reloads, settings, reclaims };
-    let mut background = background.spawn(&config, shared, &admin, acceptor.connections.clone());
+    let mut background = background.spawn(&config, shared, &admin, clients.connections.clone());
     background.extend(console);
     Ok(Server {
-        acceptor: tokio::spawn(frontend::accept(listeners, acceptor)),
+        acceptor: tokio::spawn(frontend::Acceptor::new(listeners, clients).run()),
         core: tokio::spawn(core.run(mailbox)),
         channels: Channels { discovery, reloaded, draining, drain_changes },
         config,
@@ -146,25 +146,25 @@
 }
 
 impl Shared {
-    fn acceptor(
+    fn client_context(
         &self,
         config: &Config,
         admin: &AdminState,
         settings: watch::Receiver<Arc<FrontendSettings>>,
         reclaims: watch::Receiver<Vec<Arc<Reclaim>>>,
-    ) -> frontend::Acceptor {
-        frontend::Acceptor {
+    ) -> frontend::ClientContext {
+        frontend::ClientContext {
             clock: self.clock,
             events: self.events.clone(),
-            terms: settings,
-            desk: admin.clone(),
+            settings,
+            admin: admin.clone(),
             draining: admin.draining.clone(),
             counters: Arc::clone(&self.counters),
             rejections: self.rejections.clone(),
             memory: self.memory.clone(),
             reclaims,
-            limit: config.limits.clients,
-            pipeline: config.pipeline(),
+            max_clients: config.limits.clients,
+            pipeline_limits: config.pipeline(),
             cancellations: frontend::Cancellations::default(),
             connections: frontend::ConnectionRegistry::default(),
         }
@@ -195,7 +195,7 @@
         let Self { discovery_addresses, reloads, settings, reclaims } = self;
         let Shared { events, memory, .. } = shared;
         let draining = || admin.draining.clone();
-        let report_drains = frontend::report_drains(connections, admin.quiesced.subscribe(), draining());
+        let report_drains = frontend::report_drains(connections, admin.clone());
         let forward_drain = forward_drain(draining(), settings.subscribe(), events.clone());
         let forward_reloads = forward_reloads(reloads, events.clone(), settings, draining());
         let discovery = Discovery {
@@ -295,7 +295,7 @@
     let Ok(Some(started_at)) = draining.wait_for(Option::is_some).await.map(|started_at| *started_at) else {
         return;
     };
-    let reply_by = started_at + settings.borrow().drain.answers;
+    let reply_by = started_at + settings.borrow().shutdown.answers_due_after;
     // Fails only when the core has ended, and the process with it.
     let _ = events.send(CoreEvent::DrainStarted(reply_by)).await;
 }
@@ -316,7 +316,7 @@
             return;
         }
         if draining.borrow().is_some() {
-            new_settings.drain = settings.borrow().drain;
+            new_settings.shutdown = settings.borrow().shutdown;
         }
         tracing::info!(classes = new_settings.names.classes.len(), "configuration reloaded");
         settings.send_replace(Arc::new(new_settings));
