--- a/crates/decisions/src/membership/agreement.rs
+++ b/crates/decisions/src/membership/consensus/mod.rs
@@ -1,7 +1,7 @@
 //! Agreement: numbered views, one with each number, and leases from their voters. What it says may be built on: a member
 //! that is out, or has lost its lease, knows so itself before anybody else may act in its place.
 //!
-//! It guards safety alone. Who ought to go, and when, is for [`super::advice`] and the policy above it to say: a wrong
+//! It guards safety alone. Who ought to go, and when, is for [`crate::membership::failure_detector`] and the policy above it to say: a wrong
 //! wish costs work and breaks nothing. Messages may be lost, doubled, late and out of order; a process may stand still
 //! at any moment and for any time. Clocks are monotonic, each process reads its own, and they run within a stated drift.
 //!
@@ -13,9 +13,9 @@
 //! knows that each lease under an earlier one was granted before: it has run out one lease's time later.
 //! `docs/design/006-membership.md` has the argument and the limits.
 
-use super::lease::Terms;
-use super::view::{Change, Identity, Name, View};
 use crate::interface::Timestamp;
+use crate::membership::lease::Terms;
+use crate::membership::view::{Change, Identity, Name, View};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -531,5 +531,4 @@
 }
 
 #[cfg(test)]
-#[path = "agreement/model_test.rs"]
 mod model_test;
--- a/crates/decisions/src/membership/advice.rs
+++ b/crates/decisions/src/membership/failure_detector/mod.rs
@@ -5,8 +5,8 @@
 //! It guards nothing: an [`Opinion`] may be wrong at any time and only makes somebody open a ballot. Whatever must
 //! happen once needs [`super::agreement`], which has another type for who is in and who is out.
 
-use super::view::{Identity, Name};
 use crate::interface::Timestamp;
+use crate::membership::view::{Identity, Name};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
--- a/crates/decisions/src/membership/member.rs
+++ b/crates/decisions/src/membership/member/mod.rs
@@ -1,12 +1,12 @@
 //! One member of the fleet: its advice, its part in the agreement, and the policy between them, as one state machine. Events
 //! and a moment go in, messages come out; the transport, the names' addresses and the keys are left to the caller.
 
-use super::advice::{self, Advice, Opinion, Tempo};
-use super::agreement::{self, Agreement, Durable, Event};
-use super::steward::{self, Flaps, Row};
-use super::view::{Change, Identity, Name, View};
-use super::Terms;
 use crate::interface::Timestamp;
+use crate::membership::consensus::{self, Agreement, Durable, Event};
+use crate::membership::failure_detector::{self, Advice, Opinion, Tempo};
+use crate::membership::reconfiguration::{self, Flaps, Row};
+use crate::membership::view::{Change, Identity, Name, View};
+use crate::membership::Terms;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,9 +14,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Of the advice.
-    Advice(advice::Message),
+    Advice(failure_detector::Message),
     /// Of the agreement.
-    Agreement(agreement::Message),
+    Agreement(consensus::Message),
     /// A voter tells another one what it hears.
     Row(Row),
     /// Somebody asks to be let in.
@@ -207,7 +207,7 @@
             }
             Message::Agreement(message) => {
                 let founds =
-                    matches!(message, agreement::Message::Prepare { .. } | agreement::Message::Accept { .. });
+                    matches!(message, consensus::Message::Prepare { .. } | consensus::Message::Accept { .. });
                 self.offered |= founds && self.agreement.view().epoch == 0;
                 self.agree(now, out, |agreement, more| agreement.heard(now, from, message, more));
             }
@@ -247,20 +247,22 @@
         &mut self,
         now: Timestamp,
         out: &mut Vec<Output>,
-        act: impl FnOnce(&mut Advice, Timestamp, &mut Vec<advice::Output>),
+        act: impl FnOnce(&mut Advice, Timestamp, &mut Vec<failure_detector::Output>),
     ) {
         let mut more = Vec::new();
         act(&mut self.advice, now, &mut more);
         for output in more {
             match output {
-                advice::Output::Send(to, message) => out.push(Output::Send(to, Message::Advice(message))),
-                advice::Output::Changed(who, opinion) => {
+                failure_detector::Output::Send(to, message) => {
+                    out.push(Output::Send(to, Message::Advice(message)))
+                }
+                failure_detector::Output::Changed(who, opinion) => {
                     if opinion == Opinion::Gone {
                         self.look_at = now;
                     }
                     out.push(Output::Advised(who, opinion));
                 }
-                advice::Output::Stood(span) => {
+                failure_detector::Output::Stood(span) => {
                     // What it knew of the others is old: it judges nobody until it has heard anew.
                     self.rows.clear();
                     self.unheard.clear();
@@ -275,18 +277,18 @@
         &mut self,
         now: Timestamp,
         out: &mut Vec<Output>,
-        act: impl FnOnce(&mut Agreement, &mut Vec<agreement::Output>),
+        act: impl FnOnce(&mut Agreement, &mut Vec<consensus::Output>),
     ) {
         let epoch = self.agreement.view().epoch;
         let mut more = Vec::new();
         act(&mut self.agreement, &mut more);
         for output in more {
             match output {
-                agreement::Output::Send(to, message) => {
+                consensus::Output::Send(to, message) => {
                     out.push(Output::Send(to, Message::Agreement(message)))
                 }
-                agreement::Output::Keep(kept) => out.push(Output::Keep(self.me.clone(), kept)),
-                agreement::Output::Event(event) => self.agreed(now, event, out),
+                consensus::Output::Keep(kept) => out.push(Output::Keep(self.me.clone(), kept)),
+                consensus::Output::Event(event) => self.agreed(now, event, out),
             }
         }
         if self.agreement.view().epoch > epoch {
@@ -366,7 +368,7 @@
 
     fn hello(&mut self, now: Timestamp, from: &Identity, out: &mut Vec<Output>) {
         let rows = self.fresh_rows(now);
-        match steward::twin(self.agreement.view(), from, &rows).cloned() {
+        match reconfiguration::twin(self.agreement.view(), from, &rows).cloned() {
             Some(there) => out.push(Output::Send(from.clone(), Message::Refused(there))),
             None if self.comers.len() < MOST_COMERS => _ = self.comers.insert(from.clone(), now),
             None => {}
@@ -393,7 +395,7 @@
         self.offered |= offers;
         for voter in self.agreement.view().electors() {
             if voter.name != self.me.name {
-                out.push(Output::Send(voter.clone(), Message::Agreement(agreement::Message::Ask { epoch })));
+                out.push(Output::Send(voter.clone(), Message::Agreement(consensus::Message::Ask { epoch })));
                 if offers {
                     out.push(Output::Send(voter.clone(), Message::Hello));
                 }
@@ -402,7 +404,7 @@
         // The voters that it knows of may all be others by now: the seeds are asked as well.
         for name in self.rules.seeds.iter().filter(|name| **name != self.me.name && epoch > 0) {
             let seed = Identity { name: Name::clone(name), life: 0 };
-            out.push(Output::Send(seed, Message::Agreement(agreement::Message::Ask { epoch })));
+            out.push(Output::Send(seed, Message::Agreement(consensus::Message::Ask { epoch })));
         }
     }
 
@@ -528,10 +530,10 @@
         let place = view.electors().iter().position(|voter| *voter == self.me).unwrap_or(0) as i64;
         // Whoever has accepted something grants no lease: it does not wait for the steward for long.
         let stalled = waits.is_some_and(|since| now.0 - since.0 > self.rules.terms.ballot * (2 + place));
-        if !self.settled(now, steward::most_speak(view, &rows)) || self.agreement.proposing() {
+        if !self.settled(now, reconfiguration::most_speak(view, &rows)) || self.agreement.proposing() {
             return;
         }
-        let unheard = steward::unheard_by_most(view, &self.me, &rows);
+        let unheard = reconfiguration::unheard_by_most(view, &self.me, &rows);
         self.unheard.retain(|who, _| unheard.contains(who));
         let passing = self.rules.terms.renew / PASSING;
         for member in unheard {
@@ -540,7 +542,7 @@
                 now
             });
         }
-        if steward::steward(view, &self.me, &rows) != Some(&self.me) && !stalled {
+        if reconfiguration::steward(view, &self.me, &rows) != Some(&self.me) && !stalled {
             return;
         }
         let dull = DULL * self.rules.terms.lease;
@@ -549,7 +551,7 @@
             let unheard = self.unheard.get(who).map_or(0, |since| now.0 - since.0);
             (gone && unheard >= passing) || unheard > dull
         };
-        let wish = steward::wish(view, &self.me, &rows, &self.flaps, sure, now);
+        let wish = reconfiguration::wish(view, &self.me, &rows, &self.flaps, sure, now);
         if stalled || view.next(&wish).is_some() {
             self.agree(now, out, |agreement, more| agreement.propose(now, wish, more));
         }
--- a/crates/decisions/src/membership/chronicle.rs
+++ b/crates/decisions/src/membership/membership_log/mod.rs
@@ -1,11 +1,11 @@
 //! What is told of the fleet to people: who is in, who says so, what changed and why. It is read from the two layers and
 //! decides nothing.
 
-use super::advice::{Advice, Opinion};
-use super::agreement::{Agreement, Event};
-use super::member::{Member, Output};
-use super::view::{Identity, View};
 use crate::interface::Timestamp;
+use crate::membership::consensus::{Agreement, Event};
+use crate::membership::failure_detector::{Advice, Opinion};
+use crate::membership::member::{Member, Output};
+use crate::membership::view::{Identity, View};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -225,7 +225,7 @@
     view.members.iter().filter(|who| who.life > 0).map(row).collect()
 }
 
-fn links(view: &View, voter: &Identity, row: &super::steward::Row) -> Links {
+fn links(view: &View, voter: &Identity, row: &crate::membership::reconfiguration::Row) -> Links {
     let deaf = view.members.iter().zip(&row.hears).filter(|(_, hears)| !**hears);
     let same = row.epoch == view.epoch;
     Links {
--- a/crates/decisions/src/membership/steward.rs
+++ b/crates/decisions/src/membership/reconfiguration/mod.rs
@@ -5,8 +5,8 @@
 //! voters hear stays, however many other links to it are broken; one that most do not hear, or that says for long that it
 //! cannot get its lease, goes. Links have a direction, and what counts is the one towards the voters.
 
-use super::view::{Change, Identity, Name, View};
 use crate::interface::Timestamp;
+use crate::membership::view::{Change, Identity, Name, View};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/decisions/src/membership/post/seal.rs
+++ b/crates/decisions/src/membership/transport/authentication.rs
@@ -1,6 +1,6 @@
 //! The bytes of one datagram or frame between members: version, fleet, content, and a mark that only holders of the fleet's
 //! key can make (`docs/protocol/peers.md`). It guards against garbage, forgery and other fleets; what was sent before
-//! and comes once more is for [`super::window`] to tell.
+//! and comes once more is for [`super::replay_window`] to tell.
 
 use super::{Dropped, Envelope};
 use std::fmt;
--- a/crates/decisions/src/membership/post/mod.rs
+++ b/crates/decisions/src/membership/transport/mod.rs
@@ -5,13 +5,13 @@
 //! for a number that nobody could have foreseen. So nothing that was recorded is taken, also by a process that has just
 //! started and remembers nobody.
 
-mod book;
-mod seal;
-mod window;
+mod address_table;
+mod authentication;
+mod replay_window;
 
-pub use book::Book;
-pub use seal::{Key, KeyError, Seal, LONGEST_DATAGRAM, LONGEST_STREAM, VERSION};
-pub use window::{Order, Window};
+pub use address_table::Book;
+pub use authentication::{Key, KeyError, Seal, LONGEST_DATAGRAM, LONGEST_STREAM, VERSION};
+pub use replay_window::{Order, Window};
 
 use super::member::Message;
 use super::{Identity, Name};
--- a/crates/decisions/src/membership/post/tests.rs
+++ b/crates/decisions/src/membership/transport/tests.rs
@@ -1,8 +1,8 @@
 //! Two and three processes that write to each other, and one that has recorded all of it.
 
-use super::seal::tests::key;
+use super::authentication::tests::key;
 use super::*;
-use crate::membership::advice;
+use crate::membership::failure_detector;
 
 fn at(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -23,7 +23,7 @@
 }
 
 fn probe(number: u32) -> Message {
-    Message::Advice(advice::Message::Probe { number, news: Vec::new() })
+    Message::Advice(failure_detector::Message::Probe { number, news: Vec::new() })
 }
 
 impl Process {
@@ -49,7 +49,7 @@
         wire.push((source, parcel.clone()));
         let Some(to) = all.iter_mut().find(|p| at(p.port) == parcel.address) else { continue };
         let Ok(opened) = to.open(&parcel.bytes, source) else { continue };
-        if let Some((_, Message::Advice(advice::Message::Probe { number, .. }))) = opened.message {
+        if let Some((_, Message::Advice(failure_detector::Message::Probe { number, .. }))) = opened.message {
             read.push((to.port, number));
         }
         under_way.extend(opened.reply.map(|reply| (to.port, reply)));
--- a/crates/testbench/src/history.rs
+++ b/crates/testbench/src/history.rs
@@ -34,7 +34,7 @@
         epoch: u64,
         /// Whose.
         who: String,
-        /// Why, as [`wheelpier::membership::chronicle::Cause`] names it.
+        /// Why, as [`wheelpier::membership::membership_log::Cause`] names it.
         cause: String,
         /// Until when the process that says it believes in its own lease.
         lease_until: i64,
@@ -43,7 +43,7 @@
     Advice {
         /// Of whom.
         who: String,
-        /// What, as [`wheelpier::membership::advice::Opinion`] names it.
+        /// What, as [`wheelpier::membership::failure_detector::Opinion`] names it.
         opinion: String,
     },
     /// It goes on as another life.
--- a/crates/testbench/src/members.rs
+++ b/crates/testbench/src/members.rs
@@ -7,11 +7,11 @@
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
-use wheelpier_decisions::membership::advice::{self, News, Opinion, Tempo};
-use wheelpier_decisions::membership::agreement::{Durable, Event};
-use wheelpier_decisions::membership::chronicle::{Chronicle, Told};
+use wheelpier_decisions::membership::consensus::{Durable, Event};
+use wheelpier_decisions::membership::failure_detector::{self, News, Opinion, Tempo};
 use wheelpier_decisions::membership::member::{Member, Message, Output, Rules};
-use wheelpier_decisions::membership::steward::Row;
+use wheelpier_decisions::membership::membership_log::{Chronicle, Told};
+use wheelpier_decisions::membership::reconfiguration::Row;
 use wheelpier_decisions::membership::{Identity, Name, Terms, View};
 use wheelpier_decisions::Timestamp;
 use wheelpier_emulator::link::Link;
@@ -334,11 +334,11 @@
         let news = || others.clone().filter(|who| who.name != self.names[n] && who != to).map(gone).collect();
         match message {
             Message::Row(row) => Message::Row(Row { hears: vec![false; row.hears.len()], ..row }),
-            Message::Advice(advice::Message::Probe { number, .. }) => {
-                Message::Advice(advice::Message::Probe { number, news: news() })
+            Message::Advice(failure_detector::Message::Probe { number, .. }) => {
+                Message::Advice(failure_detector::Message::Probe { number, news: news() })
             }
-            Message::Advice(advice::Message::Answer { number, .. }) => {
-                Message::Advice(advice::Message::Answer { number, news: news() })
+            Message::Advice(failure_detector::Message::Answer { number, .. }) => {
+                Message::Advice(failure_detector::Message::Answer { number, news: news() })
             }
             other => other,
         }
--- a/crates/testbench/src/trouble.rs
+++ b/crates/testbench/src/trouble.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
-use wheelpier::membership::post::VERSION;
+use wheelpier::membership::transport::VERSION;
 use wheelpier_emulator::link::Link;
 use wheelpier_emulator::{MS, SECOND};
 
--- a/crates/testbench/tests/hostile.rs
+++ b/crates/testbench/tests/hostile.rs
@@ -6,9 +6,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::net::UdpSocket;
-use wheelpier::membership::advice;
+use wheelpier::membership::failure_detector;
 use wheelpier::membership::member::Message;
-use wheelpier::membership::post::{Book, Key, Post, Seal};
+use wheelpier::membership::transport::{Book, Key, Post, Seal};
 use wheelpier::membership::{Identity, Name};
 use wheelpier::Timestamp;
 use wheelpier_testbench::processes::Processes;
@@ -27,7 +27,7 @@
         let mut post = Post::new(me.name.clone(), seal, book, n as u64);
         for number in 0..50 {
             let whom = Identity { name: Name::clone(&target), life: 0 };
-            let probe = Message::Advice(advice::Message::Probe { number, news: Vec::new() });
+            let probe = Message::Advice(failure_detector::Message::Probe { number, news: Vec::new() });
             for message in [probe, Message::Hello, Message::Stuck, Message::Leaving] {
                 all.extend(
                     post.send(Timestamp(0), &me, &whom, message).unwrap().into_iter().map(|p| p.bytes),
--- a/fuzz/fuzz_targets/peers.rs
+++ b/fuzz/fuzz_targets/peers.rs
@@ -4,10 +4,10 @@
 
 use libfuzzer_sys::fuzz_target;
 use std::net::SocketAddr;
-use wheelpier_decisions::membership::advice::Tempo;
-use wheelpier_decisions::membership::agreement::Durable;
+use wheelpier_decisions::membership::failure_detector::Tempo;
+use wheelpier_decisions::membership::consensus::Durable;
 use wheelpier_decisions::membership::member::{Member, Message, Rules};
-use wheelpier_decisions::membership::post::{Book, Key, Post, Seal};
+use wheelpier_decisions::membership::transport::{Book, Key, Post, Seal};
 use wheelpier_decisions::membership::{Identity, Terms};
 use wheelpier_decisions::Timestamp;
 
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -1,7 +1,7 @@
 //! `wheelpier fleet status`: the fleet as one of its proxies knows it, asked of that proxy's console.
 
-use crate::membership::advice::Opinion;
-use crate::membership::chronicle::{Cause, Changed, Fleet, Links, Row};
+use crate::membership::failure_detector::Opinion;
+use crate::membership::membership_log::{Cause, Changed, Fleet, Links, Row};
 use bytes::Bytes;
 use clap::{Args, Subcommand};
 use http_body_util::{BodyExt, Empty};
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -3,7 +3,7 @@
 
 use crate::budget::plan::Override;
 use crate::budget::{Purpose, PURPOSES};
-use crate::membership::post::Key;
+use crate::membership::transport::Key;
 use crate::membership::Name;
 use crate::protocol::Protocol;
 use bytesize::ByteSize;
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -10,10 +10,10 @@
 
 use super::clock::Clock;
 use crate::config::Peers;
-use crate::membership::chronicle::{Cause, Chronicle, Fleet};
 use crate::membership::member::{Member, Output, Rules};
-use crate::membership::post::{Book, Dropped, Opened, Parcel, Post, Seal, LONGEST_DATAGRAM};
-use crate::membership::{advice, agreement, Identity, Name, Terms};
+use crate::membership::membership_log::{Cause, Chronicle, Fleet};
+use crate::membership::transport::{Book, Dropped, Opened, Parcel, Post, Seal, LONGEST_DATAGRAM};
+use crate::membership::{consensus, failure_detector, Identity, Name, Terms};
 use crate::peer_metrics::PeerMetrics;
 use std::io;
 use std::net::SocketAddr;
@@ -103,7 +103,7 @@
         // whoever has a higher one in the view is asked in as the next after that.
         let me = Identity::new(&start.name, 1 + (random()? >> 32));
         let seeds: Vec<Name> = peers.founders.keys().cloned().collect();
-        let rules = Rules { seeds, terms: Terms::default(), tempo: advice::Tempo::default() };
+        let rules = Rules { seeds, terms: Terms::default(), tempo: failure_detector::Tempo::default() };
         let now = start.clock.now();
         let fixed = peers.founders.iter().chain(&peers.members).map(|(name, at)| (Name::clone(name), *at));
         let seal = Seal::new(&peers.fleet, &peers.key, peers.second_key.as_ref());
@@ -113,7 +113,7 @@
         Ok(Self {
             fleet: peers.fleet.clone(),
             clock: start.clock,
-            member: Member::new(me, rules, agreement::Durable::default(), random()?, now),
+            member: Member::new(me, rules, consensus::Durable::default(), random()?, now),
             post,
             chronicle: Chronicle::default(),
             tally: Arc::clone(&start.tally),
@@ -205,12 +205,12 @@
                 Ok(parcels) => self.out.extend(parcels),
                 Err(reason) => self.dropped(reason),
             },
-            Output::Agreed(agreement::Event::View(view)) => {
+            Output::Agreed(consensus::Event::View(view)) => {
                 let members: Vec<String> = view.members.iter().map(ToString::to_string).collect();
                 let members = members.join(" ");
                 tracing::info!(event = "view", at_us = now.0, me = %me, epoch = view.epoch, members, "fleet");
             }
-            Output::Agreed(agreement::Event::Forked(view)) => {
+            Output::Agreed(consensus::Event::Forked(view)) => {
                 tracing::error!(event = "forked", at_us = now.0, me = %me, epoch = view.epoch, "two views with one number");
             }
             Output::Twin(there) => {
--- a/src/net/peers/streams.rs
+++ b/src/net/peers/streams.rs
@@ -1,6 +1,6 @@
 //! Messages that are too long for a datagram: one a connection, its length before it (`docs/protocol/peers.md`).
 
-use crate::membership::post::{Parcel, LONGEST_STREAM};
+use crate::membership::transport::{Parcel, LONGEST_STREAM};
 use crate::peer_metrics::PeerMetrics;
 use std::io;
 use std::sync::Arc;
--- a/src/peer_metrics.rs
+++ b/src/peer_metrics.rs
@@ -1,6 +1,6 @@
 //! What is counted of the fleet's messages.
 
-use crate::membership::post::{Dropped, DROPPED};
+use crate::membership::transport::{Dropped, DROPPED};
 use std::fmt::Write;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 
