--- a/crates/decisions/src/membership/consensus/mod.rs
+++ b/crates/decisions/src/membership/consensus/mod.rs
@@ -1,4 +1,4 @@
-//! Agreement: numbered views, one with each number, and leases from their voters. What it says may be built on: a member
+//! Consensus: numbered views, one with each number, and leases from their voters. What it says may be built on: a member
 //! that is out, or has lost its lease, knows so itself before anybody else may act in its place.
 //!
 //! It guards safety alone. Who ought to go, and when, is for [`crate::membership::failure_detector`] and the policy above it to say: a wrong
@@ -6,7 +6,7 @@
 //! at any moment and for any time. Clocks are monotonic, each process reads its own, and they run within a stated drift.
 //!
 //! *Views.* The next view is chosen by the voters of the present one, by ballots in two phases (Paxos, one instance for
-//! each number). A voter that has lost what it promised is another life and no voter, until a view lets it in.
+//! each number). A voter that has lost what it promised is another incarnation and no voter, until a view lets it in.
 //!
 //! *Leases.* A member asks all voters and holds a lease for a time counted from its asking once a majority has granted
 //! it. A voter that has accepted a proposal grants nothing until the matter is decided. So whoever learns of a view
@@ -14,7 +14,7 @@
 //! `docs/design/006-membership.md` has the argument and the limits.
 
 use crate::interface::Timestamp;
-use crate::membership::lease::Terms;
+use crate::membership::lease::LeaseTerms;
 use crate::membership::view::{Change, Identity, Name, View};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Message {
     /// Whoever knows a later view than this one is asked for it.
-    Ask {
+    ViewRequest {
         /// The latest view that is known.
         epoch: u64,
     },
@@ -42,18 +42,18 @@
         view: View,
     },
     /// A member asks for its lease.
-    Renew {
+    LeaseRequest {
         /// Under this view.
         epoch: u64,
         /// When it asked, by its own clock: it gets this back.
-        sent: Timestamp,
+        sent_at: Timestamp,
     },
     /// A voter grants it.
-    Granted {
+    LeaseGrant {
         /// Under this view.
         epoch: u64,
         /// As it was asked.
-        sent: Timestamp,
+        sent_at: Timestamp,
     },
     /// A ballot for the view after this one is opened.
     Prepare {
@@ -94,9 +94,9 @@
     },
 }
 
-/// What must not be lost while a life lasts: where a disk keeps it, a process that comes back is still the same voter.
+/// What must not be lost while a incarnation lasts: where a disk keeps it, a process that comes back is still the same voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Durable {
+pub struct DurableState {
     /// The latest view.
     pub view: Option<View>,
     /// No earlier ballot is taken part in.
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
     /// To be kept before anything that follows is sent.
-    Keep(Durable),
+    Persist(DurableState),
     /// To be sent to another member.
     Send(Identity, Message),
     /// Something that others build on.
@@ -119,77 +119,83 @@
 /// What others build on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// There is a new view. Who is out by it is free to be replaced once [`Agreement::free`] says so.
+    /// There is a new view. Who is out by it is free to be replaced once [`Consensus::can_take_over`] says so.
     View(View),
-    /// This process may act as a member from now on, until [`Agreement::fenced`] says otherwise.
+    /// This process may act as a member from now on, until [`Consensus::fenced`] says otherwise.
     Unfenced,
     /// This process may not act as a member: it is out, or its lease has run out.
     Fenced,
     /// Another view with a number that is known already. It must never be seen: somebody voted twice.
-    Forked(View),
+    ConflictingView(View),
 }
 
 /// An own ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Round {
+struct Proposal {
     ballot: Ballot,
-    wish: Change,
+    change: Change,
     /// What each voter had accepted before.
     promises: BTreeMap<Identity, Option<(Ballot, View)>>,
     /// What is asked for, once enough have promised.
     value: Option<View>,
     accepted: BTreeSet<Identity>,
-    over: Timestamp,
+    deadline: Timestamp,
 }
 
 /// Those that were seen to go are remembered up to this number: of older ones nobody may say that they are free.
-const MOST_GONE: usize = 4_096;
+const MAX_EVICTED_REMEMBERED: usize = 4_096;
 
-/// One member's part in the agreement.
+/// One member's part in the consensus.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Agreement {
+pub struct Consensus {
     me: Identity,
-    terms: Terms,
+    terms: LeaseTerms,
     view: View,
     /// The one before it that was known here.
-    before: View,
+    previous_view: View,
     promised: Option<Ballot>,
     accepted: Option<(Ballot, View)>,
-    round: Option<Round>,
-    /// Whoever was let in while this process did not look, or stands in another life's place, gets no lease before.
+    proposal: Option<Proposal>,
+    /// Whoever was let in while this process did not look, or stands in another incarnation's place, gets no lease before.
     not_before: BTreeMap<Identity, Timestamp>,
     /// From when on each of those that were seen to go may be replaced.
-    gone: BTreeMap<Identity, Timestamp>,
+    evicted: BTreeMap<Identity, Timestamp>,
     /// What was granted before this process began has run out by then.
-    quiet: Timestamp,
+    grants_from: Timestamp,
     /// Until when the lease is believed in.
-    lease: Option<Timestamp>,
+    lease_until: Option<Timestamp>,
     /// When it was asked for, and who has granted it since.
-    asked: BTreeMap<Timestamp, BTreeSet<Identity>>,
-    renew_at: Timestamp,
+    lease_requests: BTreeMap<Timestamp, BTreeSet<Identity>>,
+    renew_lease_at: Timestamp,
     /// What was told last.
-    told_fenced: bool,
+    reported_fenced: bool,
 }
 
-impl Agreement {
-    /// A life that begins now. `kept` is what a disk has of it; without any, the life must be a new one.
-    pub fn new(me: Identity, terms: Terms, seeds: &[Name], kept: Durable, now: Timestamp) -> Self {
-        let view = kept.view.unwrap_or_else(|| View::genesis(seeds));
+impl Consensus {
+    /// A incarnation that begins now. `kept` is what a disk has of it; without any, the incarnation must be a new one.
+    pub fn new(
+        me: Identity,
+        terms: LeaseTerms,
+        seeds: &[Name],
+        durable: DurableState,
+        now: Timestamp,
+    ) -> Self {
+        let view = durable.view.unwrap_or_else(|| View::genesis(seeds));
         Self {
             me,
             terms,
-            before: View::genesis(&[]),
+            previous_view: View::genesis(&[]),
             view,
-            promised: kept.promised,
-            accepted: kept.accepted,
-            round: None,
+            promised: durable.promised,
+            accepted: durable.accepted,
+            proposal: None,
             not_before: BTreeMap::new(),
-            gone: BTreeMap::new(),
-            quiet: terms.passed(now),
-            lease: None,
-            asked: BTreeMap::new(),
-            renew_at: now,
-            told_fenced: true,
+            evicted: BTreeMap::new(),
+            grants_from: terms.grantor_expired_at(now),
+            lease_until: None,
+            lease_requests: BTreeMap::new(),
+            renew_lease_at: now,
+            reported_fenced: true,
         }
     }
 
@@ -206,14 +212,14 @@
     }
 
     /// The view that was known before the latest one.
-    pub fn before(&self) -> &View {
-        &self.before
+    pub fn previous_view(&self) -> &View {
+        &self.previous_view
     }
 
     /// Whether this process must not act as a member at that moment of its clock. It is to be asked right before each
     /// act: a process may have stood still since it was told anything.
     pub fn fenced(&self, now: Timestamp) -> bool {
-        !self.view.contains(&self.me) || self.lease.is_none_or(|until| now >= until)
+        !self.view.contains(&self.me) || self.lease_until.is_none_or(|until| now >= until)
     }
 
     /// How long the lease still lasts, in microseconds; 0 where there is none.
@@ -221,108 +227,115 @@
         if self.fenced(now) {
             return 0;
         }
-        self.lease.map_or(0, |until| until.0 - now.0)
+        self.lease_until.map_or(0, |until| until.0 - now.0)
     }
 
     /// Until when the last lease is, or was, believed in by this process's own clock.
     pub fn lease_until(&self) -> Option<Timestamp> {
-        self.lease
+        self.lease_until
     }
 
-    /// Whether that life is out by agreement and knows it: somebody else may act in its place. Only of a life that
+    /// Whether that incarnation is out by consensus and knows it: somebody else may act in its place. Only of a incarnation that
     /// this process has seen as a member: one that it has never seen may have been let in meanwhile.
-    pub fn free(&self, who: &Identity, now: Timestamp) -> bool {
-        self.gone.get(who).is_some_and(|at| now >= *at)
+    pub fn can_take_over(&self, who: &Identity, now: Timestamp) -> bool {
+        self.evicted.get(who).is_some_and(|at| now >= *at)
     }
 
     /// Whether this process has accepted a proposal of which it does not know what became of it. It grants nothing
     /// meanwhile: somebody should open a ballot.
-    pub fn undecided(&self) -> bool {
+    pub fn has_undecided_proposal(&self) -> bool {
         self.accepted.is_some()
     }
 
     /// Whether a ballot of its own is open.
-    pub fn proposing(&self) -> bool {
-        self.round.is_some()
+    pub fn is_proposing(&self) -> bool {
+        self.proposal.is_some()
     }
 
     // ---- What it is told -------------------------------------------------------------------------------
 
-    /// When [`Self::timer`] has to be called at the latest.
-    pub fn next_timer(&self) -> Option<Timestamp> {
-        let renews = self.view.contains(&self.me).then_some(self.renew_at);
-        let lapses = self.lease.filter(|_| !self.told_fenced);
-        [renews, lapses, self.round.as_ref().map(|round| round.over)].into_iter().flatten().min()
+    /// When [`Self::handle_timeout`] has to be called at the latest.
+    pub fn next_timeout(&self) -> Option<Timestamp> {
+        let renews = self.view.contains(&self.me).then_some(self.renew_lease_at);
+        let lapses = self.lease_until.filter(|_| !self.reported_fenced);
+        [renews, lapses, self.proposal.as_ref().map(|proposal| proposal.deadline)].into_iter().flatten().min()
     }
 
     /// Timestamp has passed.
-    pub fn timer(&mut self, now: Timestamp, out: &mut Vec<Output>) {
-        self.tell_fence(now, out);
-        if self.round.as_ref().is_some_and(|round| now >= round.over) {
-            self.round = None;
+    pub fn handle_timeout(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        self.report_fencing(now, out);
+        if self.proposal.as_ref().is_some_and(|proposal| now >= proposal.deadline) {
+            self.proposal = None;
         }
-        if self.view.contains(&self.me) && now >= self.renew_at {
-            self.renew(now, out);
+        if self.view.contains(&self.me) && now >= self.renew_lease_at {
+            self.request_lease(now, out);
         }
     }
 
     /// A change of the view is wished for. Only a voter's wish comes to anything, and only if no other ballot goes
     /// before; whoever wishes has to look at what came of it and to wish again.
-    pub fn propose(&mut self, now: Timestamp, wish: Change, out: &mut Vec<Output>) {
-        let moot = !self.undecided() && self.view.epoch > 0 && self.view.next(&wish).is_none();
-        if !self.view.elects(&self.me) || moot {
+    pub fn propose(&mut self, now: Timestamp, change: Change, out: &mut Vec<Output>) {
+        let moot = !self.has_undecided_proposal() && self.view.epoch > 0 && self.view.next(&change).is_none();
+        if !self.view.is_voter(&self.me) || moot {
             return;
         }
         let round = self.promised.as_ref().map_or(0, |ballot| ballot.round) + 1;
         let ballot = Ballot { round, by: self.me.clone() };
-        let over = Timestamp(now.0 + self.terms.ballot);
+        let deadline = Timestamp(now.0 + self.terms.ballot_timeout_us);
         let (promises, accepted) = (BTreeMap::new(), BTreeSet::new());
-        self.round = Some(Round { ballot: ballot.clone(), wish, promises, value: None, accepted, over });
-        self.tell_voters(now, &Message::Prepare { epoch: self.view.epoch, ballot }, out);
+        self.proposal =
+            Some(Proposal { ballot: ballot.clone(), change, promises, value: None, accepted, deadline });
+        self.broadcast_to_voters(now, &Message::Prepare { epoch: self.view.epoch, ballot }, out);
     }
 
     /// A message has come from a member, or from whoever wants to be one.
-    pub fn heard(&mut self, now: Timestamp, from: &Identity, message: Message, out: &mut Vec<Output>) {
+    pub fn handle_message(
+        &mut self,
+        now: Timestamp,
+        from: &Identity,
+        message: Message,
+        out: &mut Vec<Output>,
+    ) {
         match message {
-            Message::Ask { epoch } => _ = self.same_view(from, epoch, out),
-            Message::Decided { view } => self.adopt(now, view, out),
-            Message::Renew { epoch, sent } => {
-                if self.same_view(from, epoch, out) && self.grants(now, from) {
-                    self.send(now, from, Message::Granted { epoch, sent }, out);
+            Message::ViewRequest { epoch } => _ = self.is_same_epoch(from, epoch, out),
+            Message::Decided { view } => self.adopt_view(now, view, out),
+            Message::LeaseRequest { epoch, sent_at } => {
+                if self.is_same_epoch(from, epoch, out) && self.may_grant(now, from) {
+                    self.send(now, from, Message::LeaseGrant { epoch, sent_at }, out);
                 }
             }
-            Message::Granted { epoch, sent } => {
+            Message::LeaseGrant { epoch, sent_at } => {
                 if epoch == self.view.epoch {
-                    self.granted(now, from, sent, out);
+                    self.handle_lease_grant(now, from, sent_at, out);
                 }
             }
             Message::Prepare { epoch, ballot } => {
-                if self.same_view(from, epoch, out) && self.votes(from, &ballot) {
-                    self.prepare(now, from, ballot, out);
+                if self.is_same_epoch(from, epoch, out) && self.is_voters_ballot(from, &ballot) {
+                    self.handle_prepare(now, from, ballot, out);
                 }
             }
             Message::Promise { epoch, ballot, accepted } => {
-                if self.same_view(from, epoch, out) && self.view.elects(from) {
-                    self.promise(now, from, &ballot, accepted, out);
+                if self.is_same_epoch(from, epoch, out) && self.view.is_voter(from) {
+                    self.handle_promise(now, from, &ballot, accepted, out);
                 }
             }
             Message::Accept { ballot, view } => {
                 let epoch = view.epoch.saturating_sub(1);
-                if self.same_view(from, epoch, out) && self.votes(from, &ballot) {
-                    self.accept(now, from, ballot, view, out);
+                if self.is_same_epoch(from, epoch, out) && self.is_voters_ballot(from, &ballot) {
+                    self.handle_accept(now, from, ballot, view, out);
                 }
             }
             Message::Accepted { epoch, ballot } => {
-                if self.same_view(from, epoch, out) && self.view.elects(from) {
-                    self.accepted(now, from, &ballot, out);
+                if self.is_same_epoch(from, epoch, out) && self.view.is_voter(from) {
+                    self.handle_accepted(now, from, &ballot, out);
                 }
             }
             Message::Reject { epoch, ballot } => {
                 // The next try goes before what it lost against.
                 if epoch == self.view.epoch && self.promised.as_ref().is_none_or(|own| *own < ballot) {
                     self.promised = Some(ballot);
-                    self.keep(out);
-                    self.round = None;
+                    self.persist(out);
+                    self.proposal = None;
                 }
             }
         }
@@ -332,10 +345,10 @@
 
     /// Whether the other side stands where this one does; whoever is behind hears the latest view, and whoever is
     /// ahead is asked for it.
-    fn same_view(&self, from: &Identity, epoch: u64, out: &mut Vec<Output>) -> bool {
+    fn is_same_epoch(&self, from: &Identity, epoch: u64, out: &mut Vec<Output>) -> bool {
         let answer = match epoch.cmp(&self.view.epoch) {
             std::cmp::Ordering::Less => Message::Decided { view: self.view.clone() },
-            std::cmp::Ordering::Greater => Message::Ask { epoch: self.view.epoch },
+            std::cmp::Ordering::Greater => Message::ViewRequest { epoch: self.view.epoch },
             std::cmp::Ordering::Equal => return true,
         };
         out.push(Output::Send(from.clone(), answer));
@@ -343,22 +356,22 @@
     }
 
     /// Whether a ballot is held by who says so, between voters.
-    fn votes(&self, from: &Identity, ballot: &Ballot) -> bool {
-        ballot.by == *from && self.view.elects(from) && self.view.elects(&self.me)
+    fn is_voters_ballot(&self, from: &Identity, ballot: &Ballot) -> bool {
+        ballot.by == *from && self.view.is_voter(from) && self.view.is_voter(&self.me)
     }
 
-    fn prepare(&mut self, now: Timestamp, from: &Identity, ballot: Ballot, out: &mut Vec<Output>) {
+    fn handle_prepare(&mut self, now: Timestamp, from: &Identity, ballot: Ballot, out: &mut Vec<Output>) {
         let epoch = self.view.epoch;
         if let Some(later) = self.promised.clone().filter(|own| *own > ballot) {
             return self.send(now, from, Message::Reject { epoch, ballot: later }, out);
         }
         self.promised = Some(ballot.clone());
-        self.keep(out);
+        self.persist(out);
         let accepted = self.accepted.clone();
         self.send(now, from, Message::Promise { epoch, ballot, accepted }, out);
     }
 
-    fn promise(
+    fn handle_promise(
         &mut self,
         now: Timestamp,
         from: &Identity,
@@ -366,167 +379,188 @@
         accepted: Option<(Ballot, View)>,
         out: &mut Vec<Output>,
     ) {
-        let Some(round) =
-            self.round.as_mut().filter(|round| round.ballot == *ballot && round.value.is_none())
+        let Some(proposal) =
+            self.proposal.as_mut().filter(|proposal| proposal.ballot == *ballot && proposal.value.is_none())
         else {
             return;
         };
-        round.promises.insert(from.clone(), accepted);
-        if distinct(round.promises.keys()) < self.view.quorum() {
+        proposal.promises.insert(from.clone(), accepted);
+        if distinct_names(proposal.promises.keys()) < self.view.quorum() {
             return;
         }
         // What may have been chosen already goes before any wish.
-        let before = round.promises.values().flatten().max_by_key(|(ballot, _)| ballot.clone());
-        let founders = || Change { join: round.promises.keys().cloned().collect(), ..Change::default() };
+        let before = proposal.promises.values().flatten().max_by_key(|(ballot, _)| ballot.clone());
+        let founders = || Change { join: proposal.promises.keys().cloned().collect(), ..Change::default() };
         let value = match before {
             Some((_, view)) => Some(view.clone()),
             None if self.view.epoch == 0 => self.view.next(&founders()),
-            None => self.view.next(&round.wish),
+            None => self.view.next(&proposal.change),
         };
         match value {
             Some(view) => {
-                round.value = Some(view.clone());
-                self.tell_voters(now, &Message::Accept { ballot: ballot.clone(), view }, out);
+                proposal.value = Some(view.clone());
+                self.broadcast_to_voters(now, &Message::Accept { ballot: ballot.clone(), view }, out);
             }
-            None => self.round = None,
+            None => self.proposal = None,
         }
     }
 
-    fn accept(&mut self, now: Timestamp, from: &Identity, ballot: Ballot, view: View, out: &mut Vec<Output>) {
+    fn handle_accept(
+        &mut self,
+        now: Timestamp,
+        from: &Identity,
+        ballot: Ballot,
+        view: View,
+        out: &mut Vec<Output>,
+    ) {
         let epoch = self.view.epoch;
         if let Some(later) = self.promised.clone().filter(|own| *own > ballot) {
             return self.send(now, from, Message::Reject { epoch, ballot: later }, out);
         }
         self.promised = Some(ballot.clone());
         self.accepted = Some((ballot.clone(), view));
-        self.keep(out);
+        self.persist(out);
         self.send(now, from, Message::Accepted { epoch, ballot }, out);
     }
 
-    fn accepted(&mut self, now: Timestamp, from: &Identity, ballot: &Ballot, out: &mut Vec<Output>) {
+    fn handle_accepted(&mut self, now: Timestamp, from: &Identity, ballot: &Ballot, out: &mut Vec<Output>) {
         let quorum = self.view.quorum();
-        let Some(round) = self.round.as_mut().filter(|round| round.ballot == *ballot) else { return };
-        round.accepted.insert(from.clone());
-        let Some(view) = round.value.clone().filter(|_| distinct(round.accepted.iter()) >= quorum) else {
+        let Some(proposal) = self.proposal.as_mut().filter(|proposal| proposal.ballot == *ballot) else {
+            return;
+        };
+        proposal.accepted.insert(from.clone());
+        let Some(view) =
+            proposal.value.clone().filter(|_| distinct_names(proposal.accepted.iter()) >= quorum)
+        else {
             return;
         };
-        let mut all: BTreeSet<Identity> = self.view.members.iter().filter(|m| m.life > 0).cloned().collect();
+        let mut all: BTreeSet<Identity> =
+            self.view.members.iter().filter(|m| m.incarnation > 0).cloned().collect();
         all.extend(view.members.iter().cloned());
         all.remove(&self.me);
         let decided = Message::Decided { view: view.clone() };
         out.extend(all.into_iter().map(|member| Output::Send(member, decided.clone())));
-        self.adopt(now, view, out);
+        self.adopt_view(now, view, out);
     }
 
     /// Takes a view that has been decided.
-    fn adopt(&mut self, now: Timestamp, view: View, out: &mut Vec<Output>) {
+    fn adopt_view(&mut self, now: Timestamp, view: View, out: &mut Vec<Output>) {
         if view.epoch <= self.view.epoch {
             if view.epoch == self.view.epoch && view != self.view && view.epoch > 0 {
-                out.push(Output::Event(Event::Forked(view)));
+                out.push(Output::Event(Event::ConflictingView(view)));
             }
             return;
         }
         let old = std::mem::replace(&mut self.view, view);
-        let passed = self.terms.passed(now);
+        let passed = self.terms.grantor_expired_at(now);
         self.not_before.retain(|_, at| *at > now);
-        for out_by_this in old.members.iter().filter(|m| m.life > 0 && !self.view.members.contains(m)) {
-            self.gone.insert(out_by_this.clone(), passed);
+        for out_by_this in old.members.iter().filter(|m| m.incarnation > 0 && !self.view.members.contains(m))
+        {
+            self.evicted.insert(out_by_this.clone(), passed);
         }
-        while self.gone.len() > MOST_GONE {
-            let oldest = self.gone.iter().min_by_key(|(_, at)| **at).map(|(who, _)| who.clone());
-            oldest.into_iter().for_each(|who| _ = self.gone.remove(&who));
+        while self.evicted.len() > MAX_EVICTED_REMEMBERED {
+            let oldest = self.evicted.iter().min_by_key(|(_, at)| **at).map(|(who, _)| who.clone());
+            oldest.into_iter().for_each(|who| _ = self.evicted.remove(&who));
         }
         let unseen = self.view.epoch > old.epoch + 1;
         for comes in self.view.members.iter().filter(|member| !old.members.contains(member)) {
-            // Another life of its name may still believe in its lease.
-            if unseen || self.gone.iter().any(|(gone, at)| gone.name == comes.name && *at > now) {
+            // Another incarnation of its name may still believe in its lease.
+            if unseen || self.evicted.iter().any(|(evicted, at)| evicted.name == comes.name && *at > now) {
                 self.not_before.insert(comes.clone(), passed);
             }
         }
-        self.before = old;
-        (self.promised, self.accepted, self.round) = (None, None, None);
-        self.asked.clear();
-        self.keep(out);
+        self.previous_view = old;
+        (self.promised, self.accepted, self.proposal) = (None, None, None);
+        self.lease_requests.clear();
+        self.persist(out);
         out.push(Output::Event(Event::View(self.view.clone())));
-        self.tell_fence(now, out);
+        self.report_fencing(now, out);
         if self.view.contains(&self.me) {
-            self.renew(now, out);
+            self.request_lease(now, out);
         }
     }
 
     // ---- Leases ----------------------------------------------------------------------------------------
 
-    fn renew(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+    fn request_lease(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         // Where answers get lost it asks oftener, before the lease runs out and after.
-        let late = self.lease.is_none_or(|until| until.0 - now.0 < self.terms.lease / 2);
-        self.renew_at = Timestamp(now.0 + if late { self.terms.renew / 4 } else { self.terms.renew });
+        let late = self.lease_until.is_none_or(|until| until.0 - now.0 < self.terms.lease_us / 2);
+        self.renew_lease_at = Timestamp(
+            now.0 + if late { self.terms.renew_interval_us / 4 } else { self.terms.renew_interval_us },
+        );
         // What was asked so long ago would give nothing any more.
         let terms = self.terms;
-        self.asked.retain(|sent, _| terms.held(*sent) > now);
-        self.asked.insert(now, BTreeSet::new());
-        self.tell_voters(now, &Message::Renew { epoch: self.view.epoch, sent: now }, out);
+        self.lease_requests.retain(|sent_at, _| terms.holder_valid_until(*sent_at) > now);
+        self.lease_requests.insert(now, BTreeSet::new());
+        self.broadcast_to_voters(now, &Message::LeaseRequest { epoch: self.view.epoch, sent_at: now }, out);
     }
 
     /// Whether a lease may be granted: to a member, by a voter that has accepted nothing since this view began, and
-    /// not while another life of its name may hold one.
-    fn grants(&self, now: Timestamp, to: &Identity) -> bool {
+    /// not while another incarnation of its name may hold one.
+    fn may_grant(&self, now: Timestamp, to: &Identity) -> bool {
         self.view.contains(to)
-            && self.view.elects(&self.me)
+            && self.view.is_voter(&self.me)
             && self.accepted.is_none()
-            && now >= self.quiet
+            && now >= self.grants_from
             && self.not_before.get(to).is_none_or(|at| now >= *at)
     }
 
-    fn granted(&mut self, now: Timestamp, from: &Identity, sent: Timestamp, out: &mut Vec<Output>) {
-        let (elects, quorum) = (self.view.elects(from), self.view.quorum());
-        let Some(by) = self.asked.get_mut(&sent).filter(|_| elects) else { return };
+    fn handle_lease_grant(
+        &mut self,
+        now: Timestamp,
+        from: &Identity,
+        sent_at: Timestamp,
+        out: &mut Vec<Output>,
+    ) {
+        let (is_voter, quorum) = (self.view.is_voter(from), self.view.quorum());
+        let Some(by) = self.lease_requests.get_mut(&sent_at).filter(|_| is_voter) else { return };
         by.insert(from.clone());
         if by.len() >= quorum {
-            let until = self.terms.held(sent);
-            self.lease = Some(self.lease.map_or(until, |old| old.max(until)));
-            self.asked.retain(|other, _| *other > sent);
-            self.tell_fence(now, out);
+            let until = self.terms.holder_valid_until(sent_at);
+            self.lease_until = Some(self.lease_until.map_or(until, |old| old.max(until)));
+            self.lease_requests.retain(|other, _| *other > sent_at);
+            self.report_fencing(now, out);
         }
     }
 
     /// Tells once when it changes whether this process may act.
-    fn tell_fence(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+    fn report_fencing(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let fenced = self.fenced(now);
-        if fenced != self.told_fenced {
-            self.told_fenced = fenced;
+        if fenced != self.reported_fenced {
+            self.reported_fenced = fenced;
             out.push(Output::Event(if fenced { Event::Fenced } else { Event::Unfenced }));
         }
     }
 
     // ---- Sending ---------------------------------------------------------------------------------------
 
-    fn keep(&self, out: &mut Vec<Output>) {
+    fn persist(&self, out: &mut Vec<Output>) {
         let view = Some(self.view.clone()).filter(|view| view.epoch > 0);
-        out.push(Output::Keep(Durable {
+        out.push(Output::Persist(DurableState {
             view,
             promised: self.promised.clone(),
             accepted: self.accepted.clone(),
         }));
     }
 
-    fn tell_voters(&mut self, now: Timestamp, message: &Message, out: &mut Vec<Output>) {
-        for voter in self.view.electors().to_vec() {
+    fn broadcast_to_voters(&mut self, now: Timestamp, message: &Message, out: &mut Vec<Output>) {
+        for voter in self.view.voters().to_vec() {
             self.send(now, &voter, message.clone(), out);
         }
     }
 
     /// What it says to itself it hears at once. Before the first view voters are known by their names alone.
     fn send(&mut self, now: Timestamp, to: &Identity, message: Message, out: &mut Vec<Output>) {
-        if *to == self.me || (to.life == 0 && to.name == self.me.name) {
+        if *to == self.me || (to.incarnation == 0 && to.name == self.me.name) {
             let me = self.me.clone();
-            return self.heard(now, &me, message, out);
+            return self.handle_message(now, &me, message, out);
         }
         out.push(Output::Send(to.clone(), message));
     }
 }
 
-/// How many names there are: before the first view a voter may have had more than one life.
-fn distinct<'a>(voters: impl Iterator<Item = &'a Identity>) -> usize {
+/// How many names there are: before the first view a voter may have had more than one incarnation.
+fn distinct_names<'a>(voters: impl Iterator<Item = &'a Identity>) -> usize {
     voters.map(|voter| &voter.name).collect::<BTreeSet<_>>().len()
 }
 
--- a/crates/decisions/src/membership/consensus/model_test.rs
+++ b/crates/decisions/src/membership/consensus/model_test.rs
@@ -1,5 +1,5 @@
 //! All runs of a small fleet, within bounds: messages lost, doubled and out of order, processes that stand still, come back
-//! as another life, or from their disk. Two faults are planted, which it has to find.
+//! as another incarnation, or from their disk. Two faults are planted, which it has to find.
 
 use super::*;
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -7,9 +7,9 @@
 /// One process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    agreement: Agreement,
+    consensus: Consensus,
     /// What its disk has.
-    kept: Durable,
+    durable: DurableState,
 }
 
 /// What is in the code, or planted.
@@ -65,7 +65,8 @@
     Tick,
 }
 
-const TERMS: Terms = Terms { lease: 2, drift_ppm: 0, renew: 1, ballot: 100 };
+const TERMS: LeaseTerms =
+    LeaseTerms { lease_us: 2, drift_ppm: 0, renew_interval_us: 1, ballot_timeout_us: 100 };
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
 
 impl Fleet {
@@ -84,12 +85,12 @@
 
     /// Takes in what a node does.
     fn carry_out(&self, state: &mut State, node: usize, out: Vec<Output>) {
-        let me = state.nodes[node].agreement.me.clone();
+        let me = state.nodes[node].consensus.me.clone();
         for output in out {
             match output {
-                Output::Keep(kept) => state.nodes[node].kept = kept,
+                Output::Persist(durable) => state.nodes[node].durable = durable,
                 Output::Send(to, message) => {
-                    let lease = matches!(message, Message::Renew { .. } | Message::Granted { .. });
+                    let lease = matches!(message, Message::LeaseRequest { .. } | Message::LeaseGrant { .. });
                     let followed =
                         self.renews.is_some_and(|n| [&me, &to].iter().any(|id| *id.name == *NAMES[n]));
                     if !lease || followed {
@@ -100,21 +101,24 @@
                     let first = state.views.entry(view.epoch).or_insert_with(|| view.clone());
                     state.forked |= *first != view;
                 }
-                Output::Event(Event::Forked(_)) => state.forked = true,
+                Output::Event(Event::ConflictingView(_)) => state.forked = true,
                 Output::Event(_) => {}
             }
         }
     }
 
     fn restarted(&self, old: &Node, now: Timestamp) -> Node {
-        let (me, view) = (old.agreement.me.clone(), old.kept.view.clone());
+        let (me, view) = (old.consensus.me.clone(), old.durable.view.clone());
         let seeds: Vec<Name> = NAMES[..self.members].iter().map(|name| (*name).into()).collect();
-        let (me, kept) = match (self.fault, self.disk) {
-            (Fault::LifeKeptOverRestart, _) => (me, Durable { view, ..Durable::default() }),
-            (_, Disk::Kept) => (me, old.kept.clone()),
-            (_, Disk::Lost) => (Identity { life: me.life + 1, ..me }, Durable { view, ..Durable::default() }),
+        let (me, durable) = match (self.fault, self.disk) {
+            (Fault::LifeKeptOverRestart, _) => (me, DurableState { view, ..DurableState::default() }),
+            (_, Disk::Kept) => (me, old.durable.clone()),
+            (_, Disk::Lost) => (
+                Identity { incarnation: me.incarnation + 1, ..me },
+                DurableState { view, ..DurableState::default() },
+            ),
         };
-        Node { agreement: Agreement::new(me, TERMS, &seeds, kept.clone(), now), kept }
+        Node { consensus: Consensus::new(me, TERMS, &seeds, durable.clone(), now), durable }
     }
 }
 
@@ -127,11 +131,11 @@
         let members: Vec<Identity> =
             NAMES[..self.members].iter().map(|name| Identity::new(name, 1)).collect();
         let view = View { epoch: 1, members: members.clone() };
-        let kept = Durable { view: Some(view.clone()), ..Durable::default() };
-        let before = Timestamp(-TERMS.lease);
+        let durable = DurableState { view: Some(view.clone()), ..DurableState::default() };
+        let before = Timestamp(-TERMS.lease_us);
         let node = |me: Identity| Node {
-            agreement: Agreement::new(me, TERMS, &[], kept.clone(), before),
-            kept: kept.clone(),
+            consensus: Consensus::new(me, TERMS, &[], durable.clone(), before),
+            durable: durable.clone(),
         };
         let views = BTreeMap::from([(1, view)]);
         let nodes = members.into_iter().map(node).collect();
@@ -149,14 +153,14 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
         for (from, to, message) in &state.net {
-            if state.nodes.iter().any(|node| node.agreement.me == *to) {
+            if state.nodes.iter().any(|node| node.consensus.me == *to) {
                 actions.push(Step::Deliver(from.clone(), to.clone(), message.clone()));
             }
         }
         actions.extend((0..self.wishes.len()).filter(|n| !state.wished.contains(n)).map(Step::Wish));
         if let Some(node) = self.renews {
-            let renews = &state.nodes[node].agreement;
-            if renews.next_timer().is_some_and(|at| at <= state.now) {
+            let renews = &state.nodes[node].consensus;
+            if renews.next_timeout().is_some_and(|at| at <= state.now) {
                 actions.push(Step::Timer(node));
             }
         }
@@ -181,25 +185,25 @@
                 return Some(state);
             }
             Step::Deliver(from, to, message) => {
-                let node = state.nodes.iter().position(|node| node.agreement.me == to)?;
-                let agreement = &mut state.nodes[node].agreement;
-                let lease = agreement.lease;
-                agreement.heard(now, &from, message, &mut out);
-                if self.fault == Fault::LeaseFromReceipt && agreement.lease != lease {
-                    agreement.lease = Some(TERMS.held(now));
+                let node = state.nodes.iter().position(|node| node.consensus.me == to)?;
+                let consensus = &mut state.nodes[node].consensus;
+                let lease = consensus.lease_until;
+                consensus.handle_message(now, &from, message, &mut out);
+                if self.fault == Fault::LeaseFromReceipt && consensus.lease_until != lease {
+                    consensus.lease_until = Some(TERMS.holder_valid_until(now));
                 }
                 node
             }
             Step::Wish(n) => {
                 let (node, whom) = self.wishes[n];
-                let gone = state.nodes[node].agreement.view.named(NAMES[whom]).cloned();
-                let wish = Change { out: gone.into_iter().collect(), ..Change::default() };
+                let gone = state.nodes[node].consensus.view.member_named(NAMES[whom]).cloned();
+                let change = Change { out: gone.into_iter().collect(), ..Change::default() };
                 state.wished.insert(n);
-                state.nodes[node].agreement.propose(now, wish, &mut out);
+                state.nodes[node].consensus.propose(now, change, &mut out);
                 node
             }
             Step::Timer(node) => {
-                state.nodes[node].agreement.timer(now, &mut out);
+                state.nodes[node].consensus.handle_timeout(now, &mut out);
                 node
             }
         };
@@ -211,14 +215,19 @@
         vec![
             Property::always("one view with each number", |_, state: &State| !state.forked),
             Property::always("who is replaced has known before", |_, state: &State| {
-                let acts = |node: &&Node| !node.agreement.fenced(state.now);
-                let free = |id: &Identity| state.nodes.iter().any(|node| node.agreement.free(id, state.now));
-                !state.nodes.iter().filter(acts).any(|node| free(&node.agreement.me))
+                let acts = |node: &&Node| !node.consensus.fenced(state.now);
+                let free = |id: &Identity| {
+                    state.nodes.iter().any(|node| node.consensus.can_take_over(id, state.now))
+                };
+                !state.nodes.iter().filter(acts).any(|node| free(&node.consensus.me))
             }),
-            Property::sometimes("a wish becomes a view", |_, state: &State| state.views.len() > 1),
+            Property::sometimes("a change becomes a view", |_, state: &State| state.views.len() > 1),
             Property::sometimes("who is out is free", |_, state: &State| {
                 let gone = &state.views[&1].members;
-                state.nodes.iter().any(|node| gone.iter().any(|id| node.agreement.free(id, state.now)))
+                state
+                    .nodes
+                    .iter()
+                    .any(|node| gone.iter().any(|id| node.consensus.can_take_over(id, state.now)))
             }),
         ]
     }
@@ -241,7 +250,7 @@
 
 const ONE_VIEW: &str = "one view with each number";
 const KNOWN_BEFORE: &str = "who is replaced has known before";
-const HAPPENS: [&str; 2] = ["a wish becomes a view", "who is out is free"];
+const HAPPENS: [&str; 2] = ["a change becomes a view", "who is out is free"];
 
 /// Two voters wish each other out at once, and the one that both need loses all that it knew, or finds it on its disk.
 #[test]
--- a/crates/decisions/src/membership/member/mod.rs
+++ b/crates/decisions/src/membership/member/mod.rs
@@ -2,29 +2,29 @@
 //! and a moment go in, messages come out; the transport, the names' addresses and the keys are left to the caller.
 
 use crate::interface::Timestamp;
-use crate::membership::consensus::{self, Agreement, Durable, Event};
-use crate::membership::failure_detector::{self, Advice, Opinion, Tempo};
-use crate::membership::reconfiguration::{self, Flaps, Row};
+use crate::membership::consensus::{self, Consensus, DurableState, Event};
+use crate::membership::failure_detector::{self, FailureDetector, FailureDetectorConfig, Suspicion};
+use crate::membership::reconfiguration::{self, FlapDamping, ReachabilityRow};
 use crate::membership::view::{Change, Identity, Name, View};
-use crate::membership::Terms;
+use crate::membership::LeaseTerms;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What members say to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Message {
+pub enum MemberMessage {
     /// Of the advice.
-    Advice(failure_detector::Message),
+    FailureDetector(failure_detector::Message),
     /// Of the agreement.
-    Agreement(consensus::Message),
+    Consensus(consensus::Message),
     /// A voter tells another one what it hears.
-    Row(Row),
+    Reachability(ReachabilityRow),
     /// Somebody asks to be let in.
-    Hello,
-    /// Not while that life of its name is there.
-    Refused(Identity),
+    JoinRequest,
+    /// Not while that incarnation of its name is there.
+    JoinRejected(Identity),
     /// A member has had no lease for long: it may hear nobody, though it is heard.
-    Stuck,
+    LeaseStarved,
     /// A member takes its leave.
     Leaving,
 }
@@ -32,119 +32,120 @@
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// To be sent, to a life or, where its number is 0, to any life of the name.
-    Send(Identity, Message),
+    /// To be sent, to a incarnation or, where its number is 0, to any incarnation of the name.
+    Send(Identity, MemberMessage),
     /// To be kept before anything that follows is sent.
-    Keep(Identity, Durable),
+    Persist(Identity, DurableState),
     /// Others build on it.
-    Agreed(Event),
+    Consensus(Event),
     /// Nobody may build on it.
-    Advised(Identity, Opinion),
-    /// This process goes on as another life: it was put out, or its number is taken.
-    Life(Identity),
+    SuspicionChanged(Identity, Suspicion),
+    /// This process goes on as another incarnation: it was put out, or its number is taken.
+    IncarnationChanged(Identity),
     /// A process of the same name is there and alive: this one is not let in.
-    Twin(Identity),
+    NameConflict(Identity),
     /// This process stood still for so many microseconds.
-    Stood(i64),
+    Stalled(i64),
     /// It has taken its leave.
-    Parted,
+    Left,
 }
 
 /// What a fleet goes by; the same for all its members.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rules {
+pub struct FleetConfig {
     /// Those who found the fleet, all of them together.
     pub seeds: Vec<Name>,
     /// Of leases.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// Of the advice.
-    pub tempo: Tempo,
+    pub failure_detector: FailureDetectorConfig,
 }
 
-/// A member whose word has not come for so many quarters of the time between its askings is not heard: a voter, which
-/// speaks twice as often, and any other, of which one asking may get lost.
-const UNHEARD: (i64, i64) = (5, 9);
+/// A voter counts as unheard after this many quarters of a renewal interval: it sends twice in each.
+const VOTER_SILENCE_QUARTERS: i64 = 5;
+/// Any other member counts as unheard after this many quarters of a renewal interval: one lost request is tolerated.
+const MEMBER_SILENCE_QUARTERS: i64 = 9;
 /// What lasts for less than this part of the time between askings is a passing matter: messages get lost.
-const PASSING: i64 = 4;
+const TRANSIENT_DIVISOR: i64 = 4;
 /// A voter's row holds for so many looks.
-const ROW: i64 = 4;
+const ROW_LIFETIME_CHECKS: i64 = 4;
 /// A member that most do not hear, or that has no lease, for so many leases goes, whatever the advice is.
-const DULL: i64 = 2;
+const UNREACHABLE_LEASES: i64 = 2;
 /// A voter that too few others spoke with for longer than one renewal hears them for so many before it judges anybody.
-const SETTLING: i64 = 2;
-/// A process of the same name is told of after so many leases: until then it may be the last life's echo.
-const TWIN: i64 = 4;
+const SETTLING_RENEWALS: i64 = 2;
+/// A process of the same name is told of after so many leases: until then it may be the last incarnation's echo.
+const NAME_CONFLICT_LEASES: i64 = 4;
 /// Who asks to be let in has to ask again within so many looks.
-const COMER: i64 = 5;
+const JOIN_REQUEST_LIFETIME_CHECKS: i64 = 5;
 /// Comers that are remembered at once.
-const MOST_COMERS: usize = 64;
+const MAX_JOINING: usize = 64;
 
 /// One member.
 pub struct Member {
     me: Identity,
-    rules: Rules,
-    agreement: Agreement,
-    advice: Advice,
+    config: FleetConfig,
+    consensus: Consensus,
+    failure_detector: FailureDetector,
     seed: u64,
-    rows: BTreeMap<Identity, (Row, Timestamp)>,
+    rows: BTreeMap<Identity, (ReachabilityRow, Timestamp)>,
     /// Since when most have not heard a member.
-    unheard: BTreeMap<Identity, Timestamp>,
-    comers: BTreeMap<Identity, Timestamp>,
-    stuck: BTreeMap<Identity, Timestamp>,
-    leavers: BTreeSet<Identity>,
-    flaps: Flaps,
-    look_at: Timestamp,
+    unheard_since: BTreeMap<Identity, Timestamp>,
+    joining: BTreeMap<Identity, Timestamp>,
+    lease_starved: BTreeMap<Identity, Timestamp>,
+    leaving_members: BTreeSet<Identity>,
+    flap_damping: FlapDamping,
+    next_check_at: Timestamp,
     /// Since when this process is fenced.
     fenced_since: Option<Timestamp>,
     /// Since when it has accepted what it knows nothing more of.
     undecided_since: Option<Timestamp>,
-    /// Since when it is refused for another life of its name.
-    refused_since: Option<Timestamp>,
-    told_twin: bool,
+    /// Since when it is refused for another incarnation of its name.
+    rejected_since: Option<Timestamp>,
+    reported_name_conflict: bool,
     leaving: bool,
-    /// Whether this life may have been let in: it has asked for that, or taken part in founding the fleet.
-    offered: bool,
+    /// Whether this incarnation may have been let in: it has asked for that, or taken part in founding the fleet.
+    may_have_joined: bool,
     /// From when on it does so: before, it looks whether there is a fleet already.
-    offers_at: Timestamp,
+    requests_join_from: Timestamp,
     /// When it was let in.
-    in_since: Timestamp,
+    joined_at: Timestamp,
     /// Since when too few voters speak for a view to follow.
-    alone_since: Option<Timestamp>,
+    without_quorum_since: Option<Timestamp>,
     /// Whether that was for long: what was thought of the others meanwhile says nothing once they speak again.
-    apart: bool,
+    was_without_quorum: bool,
     /// From when on what is heard counts again.
     settled_at: Timestamp,
 }
 
 impl Member {
-    /// A process that begins now as that life, with what its disk has of it.
-    pub fn new(me: Identity, rules: Rules, kept: Durable, seed: u64, now: Timestamp) -> Self {
-        let agreement = Agreement::new(me.clone(), rules.terms, &rules.seeds, kept, now);
-        let advice = Advice::new(me.clone(), rules.tempo, seed, now);
-        let offers_at = Timestamp(now.0 + rules.terms.ballot);
+    /// A process that begins now as that incarnation, with what its disk has of it.
+    pub fn new(me: Identity, config: FleetConfig, durable: DurableState, seed: u64, now: Timestamp) -> Self {
+        let consensus = Consensus::new(me.clone(), config.terms, &config.seeds, durable, now);
+        let failure_detector = FailureDetector::new(me.clone(), config.failure_detector, seed, now);
+        let requests_join_from = Timestamp(now.0 + config.terms.ballot_timeout_us);
         Self {
             me,
-            rules,
-            agreement,
-            advice,
+            config,
+            consensus,
+            failure_detector,
             seed,
             rows: BTreeMap::new(),
-            unheard: BTreeMap::new(),
-            comers: BTreeMap::new(),
-            stuck: BTreeMap::new(),
-            leavers: BTreeSet::new(),
-            flaps: Flaps::default(),
-            look_at: now,
+            unheard_since: BTreeMap::new(),
+            joining: BTreeMap::new(),
+            lease_starved: BTreeMap::new(),
+            leaving_members: BTreeSet::new(),
+            flap_damping: FlapDamping::default(),
+            next_check_at: now,
             fenced_since: Some(now),
             undecided_since: None,
-            refused_since: None,
-            told_twin: false,
+            rejected_since: None,
+            reported_name_conflict: false,
             leaving: false,
-            offered: false,
-            offers_at,
-            in_since: Timestamp(i64::MIN / 2),
-            alone_since: None,
-            apart: false,
+            may_have_joined: false,
+            requests_join_from,
+            joined_at: Timestamp(i64::MIN / 2),
+            without_quorum_since: None,
+            was_without_quorum: false,
             settled_at: now,
         }
     }
@@ -155,17 +156,17 @@
     }
 
     /// The agreement, which may be built on.
-    pub fn agreement(&self) -> &Agreement {
-        &self.agreement
+    pub fn consensus(&self) -> &Consensus {
+        &self.consensus
     }
 
     /// The advice, which may not.
-    pub fn advice(&self) -> &Advice {
-        &self.advice
+    pub fn failure_detector(&self) -> &FailureDetector {
+        &self.failure_detector
     }
 
     /// What the voters say of themselves and of the others, as far as this process is one.
-    pub fn rows(&self) -> impl Iterator<Item = (&Identity, &Row)> + '_ {
+    pub fn rows(&self) -> impl Iterator<Item = (&Identity, &ReachabilityRow)> + '_ {
         self.rows.iter().map(|(voter, (row, _))| (voter, row))
     }
 
@@ -175,313 +176,340 @@
     }
 
     /// When [`Self::timer`] has to be called at the latest.
-    pub fn next_timer(&self) -> Timestamp {
-        let next = self.advice.next_timer().min(self.look_at);
-        self.agreement.next_timer().map_or(next, |at| at.min(next))
+    pub fn next_timeout(&self) -> Timestamp {
+        let next = self.failure_detector.next_timeout().min(self.next_check_at);
+        self.consensus.next_timeout().map_or(next, |at| at.min(next))
     }
 
     /// Timestamp has passed.
-    pub fn timer(&mut self, now: Timestamp, out: &mut Vec<Output>) {
-        self.advise(now, out, |advice, now, more| {
-            if advice.next_timer() <= now {
-                advice.timer(now, more);
+    pub fn handle_timeout(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        self.with_failure_detector(now, out, |failure_detector, now, more| {
+            if failure_detector.next_timeout() <= now {
+                failure_detector.handle_timeout(now, more);
             }
         });
-        self.agree(now, out, |agreement, more| agreement.timer(now, more));
-        if now >= self.look_at {
-            self.look_at = Timestamp(now.0 + self.rules.terms.renew / 2);
-            self.look(now, out);
+        self.with_consensus(now, out, |consensus, more| consensus.handle_timeout(now, more));
+        if now >= self.next_check_at {
+            self.next_check_at = Timestamp(now.0 + self.config.terms.renew_interval_us / 2);
+            self.check(now, out);
         }
     }
 
     /// A message has come.
-    pub fn heard(&mut self, now: Timestamp, from: &Identity, message: Message, out: &mut Vec<Output>) {
+    pub fn handle_message(
+        &mut self,
+        now: Timestamp,
+        from: &Identity,
+        message: MemberMessage,
+        out: &mut Vec<Output>,
+    ) {
         if from.name == self.me.name && *from != self.me {
-            // Another process of this name, or this one's own last life: it is not spoken with.
+            // Another process of this name, or this one's own last incarnation: it is not spoken with.
             return;
         }
-        self.advise(now, out, |advice, now, more| advice.heard_from(now, from, more));
+        self.with_failure_detector(now, out, |failure_detector, now, more| {
+            failure_detector.record_contact(now, from, more)
+        });
         match message {
-            Message::Advice(message) => {
-                self.advise(now, out, |advice, now, more| advice.heard(now, from, message, more));
+            MemberMessage::FailureDetector(message) => {
+                self.with_failure_detector(now, out, |failure_detector, now, more| {
+                    failure_detector.handle_message(now, from, message, more)
+                });
             }
-            Message::Agreement(message) => {
+            MemberMessage::Consensus(message) => {
                 let founds =
                     matches!(message, consensus::Message::Prepare { .. } | consensus::Message::Accept { .. });
-                self.offered |= founds && self.agreement.view().epoch == 0;
-                self.agree(now, out, |agreement, more| agreement.heard(now, from, message, more));
+                self.may_have_joined |= founds && self.consensus.view().epoch == 0;
+                self.with_consensus(now, out, |consensus, more| {
+                    consensus.handle_message(now, from, message, more)
+                });
             }
-            Message::Row(row) => {
-                if self.agreement.view().elects(from) {
-                    row.leavers.iter().for_each(|who| self.leaves(who, out));
+            MemberMessage::Reachability(row) => {
+                if self.consensus.view().is_voter(from) {
+                    row.leaving.iter().for_each(|who| self.record_leave(who, out));
                     let told = self.rows.insert(from.clone(), (row, now));
-                    self.told_anew(now, from, told.map(|(row, _)| row), out);
+                    self.reconfigure_if_reachability_changed(now, from, told.map(|(row, _)| row), out);
                 }
             }
-            Message::Hello => self.hello(now, from, out),
-            Message::Refused(there) => self.refused(now, there, out),
-            Message::Stuck => _ = self.stuck.insert(from.clone(), now),
-            Message::Leaving => self.leaves(from, out),
+            MemberMessage::JoinRequest => self.handle_join_request(now, from, out),
+            MemberMessage::JoinRejected(there) => self.handle_join_rejected(now, there, out),
+            MemberMessage::LeaseStarved => _ = self.lease_starved.insert(from.clone(), now),
+            MemberMessage::Leaving => self.record_leave(from, out),
         }
     }
 
     /// A member takes its leave, as it says itself or a voter says of it.
-    fn leaves(&mut self, who: &Identity, out: &mut Vec<Output>) {
-        if self.agreement.view().contains(who) && self.leavers.insert(who.clone()) {
-            out.push(Output::Advised(who.clone(), Opinion::Left));
+    fn record_leave(&mut self, who: &Identity, out: &mut Vec<Output>) {
+        if self.consensus.view().contains(who) && self.leaving_members.insert(who.clone()) {
+            out.push(Output::SuspicionChanged(who.clone(), Suspicion::Left));
         }
     }
 
-    /// The process takes its leave; [`Output::Parted`] tells when it is out by agreement.
+    /// The process takes its leave; [`Output::Left`] tells when it is out by agreement.
     pub fn leave(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.leaving = true;
         let me = self.me.clone();
-        self.leaves(&me, out);
-        self.advise(now, out, |advice, _, more| advice.leave(more));
-        self.look_at = now;
+        self.record_leave(&me, out);
+        self.with_failure_detector(now, out, |failure_detector, _, more| failure_detector.leave(more));
+        self.next_check_at = now;
     }
 
     // ---- The two layers --------------------------------------------------------------------------------
 
-    fn advise(
+    fn with_failure_detector(
         &mut self,
         now: Timestamp,
         out: &mut Vec<Output>,
-        act: impl FnOnce(&mut Advice, Timestamp, &mut Vec<failure_detector::Output>),
+        act: impl FnOnce(&mut FailureDetector, Timestamp, &mut Vec<failure_detector::Output>),
     ) {
         let mut more = Vec::new();
-        act(&mut self.advice, now, &mut more);
+        act(&mut self.failure_detector, now, &mut more);
         for output in more {
             match output {
                 failure_detector::Output::Send(to, message) => {
-                    out.push(Output::Send(to, Message::Advice(message)))
+                    out.push(Output::Send(to, MemberMessage::FailureDetector(message)))
                 }
-                failure_detector::Output::Changed(who, opinion) => {
-                    if opinion == Opinion::Gone {
-                        self.look_at = now;
+                failure_detector::Output::Changed(who, suspicion) => {
+                    if suspicion == Suspicion::Gone {
+                        self.next_check_at = now;
                     }
-                    out.push(Output::Advised(who, opinion));
+                    out.push(Output::SuspicionChanged(who, suspicion));
                 }
-                failure_detector::Output::Stood(span) => {
+                failure_detector::Output::Stalled(span) => {
                     // What it knew of the others is old: it judges nobody until it has heard anew.
                     self.rows.clear();
-                    self.unheard.clear();
-                    self.stuck.clear();
-                    out.push(Output::Stood(span));
+                    self.unheard_since.clear();
+                    self.lease_starved.clear();
+                    out.push(Output::Stalled(span));
                 }
             }
         }
     }
 
-    fn agree(
+    fn with_consensus(
         &mut self,
         now: Timestamp,
         out: &mut Vec<Output>,
-        act: impl FnOnce(&mut Agreement, &mut Vec<consensus::Output>),
+        act: impl FnOnce(&mut Consensus, &mut Vec<consensus::Output>),
     ) {
-        let epoch = self.agreement.view().epoch;
+        let epoch = self.consensus.view().epoch;
         let mut more = Vec::new();
-        act(&mut self.agreement, &mut more);
+        act(&mut self.consensus, &mut more);
         for output in more {
             match output {
                 consensus::Output::Send(to, message) => {
-                    out.push(Output::Send(to, Message::Agreement(message)))
+                    out.push(Output::Send(to, MemberMessage::Consensus(message)))
                 }
-                consensus::Output::Keep(kept) => out.push(Output::Keep(self.me.clone(), kept)),
-                consensus::Output::Event(event) => self.agreed(now, event, out),
+                consensus::Output::Persist(durable) => out.push(Output::Persist(self.me.clone(), durable)),
+                consensus::Output::Event(event) => self.handle_consensus_event(now, event, out),
             }
         }
-        if self.agreement.view().epoch > epoch {
+        if self.consensus.view().epoch > epoch {
             self.view_changed(now, out);
         }
     }
 
-    fn agreed(&mut self, now: Timestamp, event: Event, out: &mut Vec<Output>) {
+    fn handle_consensus_event(&mut self, now: Timestamp, event: Event, out: &mut Vec<Output>) {
         match event {
             Event::Fenced => self.fenced_since = Some(now),
             Event::Unfenced => self.fenced_since = None,
-            Event::View(_) | Event::Forked(_) => {}
+            Event::View(_) | Event::ConflictingView(_) => {}
         }
-        out.push(Output::Agreed(event));
+        out.push(Output::Consensus(event));
     }
 
     fn view_changed(&mut self, now: Timestamp, out: &mut Vec<Output>) {
-        let (old, view) = (self.agreement.before().clone(), self.agreement.view().clone());
-        let left =
-            |who: &Identity| self.leavers.contains(who) || self.advice.opinion(who) == Some(Opinion::Left);
-        self.flaps.changed(now, &old, &view, left);
+        let (old, view) = (self.consensus.previous_view().clone(), self.consensus.view().clone());
+        let left = |who: &Identity| {
+            self.leaving_members.contains(who)
+                || self.failure_detector.suspicion(who) == Some(Suspicion::Left)
+        };
+        self.flap_damping.changed(now, &old, &view, left);
         self.rows.clear();
-        self.unheard.clear();
-        self.stuck.clear();
-        self.leavers.retain(|who| view.contains(who));
-        self.comers.retain(|who, _| !view.contains(who));
+        self.unheard_since.clear();
+        self.lease_starved.clear();
+        self.leaving_members.retain(|who| view.contains(who));
+        self.joining.retain(|who, _| !view.contains(who));
         let me = self.me.clone();
         for member in view.members.iter().filter(|member| **member != me) {
-            self.advise(now, out, |advice, now, more| advice.met(now, member, more));
+            self.with_failure_detector(now, out, |failure_detector, now, more| {
+                failure_detector.add_member(now, member, more)
+            });
         }
         if view.contains(&self.me) && !old.contains(&self.me) {
-            self.in_since = now;
+            self.joined_at = now;
             // What it waited before it was let in is no sign that it cannot get its lease.
             self.fenced_since = Some(now);
         }
         if self.leaving && !view.contains(&self.me) {
-            out.push(Output::Parted);
+            out.push(Output::Left);
         } else if !view.contains(&self.me)
-            && (old.contains(&self.me) || (self.offered && view.epoch > old.epoch + 1))
+            && (old.contains(&self.me) || (self.may_have_joined && view.epoch > old.epoch + 1))
         {
-            // It was a member, or may have been one in between: a life is let in once at the most.
-            self.reborn(now, self.me.life + 1, out);
+            // It was a member, or may have been one in between: a incarnation is let in once at the most.
+            self.start_new_incarnation(now, self.me.incarnation + 1, out);
         }
-        self.look_at = now;
+        self.next_check_at = now;
     }
 
-    /// Whoever was put out comes back as another life: whatever it was, others may be that by now.
-    fn reborn(&mut self, now: Timestamp, life: u64, out: &mut Vec<Output>) {
-        self.me = Identity { life, ..self.me.clone() };
+    /// Whoever was put out comes back as another incarnation: whatever it was, others may be that by now.
+    fn start_new_incarnation(&mut self, now: Timestamp, incarnation: u64, out: &mut Vec<Output>) {
+        self.me = Identity { incarnation, ..self.me.clone() };
         self.seed = self.seed.wrapping_add(1);
-        let kept = Durable {
-            view: Some(self.agreement.view().clone()).filter(|v| v.epoch > 0),
-            ..Durable::default()
+        let durable = DurableState {
+            view: Some(self.consensus.view().clone()).filter(|v| v.epoch > 0),
+            ..DurableState::default()
         };
-        self.agreement =
-            Agreement::new(self.me.clone(), self.rules.terms, &self.rules.seeds, kept.clone(), now);
+        self.consensus =
+            Consensus::new(self.me.clone(), self.config.terms, &self.config.seeds, durable.clone(), now);
         let others: Vec<Identity> = self
-            .agreement
+            .consensus
             .view()
             .members
             .iter()
-            .filter(|m| m.life > 0 && m.name != self.me.name)
+            .filter(|m| m.incarnation > 0 && m.name != self.me.name)
             .cloned()
             .collect();
-        self.advice = Advice::new(self.me.clone(), self.rules.tempo, self.seed, now);
-        out.push(Output::Life(self.me.clone()));
-        out.push(Output::Keep(self.me.clone(), kept));
+        self.failure_detector =
+            FailureDetector::new(self.me.clone(), self.config.failure_detector, self.seed, now);
+        out.push(Output::IncarnationChanged(self.me.clone()));
+        out.push(Output::Persist(self.me.clone(), durable));
         for other in others {
-            self.advise(now, out, |advice, now, more| advice.met(now, &other, more));
+            self.with_failure_detector(now, out, |failure_detector, now, more| {
+                failure_detector.add_member(now, &other, more)
+            });
         }
         self.fenced_since = Some(now);
         self.undecided_since = None;
-        self.offered = false;
+        self.may_have_joined = false;
     }
 
     // ---- Coming and going ------------------------------------------------------------------------------
 
-    fn hello(&mut self, now: Timestamp, from: &Identity, out: &mut Vec<Output>) {
+    fn handle_join_request(&mut self, now: Timestamp, from: &Identity, out: &mut Vec<Output>) {
         let rows = self.fresh_rows(now);
-        match reconfiguration::twin(self.agreement.view(), from, &rows).cloned() {
-            Some(there) => out.push(Output::Send(from.clone(), Message::Refused(there))),
-            None if self.comers.len() < MOST_COMERS => _ = self.comers.insert(from.clone(), now),
+        match reconfiguration::name_conflict(self.consensus.view(), from, &rows).cloned() {
+            Some(there) => out.push(Output::Send(from.clone(), MemberMessage::JoinRejected(there))),
+            None if self.joining.len() < MAX_JOINING => _ = self.joining.insert(from.clone(), now),
             None => {}
         }
     }
 
-    fn refused(&mut self, now: Timestamp, there: Identity, out: &mut Vec<Output>) {
-        if there.name != self.me.name || self.agreement.view().contains(&self.me) {
+    fn handle_join_rejected(&mut self, now: Timestamp, there: Identity, out: &mut Vec<Output>) {
+        if there.name != self.me.name || self.consensus.view().contains(&self.me) {
             return;
         }
-        if there.life >= self.me.life {
-            return self.reborn(now, there.life + 1, out);
+        if there.incarnation >= self.me.incarnation {
+            return self.start_new_incarnation(now, there.incarnation + 1, out);
         }
-        let since = *self.refused_since.get_or_insert(now);
-        if now.0 - since.0 >= TWIN * self.rules.terms.lease && !self.told_twin {
-            self.told_twin = true;
-            out.push(Output::Twin(there));
+        let since = *self.rejected_since.get_or_insert(now);
+        if now.0 - since.0 >= NAME_CONFLICT_LEASES * self.config.terms.lease_us
+            && !self.reported_name_conflict
+        {
+            self.reported_name_conflict = true;
+            out.push(Output::NameConflict(there));
         }
     }
 
-    fn ask_in(&mut self, now: Timestamp, out: &mut Vec<Output>) {
-        let epoch = self.agreement.view().epoch;
-        let offers = epoch > 0 || now >= self.offers_at;
-        self.offered |= offers;
-        for voter in self.agreement.view().electors() {
+    fn request_to_join(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        let epoch = self.consensus.view().epoch;
+        let offers = epoch > 0 || now >= self.requests_join_from;
+        self.may_have_joined |= offers;
+        for voter in self.consensus.view().voters() {
             if voter.name != self.me.name {
-                out.push(Output::Send(voter.clone(), Message::Agreement(consensus::Message::Ask { epoch })));
+                out.push(Output::Send(
+                    voter.clone(),
+                    MemberMessage::Consensus(consensus::Message::ViewRequest { epoch }),
+                ));
                 if offers {
-                    out.push(Output::Send(voter.clone(), Message::Hello));
+                    out.push(Output::Send(voter.clone(), MemberMessage::JoinRequest));
                 }
             }
         }
         // The voters that it knows of may all be others by now: the seeds are asked as well.
-        for name in self.rules.seeds.iter().filter(|name| **name != self.me.name && epoch > 0) {
-            let seed = Identity { name: Name::clone(name), life: 0 };
-            out.push(Output::Send(seed, Message::Agreement(consensus::Message::Ask { epoch })));
+        for name in self.config.seeds.iter().filter(|name| **name != self.me.name && epoch > 0) {
+            let seed = Identity { name: Name::clone(name), incarnation: 0 };
+            out.push(Output::Send(seed, MemberMessage::Consensus(consensus::Message::ViewRequest { epoch })));
         }
     }
 
     // ---- The look --------------------------------------------------------------------------------------
 
-    fn look(&mut self, now: Timestamp, out: &mut Vec<Output>) {
-        let view = self.agreement.view().clone();
+    fn check(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        let view = self.consensus.view().clone();
         if !view.contains(&self.me) {
             if self.leaving {
                 return;
             }
-            if let Some(there) =
-                view.named(&self.me.name).filter(|there| there.life >= self.me.life && there.life > 0)
+            if let Some(there) = view
+                .member_named(&self.me.name)
+                .filter(|there| there.incarnation >= self.me.incarnation && there.incarnation > 0)
             {
-                let life = there.life + 1;
-                self.reborn(now, life, out);
+                let incarnation = there.incarnation + 1;
+                self.start_new_incarnation(now, incarnation, out);
             }
-            self.ask_in(now, out);
-            if self.offered && view.epoch == 0 && view.elects(&self.me) {
-                self.found(now, &view, out);
+            self.request_to_join(now, out);
+            if self.may_have_joined && view.epoch == 0 && view.is_voter(&self.me) {
+                self.found_fleet(now, &view, out);
             }
             return;
         }
         let me = self.me.clone();
-        let tell = |message: Message, out: &mut Vec<Output>| {
-            let others = view.electors().iter().filter(|voter| **voter != me);
+        let tell = |message: MemberMessage, out: &mut Vec<Output>| {
+            let others = view.voters().iter().filter(|voter| **voter != me);
             out.extend(others.map(|voter| Output::Send(voter.clone(), message.clone())));
         };
-        let dull = DULL * self.rules.terms.lease;
-        if self.fenced_since.is_some_and(|since| now.0 - since.0 > dull) {
-            tell(Message::Stuck, out);
+        let unreachable_us = UNREACHABLE_LEASES * self.config.terms.lease_us;
+        if self.fenced_since.is_some_and(|since| now.0 - since.0 > unreachable_us) {
+            tell(MemberMessage::LeaseStarved, out);
         }
         if self.leaving {
-            tell(Message::Leaving, out);
-            self.leaves(&me, out);
+            tell(MemberMessage::Leaving, out);
+            self.record_leave(&me, out);
         }
-        if view.elects(&self.me) {
-            let row = self.own_row(now, &view);
-            tell(Message::Row(row.clone()), out);
+        if view.is_voter(&self.me) {
+            let row = self.own_reachability(now, &view);
+            tell(MemberMessage::Reachability(row.clone()), out);
             self.rows.insert(self.me.clone(), (row, now));
-            self.steer(now, &view, out);
+            self.reconfigure(now, &view, out);
         }
     }
 
     /// Seeds found the fleet together: the first of them sees to it, the others if it takes too long.
-    fn found(&mut self, now: Timestamp, view: &View, out: &mut Vec<Output>) {
+    fn found_fleet(&mut self, now: Timestamp, view: &View, out: &mut Vec<Output>) {
         let place = view.members.iter().position(|m| m.name == self.me.name).unwrap_or(0) as i64;
         let since = self.fenced_since.map_or(0, |since| now.0 - since.0);
-        let mine = (since / self.rules.terms.ballot) % view.members.len().max(1) as i64 == place;
-        if mine && !self.agreement.proposing() {
-            self.agree(now, out, |agreement, more| agreement.propose(now, Change::default(), more));
+        let mine = (since / self.config.terms.ballot_timeout_us) % view.members.len().max(1) as i64 == place;
+        if mine && !self.consensus.is_proposing() {
+            self.with_consensus(now, out, |consensus, more| consensus.propose(now, Change::default(), more));
         }
     }
 
-    fn own_row(&mut self, now: Timestamp, view: &View) -> Row {
-        let terms = self.rules.terms;
-        let look = terms.renew / 2;
-        self.comers.retain(|_, at| now.0 - at.0 < COMER * look);
-        self.stuck.retain(|_, at| now.0 - at.0 < ROW * look);
+    fn own_reachability(&mut self, now: Timestamp, view: &View) -> ReachabilityRow {
+        let terms = self.config.terms;
+        let check_interval_us = terms.renew_interval_us / 2;
+        self.joining.retain(|_, at| now.0 - at.0 < JOIN_REQUEST_LIFETIME_CHECKS * check_interval_us);
+        self.lease_starved.retain(|_, at| now.0 - at.0 < ROW_LIFETIME_CHECKS * check_interval_us);
         let heard = |member: &Identity| {
-            let quarters = if view.elects(member) { UNHEARD.0 } else { UNHEARD.1 };
+            let quarters =
+                if view.is_voter(member) { VOTER_SILENCE_QUARTERS } else { MEMBER_SILENCE_QUARTERS };
             // Whoever has just come in has heard nobody yet.
-            let at = self.advice.heard_at(member).max(Some(self.in_since));
-            *member == self.me || at.is_some_and(|at| now.0 - at.0 < quarters * terms.renew / 4)
+            let at = self.failure_detector.last_heard_at(member).max(Some(self.joined_at));
+            *member == self.me || at.is_some_and(|at| now.0 - at.0 < quarters * terms.renew_interval_us / 4)
         };
-        Row {
+        ReachabilityRow {
             epoch: view.epoch,
             hears: view.members.iter().map(heard).collect(),
-            fenced: self.agreement.fenced(now),
-            stuck: self.stuck.keys().cloned().collect(),
-            comers: self.comers.keys().cloned().collect(),
-            leavers: self.leavers.clone(),
+            fenced: self.consensus.fenced(now),
+            lease_starved: self.lease_starved.keys().cloned().collect(),
+            joining: self.joining.keys().cloned().collect(),
+            leaving: self.leaving_members.clone(),
         }
     }
 
-    fn fresh_rows(&self, now: Timestamp) -> BTreeMap<Identity, Row> {
-        let fresh = |at: &Timestamp| now.0 - at.0 <= ROW * self.rules.terms.renew / 2;
+    fn fresh_rows(&self, now: Timestamp) -> BTreeMap<Identity, ReachabilityRow> {
+        let fresh =
+            |at: &Timestamp| now.0 - at.0 <= ROW_LIFETIME_CHECKS * self.config.terms.renew_interval_us / 2;
         self.rows
             .iter()
             .filter(|(_, (_, at))| fresh(at))
@@ -490,70 +518,81 @@
     }
 
     /// A voter hears others than it said last: what follows from that need not wait for the next look.
-    fn told_anew(&mut self, now: Timestamp, from: &Identity, before: Option<Row>, out: &mut Vec<Output>) {
+    fn reconfigure_if_reachability_changed(
+        &mut self,
+        now: Timestamp,
+        from: &Identity,
+        before: Option<ReachabilityRow>,
+        out: &mut Vec<Output>,
+    ) {
         // Of the voters alone, and under one view: what comes right after a view, and of the others, is looked at together.
-        let voters = self.agreement.view().electors().len();
+        let voters = self.consensus.view().voters().len();
         let row = self.rows.get(from).map(|(row, _)| row);
         let differs = before.zip(row).is_some_and(|(before, row)| {
             before.epoch == row.epoch && before.hears.iter().take(voters).ne(row.hears.iter().take(voters))
         });
         if differs && self.rows.contains_key(&self.me) {
-            let view = self.agreement.view().clone();
-            self.steer(now, &view, out);
+            let view = self.consensus.view().clone();
+            self.reconfigure(now, &view, out);
         }
     }
 
     /// Whether most voters speak, and have done so for long enough after a time in which they did not: those who come
     /// back do so one after the other, and whoever is heard last would seem to be gone.
-    fn settled(&mut self, now: Timestamp, most_speak: bool) -> bool {
-        let renew = self.rules.terms.renew;
-        if !most_speak {
-            let since = *self.alone_since.get_or_insert(now);
-            self.apart |= now.0 - since.0 > renew;
+    fn has_settled(&mut self, now: Timestamp, quorum_reports: bool) -> bool {
+        let renew = self.config.terms.renew_interval_us;
+        if !quorum_reports {
+            let since = *self.without_quorum_since.get_or_insert(now);
+            self.was_without_quorum |= now.0 - since.0 > renew;
             return false;
         }
-        self.alone_since = None;
-        if std::mem::take(&mut self.apart) {
-            self.settled_at = Timestamp(now.0 + SETTLING * renew);
+        self.without_quorum_since = None;
+        if std::mem::take(&mut self.was_without_quorum) {
+            self.settled_at = Timestamp(now.0 + SETTLING_RENEWALS * renew);
         }
         if now < self.settled_at {
-            self.unheard.clear();
+            self.unheard_since.clear();
         }
         now >= self.settled_at
     }
 
     /// Opens a ballot where it is this voter's turn and something ought to change.
-    fn steer(&mut self, now: Timestamp, view: &View, out: &mut Vec<Output>) {
+    fn reconfigure(&mut self, now: Timestamp, view: &View, out: &mut Vec<Output>) {
         let rows = self.fresh_rows(now);
-        let waits = self.agreement.undecided().then(|| *self.undecided_since.get_or_insert(now));
-        self.undecided_since = waits;
-        let place = view.electors().iter().position(|voter| *voter == self.me).unwrap_or(0) as i64;
+        let undecided_since =
+            self.consensus.has_undecided_proposal().then(|| *self.undecided_since.get_or_insert(now));
+        self.undecided_since = undecided_since;
+        let place = view.voters().iter().position(|voter| *voter == self.me).unwrap_or(0) as i64;
         // Whoever has accepted something grants no lease: it does not wait for the steward for long.
-        let stalled = waits.is_some_and(|since| now.0 - since.0 > self.rules.terms.ballot * (2 + place));
-        if !self.settled(now, reconfiguration::most_speak(view, &rows)) || self.agreement.proposing() {
+        let proposal_is_stalled = undecided_since
+            .is_some_and(|since| now.0 - since.0 > self.config.terms.ballot_timeout_us * (2 + place));
+        if !self.has_settled(now, reconfiguration::quorum_reports(view, &rows))
+            || self.consensus.is_proposing()
+        {
             return;
         }
-        let unheard = reconfiguration::unheard_by_most(view, &self.me, &rows);
-        self.unheard.retain(|who, _| unheard.contains(who));
-        let passing = self.rules.terms.renew / PASSING;
+        let unheard = reconfiguration::unheard_by_quorum(view, &self.me, &rows);
+        self.unheard_since.retain(|who, _| unheard.contains(who));
+        let transient_us = self.config.terms.renew_interval_us / TRANSIENT_DIVISOR;
         for member in unheard {
-            self.unheard.entry(member).or_insert_with(|| {
-                self.look_at = self.look_at.min(Timestamp(now.0 + passing));
+            self.unheard_since.entry(member).or_insert_with(|| {
+                self.next_check_at = self.next_check_at.min(Timestamp(now.0 + transient_us));
                 now
             });
         }
-        if reconfiguration::steward(view, &self.me, &rows) != Some(&self.me) && !stalled {
+        if reconfiguration::proposer(view, &self.me, &rows) != Some(&self.me) && !proposal_is_stalled {
             return;
         }
-        let dull = DULL * self.rules.terms.lease;
-        let sure = |who: &Identity| {
-            let gone = matches!(self.advice.opinion(who), Some(Opinion::Gone | Opinion::Left));
-            let unheard = self.unheard.get(who).map_or(0, |since| now.0 - since.0);
-            (gone && unheard >= passing) || unheard > dull
+        let unreachable_us = UNREACHABLE_LEASES * self.config.terms.lease_us;
+        let confirmed = |who: &Identity| {
+            let gone =
+                matches!(self.failure_detector.suspicion(who), Some(Suspicion::Gone | Suspicion::Left));
+            let unheard_for_us = self.unheard_since.get(who).map_or(0, |since| now.0 - since.0);
+            (gone && unheard_for_us >= transient_us) || unheard_for_us > unreachable_us
         };
-        let wish = reconfiguration::wish(view, &self.me, &rows, &self.flaps, sure, now);
-        if stalled || view.next(&wish).is_some() {
-            self.agree(now, out, |agreement, more| agreement.propose(now, wish, more));
+        let change = reconfiguration::propose(view, &self.me, &rows, &self.flap_damping, confirmed, now);
+        if proposal_is_stalled || view.next(&change).is_some() {
+            self.with_consensus(now, out, |consensus, more| consensus.propose(now, change, more));
         }
     }
 }
--- a/crates/decisions/src/membership/membership_log/mod.rs
+++ b/crates/decisions/src/membership/membership_log/mod.rs
@@ -2,8 +2,8 @@
 //! decides nothing.
 
 use crate::interface::Timestamp;
-use crate::membership::consensus::{Agreement, Event};
-use crate::membership::failure_detector::{Advice, Opinion};
+use crate::membership::consensus::{Consensus, Event};
+use crate::membership::failure_detector::{FailureDetector, Suspicion};
 use crate::membership::member::{Member, Output};
 use crate::membership::view::{Identity, View};
 use serde::{Deserialize, Serialize};
@@ -54,12 +54,12 @@
 /// A member as this process knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its name and life.
+    /// Its name and incarnation.
     pub member: String,
     /// Whether it votes on the next view.
     pub votes: bool,
     /// What the advice thinks of it; none of one that this process has not met.
-    pub advice: Option<Opinion>,
+    pub advice: Option<Suspicion>,
     /// How long ago it was heard here itself, in milliseconds.
     pub heard_ms_ago: Option<i64>,
     /// Where it is.
@@ -103,56 +103,56 @@
 }
 
 /// A change as it is told: the view's number since, whom it is about, and why.
-pub type Told = (u64, String, Cause);
+pub type MembershipChange = (u64, String, Cause);
 
 /// What changed, and when.
 #[derive(Clone, Debug)]
-pub struct Chronicle {
+pub struct MembershipLog {
     view: View,
-    changes: VecDeque<(Timestamp, Told)>,
+    changes: VecDeque<(Timestamp, MembershipChange)>,
     /// What was thought last of those who may be out by now.
-    thought: BTreeMap<Identity, Opinion>,
+    thought: BTreeMap<Identity, Suspicion>,
     /// Who is out and was not yet told to be free.
     out: Vec<Identity>,
 }
 
-impl Default for Chronicle {
+impl Default for MembershipLog {
     fn default() -> Self {
         Self { view: View::genesis(&[]), changes: VecDeque::new(), thought: BTreeMap::new(), out: Vec::new() }
     }
 }
 
-impl Chronicle {
+impl MembershipLog {
     /// Takes in what a member puts out; what is new comes back, for the log.
-    pub fn note(&mut self, now: Timestamp, me: &Identity, output: &Output) -> Vec<Told> {
+    pub fn note(&mut self, now: Timestamp, me: &Identity, output: &Output) -> Vec<MembershipChange> {
         let news = match output {
-            Output::Advised(who, opinion) => {
+            Output::SuspicionChanged(who, opinion) => {
                 self.thought.insert(who.clone(), *opinion);
                 Vec::new()
             }
-            Output::Agreed(Event::View(view)) => self.view_changed(view),
-            Output::Agreed(Event::Fenced) => vec![(self.view.epoch, me.to_string(), Cause::Fenced)],
-            Output::Agreed(Event::Unfenced) => vec![(self.view.epoch, me.to_string(), Cause::LeaseHeld)],
-            Output::Stood(_) => vec![(self.view.epoch, me.to_string(), Cause::Stood)],
+            Output::Consensus(Event::View(view)) => self.view_changed(view),
+            Output::Consensus(Event::Fenced) => vec![(self.view.epoch, me.to_string(), Cause::Fenced)],
+            Output::Consensus(Event::Unfenced) => vec![(self.view.epoch, me.to_string(), Cause::LeaseHeld)],
+            Output::Stalled(_) => vec![(self.view.epoch, me.to_string(), Cause::Stood)],
             _ => Vec::new(),
         };
         self.remember(now, news)
     }
 
-    fn remember(&mut self, now: Timestamp, news: Vec<Told>) -> Vec<Told> {
+    fn remember(&mut self, now: Timestamp, news: Vec<MembershipChange>) -> Vec<MembershipChange> {
         news.iter().for_each(|told| self.changes.push_front((now, told.clone())));
         self.changes.truncate(MOST_CHANGES);
         news
     }
 
-    fn view_changed(&mut self, view: &View) -> Vec<Told> {
+    fn view_changed(&mut self, view: &View) -> Vec<MembershipChange> {
         let old = std::mem::replace(&mut self.view, view.clone());
-        let out = || old.members.iter().filter(|m| m.life > 0 && !view.members.contains(m));
+        let out = || old.members.iter().filter(|m| m.incarnation > 0 && !view.members.contains(m));
         let gone = out().map(|m| {
             let cause = match self.thought.get(m) {
-                Some(Opinion::Left) => Cause::Left,
-                _ if view.named(&m.name).is_some() => Cause::Replaced,
-                Some(Opinion::Gone) => Cause::Gone,
+                Some(Suspicion::Left) => Cause::Left,
+                _ if view.member_named(&m.name).is_some() => Cause::Replaced,
+                Some(Suspicion::Gone) => Cause::Gone,
                 _ => Cause::CutOff,
             };
             (view.epoch, m.to_string(), cause)
@@ -168,13 +168,14 @@
     }
 
     /// Lives that became free to be replaced since it was asked last, as [`Self::note`] tells changes.
-    pub fn freed(&mut self, now: Timestamp, agreement: &Agreement) -> Vec<Told> {
+    pub fn freed(&mut self, now: Timestamp, consensus: &Consensus) -> Vec<MembershipChange> {
         if self.out.is_empty() {
             return Vec::new();
         }
-        let (freed, out): (Vec<_>, Vec<_>) = self.out.drain(..).partition(|who| agreement.free(who, now));
+        let (freed, out): (Vec<_>, Vec<_>) =
+            self.out.drain(..).partition(|who| consensus.can_take_over(who, now));
         self.out = out;
-        let epoch = agreement.view().epoch;
+        let epoch = consensus.view().epoch;
         let news = freed.iter().map(|who| (epoch, who.to_string(), Cause::Free)).collect();
         self.remember(now, news)
     }
@@ -187,24 +188,24 @@
         member: &Member,
         address: impl Fn(&Identity) -> Option<std::net::SocketAddr>,
     ) -> Fleet {
-        let (agreement, advice) = (member.agreement(), member.advice());
-        let view = agreement.view();
+        let (consensus, detector) = (member.consensus(), member.failure_detector());
+        let view = consensus.view();
         Fleet {
             fleet: fleet.to_owned(),
             me: member.me().to_string(),
             epoch: view.epoch,
             member: view.contains(member.me()),
-            fenced: agreement.fenced(now),
-            lease_left_ms: agreement.lease_left(now) / 1_000,
-            unwell: advice.unwell(),
-            members: members(now, view, member.me(), advice, address),
+            fenced: consensus.fenced(now),
+            lease_left_ms: consensus.lease_left(now) / 1_000,
+            unwell: detector.local_health(),
+            members: members(now, view, member.me(), detector, address),
             links: member.rows().map(|(voter, row)| links(view, voter, row)).collect(),
             changes: self.changes.iter().map(|change| changed(now, change)).collect(),
         }
     }
 }
 
-fn changed(now: Timestamp, (at, (epoch, who, cause)): &(Timestamp, Told)) -> Changed {
+fn changed(now: Timestamp, (at, (epoch, who, cause)): &(Timestamp, MembershipChange)) -> Changed {
     Changed { ms_ago: (now.0 - at.0) / 1_000, epoch: *epoch, who: who.clone(), cause: *cause }
 }
 
@@ -212,20 +213,20 @@
     now: Timestamp,
     view: &View,
     me: &Identity,
-    advice: &Advice,
+    detector: &FailureDetector,
     address: impl Fn(&Identity) -> Option<std::net::SocketAddr>,
 ) -> Vec<Row> {
     let row = |who: &Identity| Row {
         member: who.to_string(),
-        votes: view.elects(who),
-        advice: if who == me { Some(Opinion::Alive) } else { advice.opinion(who) },
-        heard_ms_ago: advice.heard_at(who).map(|at| (now.0 - at.0) / 1_000),
+        votes: view.is_voter(who),
+        advice: if who == me { Some(Suspicion::Alive) } else { detector.suspicion(who) },
+        heard_ms_ago: detector.last_heard_at(who).map(|at| (now.0 - at.0) / 1_000),
         address: address(who).map(|address| address.to_string()),
     };
-    view.members.iter().filter(|who| who.life > 0).map(row).collect()
+    view.members.iter().filter(|who| who.incarnation > 0).map(row).collect()
 }
 
-fn links(view: &View, voter: &Identity, row: &crate::membership::reconfiguration::Row) -> Links {
+fn links(view: &View, voter: &Identity, row: &crate::membership::reconfiguration::ReachabilityRow) -> Links {
     let deaf = view.members.iter().zip(&row.hears).filter(|(_, hears)| !**hears);
     let same = row.epoch == view.epoch;
     Links {
@@ -240,26 +241,26 @@
     use super::*;
 
     fn view(epoch: u64, members: &[(&str, u64)]) -> Output {
-        let members = members.iter().map(|(name, life)| Identity::new(name, *life)).collect();
-        Output::Agreed(Event::View(View { epoch, members }))
+        let members = members.iter().map(|(name, incarnation)| Identity::new(name, *incarnation)).collect();
+        Output::Consensus(Event::View(View { epoch, members }))
     }
 
-    fn note(chronicle: &mut Chronicle, output: Output) -> Vec<(String, Cause)> {
+    fn note(membership_log: &mut MembershipLog, output: Output) -> Vec<(String, Cause)> {
         let me = Identity::new("a", 1);
-        let news = chronicle.note(Timestamp(0), &me, &output);
+        let news = membership_log.note(Timestamp(0), &me, &output);
         news.into_iter().map(|(_, who, cause)| (who, cause)).collect()
     }
 
     #[test]
     fn each_change_has_its_cause() {
-        let mut chronicle = Chronicle::default();
+        let mut membership_log = MembershipLog::default();
         let all = [("a", 1), ("b", 1), ("c", 1), ("d", 1), ("e", 1)];
-        let founded = note(&mut chronicle, view(1, &all));
+        let founded = note(&mut membership_log, view(1, &all));
         assert!(founded.len() == 5 && founded.iter().all(|(_, cause)| *cause == Cause::Founded));
-        note(&mut chronicle, Output::Advised(Identity::new("b", 1), Opinion::Gone));
-        note(&mut chronicle, Output::Advised(Identity::new("c", 1), Opinion::Left));
-        note(&mut chronicle, Output::Advised(Identity::new("e", 1), Opinion::Suspect));
-        let changed = note(&mut chronicle, view(2, &[("a", 1), ("d", 2), ("f", 1)]));
+        note(&mut membership_log, Output::SuspicionChanged(Identity::new("b", 1), Suspicion::Gone));
+        note(&mut membership_log, Output::SuspicionChanged(Identity::new("c", 1), Suspicion::Left));
+        note(&mut membership_log, Output::SuspicionChanged(Identity::new("e", 1), Suspicion::Suspect));
+        let changed = note(&mut membership_log, view(2, &[("a", 1), ("d", 2), ("f", 1)]));
         let of = |name: &str| {
             changed.iter().filter(|(who, _)| who.starts_with(name)).map(|(_, c)| *c).collect::<Vec<_>>()
         };
@@ -269,12 +270,12 @@
 
     #[test]
     fn the_last_change_stands_first_and_few_are_remembered() {
-        let mut chronicle = Chronicle::default();
+        let mut membership_log = MembershipLog::default();
         for _ in 0..100 {
-            note(&mut chronicle, Output::Agreed(Event::Fenced));
-            note(&mut chronicle, Output::Agreed(Event::Unfenced));
+            note(&mut membership_log, Output::Consensus(Event::Fenced));
+            note(&mut membership_log, Output::Consensus(Event::Unfenced));
         }
-        assert_eq!(chronicle.changes.len(), MOST_CHANGES);
-        assert_eq!(chronicle.changes[0].1 .2, Cause::LeaseHeld);
+        assert_eq!(membership_log.changes.len(), MOST_CHANGES);
+        assert_eq!(membership_log.changes[0].1 .2, Cause::LeaseHeld);
     }
 }
--- a/crates/decisions/src/membership/transport/address_table.rs
+++ b/crates/decisions/src/membership/transport/address_table.rs
@@ -11,22 +11,22 @@
 
 /// The addresses of members.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct AddressTable {
     fixed: BTreeMap<Name, SocketAddr>,
     seen: BTreeMap<Identity, (SocketAddr, Timestamp)>,
     told: BTreeMap<Name, SocketAddr>,
 }
 
-impl Book {
+impl AddressTable {
     /// With what the file says.
     pub fn new(fixed: BTreeMap<Name, SocketAddr>) -> Self {
         Self { fixed, ..Self::default() }
     }
 
-    /// A message of that life has come from there.
+    /// A message of that incarnation has come from there.
     pub fn seen(&mut self, who: &Identity, address: SocketAddr, now: Timestamp) {
         if !self.seen.contains_key(who) {
-            super::make_room(&mut self.seen, MOST, |(_, at)| *at);
+            super::evict_oldest(&mut self.seen, MOST, |(_, at)| *at);
         }
         self.seen.insert(who.clone(), (address, now));
     }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Where that life is: where it was seen, else where the file has its name, else where a life of the name was seen last,
+    /// Where that incarnation is: where it was seen, else where the file has its name, else where a incarnation of the name was seen last,
     /// else where others say.
     pub fn address(&self, who: &Identity) -> Option<SocketAddr> {
         let exact = self.seen.get(who).map(|(address, _)| *address);
@@ -48,14 +48,14 @@
             .or_else(|| self.told.get(&who.name).copied())
     }
 
-    /// Where a life of that name was seen last, or the file has it: what is told to others.
+    /// Where a incarnation of that name was seen last, or the file has it: what is told to others.
     pub fn known(&self, name: &Name) -> Option<SocketAddr> {
         self.last_seen(name).or_else(|| self.fixed.get(name).copied())
     }
 
     fn last_seen(&self, name: &Name) -> Option<SocketAddr> {
-        let lives = self.seen.iter().filter(|(who, _)| who.name == *name);
-        lives.max_by_key(|(_, (_, at))| *at).map(|(_, (address, _))| *address)
+        let incarnations = self.seen.iter().filter(|(who, _)| who.name == *name);
+        incarnations.max_by_key(|(_, (_, at))| *at).map(|(_, (address, _))| *address)
     }
 
     /// Lives that were seen, the latest first.
@@ -77,28 +77,28 @@
     #[test]
     fn what_was_seen_of_a_life_goes_before_the_file_and_that_before_hearsay() {
         let (old, new) = (Identity::new("a", 1), Identity::new("a", 2));
-        let mut book = Book::default();
-        assert_eq!(book.address(&old), None);
-        book.told(&old.name, at(1));
-        assert_eq!(book.address(&old), Some(at(1)));
-        book.seen(&old, at(2), Timestamp(5));
-        assert_eq!(book.address(&new), Some(at(2)), "another life may be in the same place");
-        let mut book = Book { fixed: [("a".into(), at(3))].into(), ..book };
-        assert_eq!((book.address(&old), book.address(&new)), (Some(at(2)), Some(at(3))));
+        let mut addresses = AddressTable::default();
+        assert_eq!(addresses.address(&old), None);
+        addresses.told(&old.name, at(1));
+        assert_eq!(addresses.address(&old), Some(at(1)));
+        addresses.seen(&old, at(2), Timestamp(5));
+        assert_eq!(addresses.address(&new), Some(at(2)), "another incarnation may be in the same place");
+        let mut addresses = AddressTable { fixed: [("a".into(), at(3))].into(), ..addresses };
+        assert_eq!((addresses.address(&old), addresses.address(&new)), (Some(at(2)), Some(at(3))));
         // Two processes of one name are told apart.
-        book.seen(&new, at(4), Timestamp(6));
-        assert_eq!((book.address(&old), book.address(&new)), (Some(at(2)), Some(at(4))));
-        assert_eq!(book.known(&new.name), Some(at(4)));
+        addresses.seen(&new, at(4), Timestamp(6));
+        assert_eq!((addresses.address(&old), addresses.address(&new)), (Some(at(2)), Some(at(4))));
+        assert_eq!(addresses.known(&new.name), Some(at(4)));
     }
 
     #[test]
     fn it_is_bounded_and_forgets_whom_it_has_not_heard_for_longest() {
-        let mut book = Book::default();
+        let mut addresses = AddressTable::default();
         for n in 0..2 * MOST as u64 {
-            book.seen(&Identity::new("a", n), at(1), Timestamp(n as i64));
-            book.told(&format!("n{n}").as_str().into(), at(1));
+            addresses.seen(&Identity::new("a", n), at(1), Timestamp(n as i64));
+            addresses.told(&format!("n{n}").as_str().into(), at(1));
         }
-        assert_eq!((book.seen.len(), book.told.len()), (MOST, MOST));
-        assert!(!book.seen.contains_key(&Identity::new("a", 0)));
+        assert_eq!((addresses.seen.len(), addresses.told.len()), (MOST, MOST));
+        assert!(!addresses.seen.contains_key(&Identity::new("a", 0)));
     }
 }
--- a/crates/decisions/src/membership/transport/authentication.rs
+++ b/crates/decisions/src/membership/transport/authentication.rs
@@ -2,13 +2,13 @@
 //! key can make (`docs/protocol/peers.md`). It guards against garbage, forgery and other fleets; what was sent before
 //! and comes once more is for [`super::replay_window`] to tell.
 
-use super::{Dropped, Envelope};
+use super::{DropReason, Frame};
 use std::fmt;
 
 /// What each message begins with.
 const MAGIC: [u8; 3] = *b"wpp";
 /// The version of the protocol that this program speaks.
-pub const VERSION: u8 = 1;
+pub const PROTOCOL_VERSION: u8 = 1;
 /// Bytes of the mark that says to which fleet a message belongs.
 const FLEET: usize = 8;
 /// Bytes of the mark at the end: BLAKE3 with a key, cut to 128 bits.
@@ -18,9 +18,9 @@
 const CONTEXT: &str = "wheelpier 2026-12 messages between members";
 
 /// A longer message goes as a stream.
-pub const LONGEST_DATAGRAM: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// A longer one is not taken at all.
-pub const LONGEST_STREAM: usize = 256 * 1024;
+pub const MAX_STREAM_BYTES: usize = 256 * 1024;
 
 /// A key of the fleet.
 #[derive(Clone, PartialEq, Eq)]
@@ -63,19 +63,19 @@
 
 /// What seals and opens messages of one fleet.
 #[derive(Clone)]
-pub struct Seal {
+pub struct Authenticator {
     fleet: [u8; FLEET],
     /// The first seals; each opens.
     keys: Vec<[u8; 32]>,
 }
 
-impl fmt::Debug for Seal {
+impl fmt::Debug for Authenticator {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Seal").field("fleet", &self.fleet).finish_non_exhaustive()
+        f.debug_struct("Authenticator").field("fleet", &self.fleet).finish_non_exhaustive()
     }
 }
 
-impl Seal {
+impl Authenticator {
     /// Of the fleet of that name: `first` seals, `second` opens as well, so that a key can be changed member by member.
     pub fn new(fleet: &str, first: &Key, second: Option<&Key>) -> Self {
         let mut mark = [0; FLEET];
@@ -84,12 +84,12 @@
     }
 
     /// The message's bytes; none where it cannot be written.
-    pub fn seal(&self, envelope: &Envelope) -> Option<Vec<u8>> {
+    pub fn encode(&self, frame: &Frame) -> Option<Vec<u8>> {
         let mut bytes = Vec::with_capacity(256);
         bytes.extend(MAGIC);
-        bytes.push(VERSION);
+        bytes.push(PROTOCOL_VERSION);
         bytes.extend(self.fleet);
-        let mut bytes = postcard::to_extend(envelope, bytes).ok()?;
+        let mut bytes = postcard::to_extend(frame, bytes).ok()?;
         let mark = mark(self.keys.first()?, &bytes);
         bytes.extend(mark);
         Some(bytes)
@@ -99,26 +99,26 @@
     ///
     /// # Errors
     /// Why it is not one of this fleet's.
-    pub fn open(&self, bytes: &[u8]) -> Result<Envelope, Dropped> {
+    pub fn open(&self, bytes: &[u8]) -> Result<Frame, DropReason> {
         let Some(content) = bytes.len().checked_sub(MARK).filter(|end| *end >= HEAD) else {
-            return Err(Dropped::Garbage);
+            return Err(DropReason::Garbage);
         };
         if bytes[..MAGIC.len()] != MAGIC {
-            return Err(Dropped::Garbage);
+            return Err(DropReason::Garbage);
         }
-        if bytes[MAGIC.len()] != VERSION {
-            return Err(Dropped::Version);
+        if bytes[MAGIC.len()] != PROTOCOL_VERSION {
+            return Err(DropReason::Version);
         }
         if bytes[MAGIC.len() + 1..HEAD] != self.fleet {
-            return Err(Dropped::Fleet);
+            return Err(DropReason::Fleet);
         }
         let (sealed, given) = bytes.split_at(content);
         if !self.keys.iter().any(|key| same(&mark(key, sealed), given)) {
-            return Err(Dropped::Forged);
+            return Err(DropReason::Forged);
         }
-        match postcard::take_from_bytes::<Envelope>(&sealed[HEAD..]) {
-            Ok((envelope, [])) => Ok(envelope),
-            _ => Err(Dropped::Garbage),
+        match postcard::take_from_bytes::<Frame>(&sealed[HEAD..]) {
+            Ok((frame, [])) => Ok(frame),
+            _ => Err(DropReason::Garbage),
         }
     }
 }
@@ -136,7 +136,7 @@
 
 #[cfg(test)]
 pub(super) mod tests {
-    use super::super::Letter;
+    use super::super::Message;
     use super::*;
     use crate::membership::Identity;
     use proptest::prelude::*;
@@ -145,41 +145,48 @@
         Key([n; 32])
     }
 
-    fn envelope() -> Envelope {
+    fn frame() -> Frame {
         let from = Identity::new("a", 7);
-        Envelope { from, to: Identity::new("b", 0), boot: 3, number: 9, letter: Letter::Who { nonce: 5 } }
+        Frame {
+            from,
+            to: Identity::new("b", 0),
+            incarnation_nonce: 3,
+            sequence: 9,
+            message: Message::Challenge { nonce: 5 },
+        }
     }
 
     #[test]
     fn what_is_sealed_opens_with_the_same_key_and_fleet_alone() {
-        let seal = Seal::new("north", &key(1), None);
-        let bytes = seal.seal(&envelope()).unwrap();
-        assert_eq!(seal.open(&bytes), Ok(envelope()));
-        assert_eq!(Seal::new("south", &key(1), None).open(&bytes), Err(Dropped::Fleet));
-        assert_eq!(Seal::new("north", &key(2), None).open(&bytes), Err(Dropped::Forged));
+        let authenticator = Authenticator::new("north", &key(1), None);
+        let bytes = authenticator.encode(&frame()).unwrap();
+        assert_eq!(authenticator.open(&bytes), Ok(frame()));
+        assert_eq!(Authenticator::new("south", &key(1), None).open(&bytes), Err(DropReason::Fleet));
+        assert_eq!(Authenticator::new("north", &key(2), None).open(&bytes), Err(DropReason::Forged));
     }
 
     /// Old alone, old with new, new with old, new alone: at each step neighbours understand each other.
     #[test]
     fn a_key_is_changed_member_by_member() {
         let steps = [(1, None), (1, Some(2)), (2, Some(1)), (2, None)];
-        let seals: Vec<Seal> = steps.map(|(a, b)| Seal::new("north", &key(a), b.map(key).as_ref())).to_vec();
+        let seals: Vec<Authenticator> =
+            steps.map(|(a, b)| Authenticator::new("north", &key(a), b.map(key).as_ref())).to_vec();
         for pair in seals.windows(2) {
             for (from, to) in [(&pair[0], &pair[1]), (&pair[1], &pair[0])] {
-                assert_eq!(to.open(&from.seal(&envelope()).unwrap()), Ok(envelope()));
+                assert_eq!(to.open(&from.encode(&frame()).unwrap()), Ok(frame()));
             }
         }
-        assert_eq!(seals[3].open(&seals[0].seal(&envelope()).unwrap()), Err(Dropped::Forged));
+        assert_eq!(seals[3].open(&seals[0].encode(&frame()).unwrap()), Err(DropReason::Forged));
     }
 
     #[test]
     fn another_version_is_told_apart_from_garbage() {
-        let seal = Seal::new("north", &key(1), None);
-        let mut bytes = seal.seal(&envelope()).unwrap();
-        bytes[3] = VERSION + 1;
-        assert_eq!(seal.open(&bytes), Err(Dropped::Version));
-        assert_eq!(seal.open(b"GET / HTTP/1.1\r\nhost: somebody\r\n\r\n"), Err(Dropped::Garbage));
-        assert_eq!(seal.open(&[]), Err(Dropped::Garbage));
+        let authenticator = Authenticator::new("north", &key(1), None);
+        let mut bytes = authenticator.encode(&frame()).unwrap();
+        bytes[3] = PROTOCOL_VERSION + 1;
+        assert_eq!(authenticator.open(&bytes), Err(DropReason::Version));
+        assert_eq!(authenticator.open(b"GET / HTTP/1.1\r\nhost: somebody\r\n\r\n"), Err(DropReason::Garbage));
+        assert_eq!(authenticator.open(&[]), Err(DropReason::Garbage));
     }
 
     #[test]
@@ -188,27 +195,27 @@
         for wrong in ["", "0a", &"0a".repeat(33), &"0x".repeat(32), &"ä".repeat(32)] {
             assert_eq!(Key::read(wrong), Err(KeyError), "{wrong}");
         }
-        assert!(!format!("{:?} {:?}", key(77), Seal::new("x", &key(77), None)).contains("77"));
+        assert!(!format!("{:?} {:?}", key(77), Authenticator::new("x", &key(77), None)).contains("77"));
     }
 
     proptest! {
         #[test]
         fn no_change_to_a_message_goes_unseen(at in 0usize..200, bit in 0u8..8, cut in 0usize..60) {
-            let seal = Seal::new("north", &key(1), Some(&key(2)));
-            let whole = seal.seal(&envelope()).unwrap();
+            let authenticator = Authenticator::new("north", &key(1), Some(&key(2)));
+            let whole = authenticator.encode(&frame()).unwrap();
             let mut bytes = whole.clone();
             let at = at % bytes.len();
             bytes[at] ^= 1 << bit;
-            prop_assert!(seal.open(&bytes).is_err());
-            prop_assert!(seal.open(&whole[..whole.len() - 1 - cut % (whole.len() - 1)]).is_err());
+            prop_assert!(authenticator.open(&bytes).is_err());
+            prop_assert!(authenticator.open(&whole[..whole.len() - 1 - cut % (whole.len() - 1)]).is_err());
             let mut longer = whole;
             longer.push(bit);
-            prop_assert!(seal.open(&longer).is_err());
+            prop_assert!(authenticator.open(&longer).is_err());
         }
 
         #[test]
         fn any_bytes_are_answered_with_a_reason(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-            prop_assert!(Seal::new("north", &key(1), None).open(&bytes).is_err());
+            prop_assert!(Authenticator::new("north", &key(1), None).open(&bytes).is_err());
         }
     }
 }
--- a/crates/decisions/src/membership/transport/mod.rs
+++ b/crates/decisions/src/membership/transport/mod.rs
@@ -1,7 +1,7 @@
 //! What goes between members, as letters in sealed envelopes: who is spoken with, what is taken and what is dropped, and
 //! where letters go. No sockets: bytes and a moment go in, letters and parcels come out.
 //!
-//! A process is spoken with once it has shown that it lives now: whoever comes with a boot number that is not known is asked
+//! A process is spoken with once it has shown that it incarnations now: whoever comes with a boot number that is not known is asked
 //! for a number that nobody could have foreseen. So nothing that was recorded is taken, also by a process that has just
 //! started and remembers nobody.
 
@@ -9,11 +9,13 @@
 mod authentication;
 mod replay_window;
 
-pub use address_table::Book;
-pub use authentication::{Key, KeyError, Seal, LONGEST_DATAGRAM, LONGEST_STREAM, VERSION};
-pub use replay_window::{Order, Window};
+pub use address_table::AddressTable;
+pub use authentication::{
+    Authenticator, Key, KeyError, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, PROTOCOL_VERSION,
+};
+pub use replay_window::{Arrival, ReplayWindow};
 
-use super::member::Message;
+use super::member::MemberMessage;
 use super::{Identity, Name};
 use crate::interface::Timestamp;
 use rand::{RngExt, SeedableRng};
@@ -25,43 +27,43 @@
 
 /// What stands in an envelope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Letter {
+pub enum Message {
     /// Between members.
-    Member(Message),
+    Member(MemberMessage),
     /// Who speaks there: the number is wanted back.
-    Who {
+    Challenge {
         /// Foreseen by nobody.
         nonce: u64,
     },
     /// The number, back.
-    Here {
+    ChallengeResponse {
         /// As it was asked.
         nonce: u64,
     },
     /// Where is a member of that name?
-    Where(Name),
+    AddressQuery(Name),
     /// There.
-    There(Name, SocketAddr),
+    AddressAnswer(Name, SocketAddr),
 }
 
 /// A letter, who sends it and who is to have it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Envelope {
+pub struct Frame {
     /// Who sends it.
     pub from: Identity,
-    /// Who is to have it: that life alone, or any of the name where its number is 0.
+    /// Who is to have it: that incarnation alone, or any of the name where its number is 0.
     pub to: Identity,
     /// The sender's process: another one after each start.
-    pub boot: u64,
+    pub incarnation_nonce: u64,
     /// Its number among all that the process has sent.
-    pub number: u64,
+    pub sequence: u64,
     /// What it says.
-    pub letter: Letter,
+    pub message: Message,
 }
 
 /// Why a message was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Dropped {
+pub enum DropReason {
     /// Not a message of this protocol.
     Garbage,
     /// Of another version of it.
@@ -74,7 +76,7 @@
     Astray,
     /// It has come before, or was overtaken by too many.
     Replayed,
-    /// Its sender has yet to show that it lives now.
+    /// Its sender has yet to show that it incarnations now.
     Unproved,
     /// Longer than any may be.
     Oversized,
@@ -83,19 +85,19 @@
 }
 
 /// All reasons, in their order.
-pub const DROPPED: [Dropped; 9] = [
-    Dropped::Garbage,
-    Dropped::Version,
-    Dropped::Fleet,
-    Dropped::Forged,
-    Dropped::Astray,
-    Dropped::Replayed,
-    Dropped::Unproved,
-    Dropped::Oversized,
-    Dropped::Unknown,
+pub const ALL_DROP_REASONS: [DropReason; 9] = [
+    DropReason::Garbage,
+    DropReason::Version,
+    DropReason::Fleet,
+    DropReason::Forged,
+    DropReason::Astray,
+    DropReason::Replayed,
+    DropReason::Unproved,
+    DropReason::Oversized,
+    DropReason::Unknown,
 ];
 
-impl fmt::Display for Dropped {
+impl fmt::Display for DropReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Garbage => "garbage",
@@ -113,90 +115,90 @@
 
 /// Bytes to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Parcel {
+pub struct OutboundDatagram {
     /// To where.
     pub address: SocketAddr,
     /// Sealed.
     pub bytes: Vec<u8>,
 }
 
-impl Parcel {
+impl OutboundDatagram {
     /// Whether it is too long for a datagram.
     pub fn is_long(&self) -> bool {
-        self.bytes.len() > LONGEST_DATAGRAM
+        self.bytes.len() > MAX_DATAGRAM_BYTES
     }
 }
 
 /// What came of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Opened {
+pub struct Received {
     /// For the member, with who sends it.
-    pub message: Option<(Identity, Message)>,
+    pub message: Option<(Identity, MemberMessage)>,
     /// At most one answer, never longer than what it answers by more than a few bytes.
-    pub reply: Option<Parcel>,
+    pub reply: Option<OutboundDatagram>,
 }
 
 /// Senders who were asked and have not answered; whoever is asked longest goes for another one.
-const MOST_ASKED: usize = 64;
+const MAX_CHALLENGED: usize = 64;
 /// Processes that are spoken with.
-const MOST_KNOWN: usize = 4_096;
+const MAX_SESSIONS: usize = 4_096;
 /// A question is asked anew after so long, in microseconds.
-const ASK_AGAIN_US: i64 = 200_000;
+const RETRY_INTERVAL_US: i64 = 200_000;
 /// Members that are asked where another one is.
-const GUIDES: usize = 2;
+const MEMBERS_QUERIED: usize = 2;
 /// Names that were asked for lately.
-const MOST_SOUGHT: usize = 64;
+const MAX_ADDRESS_QUERIES: usize = 64;
 
-struct Asked {
+struct Challenged {
     nonce: u64,
     at: Timestamp,
-    /// What it came with: taken once it has shown that it lives.
-    held: Option<(Identity, Message)>,
+    /// What it came with: taken once it has shown that it incarnations.
+    pending: Option<(Identity, MemberMessage)>,
 }
 
-struct Known {
-    window: Window,
+struct Session {
+    replay_window: ReplayWindow,
     heard: Timestamp,
 }
 
 /// A process's part in the post.
-pub struct Post {
+pub struct Transport {
     me: Name,
-    boot: u64,
-    number: u64,
-    seal: Seal,
-    book: Book,
-    known: BTreeMap<(Name, u64), Known>,
-    asked: BTreeMap<(Name, u64), Asked>,
-    sought: BTreeMap<Name, Timestamp>,
+    incarnation_nonce: u64,
+    sequence: u64,
+    authenticator: Authenticator,
+    addresses: AddressTable,
+    sessions: BTreeMap<(Name, u64), Session>,
+    challenged: BTreeMap<(Name, u64), Challenged>,
+    address_queries: BTreeMap<Name, Timestamp>,
     random: ChaCha8Rng,
 }
 
-impl Post {
+impl Transport {
     /// Of a process of that name which begins now; `seed` must be foreseen by nobody and another one at each start.
-    pub fn new(me: Name, seal: Seal, book: Book, seed: u64) -> Self {
+    pub fn new(me: Name, authenticator: Authenticator, addresses: AddressTable, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         Self {
             me,
-            boot: random.random(),
-            number: 0,
-            seal,
-            book,
-            known: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            sought: BTreeMap::new(),
+            incarnation_nonce: random.random(),
+            sequence: 0,
+            authenticator,
+            addresses,
+            sessions: BTreeMap::new(),
+            challenged: BTreeMap::new(),
+            address_queries: BTreeMap::new(),
             random,
         }
     }
 
     /// Where members are.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn addresses(&self) -> &AddressTable {
+        &self.addresses
     }
 
     /// Another key goes before, or goes.
-    pub fn reseal(&mut self, seal: Seal) {
-        self.seal = seal;
+    pub fn set_authenticator(&mut self, authenticator: Authenticator) {
+        self.authenticator = authenticator;
     }
 
     /// A message of this process as `from` for `to`. Where nobody knows where that is, others are asked instead.
@@ -208,167 +210,200 @@
         now: Timestamp,
         from: &Identity,
         to: &Identity,
-        message: Message,
-    ) -> Result<Vec<Parcel>, Dropped> {
-        match self.book.address(to) {
+        message: MemberMessage,
+    ) -> Result<Vec<OutboundDatagram>, DropReason> {
+        match self.addresses.address(to) {
             Some(address) => {
-                let parcel = self.parcel(from, to, address, Letter::Member(message))?;
-                Ok(vec![parcel])
+                let datagram = self.datagram(from, to, address, Message::Member(message))?;
+                Ok(vec![datagram])
             }
-            None => self.seek(now, from, &to.name),
+            None => self.query_address(now, from, &to.name),
         }
     }
 
-    fn parcel(
+    fn datagram(
         &mut self,
         from: &Identity,
         to: &Identity,
         address: SocketAddr,
-        letter: Letter,
-    ) -> Result<Parcel, Dropped> {
-        self.number += 1;
-        let (boot, number) = (self.boot, self.number);
-        let envelope = Envelope { from: from.clone(), to: to.clone(), boot, number, letter };
-        let bytes = self.seal.seal(&envelope).filter(|bytes| bytes.len() <= LONGEST_STREAM);
-        Ok(Parcel { address, bytes: bytes.ok_or(Dropped::Oversized)? })
+        message: Message,
+    ) -> Result<OutboundDatagram, DropReason> {
+        self.sequence += 1;
+        let (incarnation_nonce, sequence) = (self.incarnation_nonce, self.sequence);
+        let frame = Frame { from: from.clone(), to: to.clone(), incarnation_nonce, sequence, message };
+        let bytes = self.authenticator.encode(&frame).filter(|bytes| bytes.len() <= MAX_STREAM_BYTES);
+        Ok(OutboundDatagram { address, bytes: bytes.ok_or(DropReason::Oversized)? })
     }
 
     /// Asks whoever was heard last where that name is, and not too often.
-    fn seek(&mut self, now: Timestamp, from: &Identity, name: &Name) -> Result<Vec<Parcel>, Dropped> {
-        self.sought.retain(|_, at| now.0 - at.0 < ASK_AGAIN_US);
-        if self.sought.contains_key(name) || self.sought.len() >= MOST_SOUGHT {
-            return Err(Dropped::Unknown);
+    fn query_address(
+        &mut self,
+        now: Timestamp,
+        from: &Identity,
+        name: &Name,
+    ) -> Result<Vec<OutboundDatagram>, DropReason> {
+        self.address_queries.retain(|_, at| now.0 - at.0 < RETRY_INTERVAL_US);
+        if self.address_queries.contains_key(name) || self.address_queries.len() >= MAX_ADDRESS_QUERIES {
+            return Err(DropReason::Unknown);
         }
-        let guides: Vec<Identity> =
-            self.book.latest().into_iter().filter(|who| who.name != *name).take(GUIDES).cloned().collect();
+        let guides: Vec<Identity> = self
+            .addresses
+            .latest()
+            .into_iter()
+            .filter(|who| who.name != *name)
+            .take(MEMBERS_QUERIED)
+            .cloned()
+            .collect();
         if guides.is_empty() {
-            return Err(Dropped::Unknown);
+            return Err(DropReason::Unknown);
         }
-        self.sought.insert(Name::clone(name), now);
-        let mut parcels = Vec::new();
+        self.address_queries.insert(Name::clone(name), now);
+        let mut datagrams = Vec::new();
         for guide in guides {
-            let Some(address) = self.book.address(&guide) else { continue };
-            parcels.push(self.parcel(from, &any(&guide), address, Letter::Where(Name::clone(name)))?);
+            let Some(address) = self.addresses.address(&guide) else { continue };
+            datagrams.push(self.datagram(
+                from,
+                &any_incarnation(&guide),
+                address,
+                Message::AddressQuery(Name::clone(name)),
+            )?);
         }
-        Ok(parcels)
+        Ok(datagrams)
     }
 
     /// A message has come, as a datagram from `source`, or on a stream.
     ///
     /// # Errors
     /// Why it is dropped.
-    pub fn open(
+    pub fn receive(
         &mut self,
         now: Timestamp,
         me: &Identity,
         bytes: &[u8],
         source: Option<SocketAddr>,
-    ) -> Result<Opened, Dropped> {
-        let most = if source.is_some() { LONGEST_DATAGRAM } else { LONGEST_STREAM };
+    ) -> Result<Received, DropReason> {
+        let most = if source.is_some() { MAX_DATAGRAM_BYTES } else { MAX_STREAM_BYTES };
         if bytes.len() > most {
-            return Err(Dropped::Oversized);
+            return Err(DropReason::Oversized);
         }
-        let Envelope { from, to, boot, number, letter } = self.seal.open(bytes)?;
-        let other_life = to.life != 0 && to.life != me.life;
-        if to.name != self.me || other_life || (from.name == self.me && boot == self.boot) {
-            return Err(Dropped::Astray);
+        let Frame { from, to, incarnation_nonce, sequence, message } = self.authenticator.open(bytes)?;
+        let other_incarnation = to.incarnation != 0 && to.incarnation != me.incarnation;
+        if to.name != self.me
+            || other_incarnation
+            || (from.name == self.me && incarnation_nonce == self.incarnation_nonce)
+        {
+            return Err(DropReason::Astray);
         }
-        let process = (from.name.clone(), boot);
+        let process = (from.name.clone(), incarnation_nonce);
         // Whoever asks gets its number back, known or not: one answer for one question.
-        if let Letter::Who { nonce } = letter {
-            let back = source.or_else(|| self.book.address(&from));
+        if let Message::Challenge { nonce } = message {
+            let back = source.or_else(|| self.addresses.address(&from));
             let reply = back
-                .map(|address| self.parcel(me, &any(&from), address, Letter::Here { nonce }))
+                .map(|address| {
+                    self.datagram(me, &any_incarnation(&from), address, Message::ChallengeResponse { nonce })
+                })
                 .transpose()?;
-            return Ok(Opened { message: None, reply });
+            return Ok(Received { message: None, reply });
         }
-        if let Letter::Here { nonce } = letter {
-            return self.answered(now, process, from, nonce, number, source);
+        if let Message::ChallengeResponse { nonce } = message {
+            return self.handle_challenge_response(now, process, from, nonce, sequence, source);
         }
-        let Some(known) = self.known.get_mut(&process) else {
-            return self.ask(now, me, process, from, letter, source);
+        let Some(session) = self.sessions.get_mut(&process) else {
+            return self.challenge(now, me, process, from, message, source);
         };
-        let order = known.window.take(number).ok_or(Dropped::Replayed)?;
-        known.heard = now;
-        if let (Order::Latest, Some(address)) = (order, source) {
-            self.book.seen(&from, address, now);
+        let order = session.replay_window.take(sequence).ok_or(DropReason::Replayed)?;
+        session.heard = now;
+        if let (Arrival::Latest, Some(address)) = (order, source) {
+            self.addresses.seen(&from, address, now);
         }
-        self.read(me, from, letter)
+        self.handle_message(me, from, message)
     }
 
-    fn read(&mut self, me: &Identity, from: Identity, letter: Letter) -> Result<Opened, Dropped> {
-        let mut opened = Opened { message: None, reply: None };
-        match letter {
-            Letter::Member(message) => opened.message = Some((from, message)),
-            Letter::Where(name) => {
-                if let (Some(there), Some(address)) = (self.book.known(&name), self.book.address(&from)) {
-                    opened.reply = Some(self.parcel(me, &any(&from), address, Letter::There(name, there))?);
+    fn handle_message(
+        &mut self,
+        me: &Identity,
+        from: Identity,
+        message: Message,
+    ) -> Result<Received, DropReason> {
+        let mut received = Received { message: None, reply: None };
+        match message {
+            Message::Member(message) => received.message = Some((from, message)),
+            Message::AddressQuery(name) => {
+                if let (Some(there), Some(address)) =
+                    (self.addresses.known(&name), self.addresses.address(&from))
+                {
+                    received.reply = Some(self.datagram(
+                        me,
+                        &any_incarnation(&from),
+                        address,
+                        Message::AddressAnswer(name, there),
+                    )?);
                 }
             }
-            Letter::There(name, address) => self.book.told(&name, address),
-            Letter::Who { .. } | Letter::Here { .. } => {}
+            Message::AddressAnswer(name, address) => self.addresses.told(&name, address),
+            Message::Challenge { .. } | Message::ChallengeResponse { .. } => {}
         }
-        Ok(opened)
+        Ok(received)
     }
 
-    /// Whoever is not known has to show that it lives now; what it came with waits for that.
-    fn ask(
+    /// Whoever is not known has to show that it incarnations now; what it came with waits for that.
+    fn challenge(
         &mut self,
         now: Timestamp,
         me: &Identity,
         process: (Name, u64),
         from: Identity,
-        letter: Letter,
+        message: Message,
         source: Option<SocketAddr>,
-    ) -> Result<Opened, Dropped> {
-        if self.asked.get(&process).is_some_and(|asked| now.0 - asked.at.0 < ASK_AGAIN_US) {
-            return Err(Dropped::Unproved);
+    ) -> Result<Received, DropReason> {
+        if self.challenged.get(&process).is_some_and(|asked| now.0 - asked.at.0 < RETRY_INTERVAL_US) {
+            return Err(DropReason::Unproved);
         }
-        let address = source.or_else(|| self.book.address(&from)).ok_or(Dropped::Unproved)?;
-        make_room(&mut self.asked, MOST_ASKED, |asked| asked.at);
+        let address = source.or_else(|| self.addresses.address(&from)).ok_or(DropReason::Unproved)?;
+        evict_oldest(&mut self.challenged, MAX_CHALLENGED, |asked| asked.at);
         let nonce = self.random.random();
-        let held = match letter {
-            Letter::Member(message) => Some((from.clone(), message)),
+        let pending = match message {
+            Message::Member(message) => Some((from.clone(), message)),
             _ => None,
         };
-        self.asked.insert(process, Asked { nonce, at: now, held });
-        let reply = self.parcel(me, &any(&from), address, Letter::Who { nonce })?;
-        Ok(Opened { message: None, reply: Some(reply) })
+        self.challenged.insert(process, Challenged { nonce, at: now, pending });
+        let reply = self.datagram(me, &any_incarnation(&from), address, Message::Challenge { nonce })?;
+        Ok(Received { message: None, reply: Some(reply) })
     }
 
-    fn answered(
+    fn handle_challenge_response(
         &mut self,
         now: Timestamp,
         process: (Name, u64),
         from: Identity,
         nonce: u64,
-        number: u64,
+        sequence: u64,
         source: Option<SocketAddr>,
-    ) -> Result<Opened, Dropped> {
-        if self.asked.get(&process).is_none_or(|asked| asked.nonce != nonce) {
-            return Err(Dropped::Replayed);
+    ) -> Result<Received, DropReason> {
+        if self.challenged.get(&process).is_none_or(|asked| asked.nonce != nonce) {
+            return Err(DropReason::Replayed);
         }
-        let held = self.asked.remove(&process).and_then(|asked| asked.held);
-        make_room(&mut self.known, MOST_KNOWN, |known| known.heard);
-        self.known.insert(process, Known { window: Window::from(number), heard: now });
+        let pending = self.challenged.remove(&process).and_then(|asked| asked.pending);
+        evict_oldest(&mut self.sessions, MAX_SESSIONS, |known| known.heard);
+        self.sessions.insert(process, Session { replay_window: ReplayWindow::from(sequence), heard: now });
         if let Some(address) = source {
-            self.book.seen(&from, address, now);
+            self.addresses.seen(&from, address, now);
         }
-        Ok(Opened { message: held, reply: None })
+        Ok(Received { message: pending, reply: None })
     }
 }
 
 /// Where there are as many as may be, the one with the earliest moment goes for the next.
-fn make_room<K: Ord + Clone, V>(all: &mut BTreeMap<K, V>, most: usize, at: impl Fn(&V) -> Timestamp) {
+fn evict_oldest<K: Ord + Clone, V>(all: &mut BTreeMap<K, V>, most: usize, at: impl Fn(&V) -> Timestamp) {
     if all.len() >= most {
         let oldest = all.iter().min_by_key(|(_, one)| at(one)).map(|(key, _)| key.clone());
         oldest.map(|key| all.remove(&key));
     }
 }
 
-/// The process of that name, whichever life it is: of processes, not of members.
-fn any(who: &Identity) -> Identity {
-    Identity { life: 0, ..who.clone() }
+/// The process of that name, whichever incarnation it is: of processes, not of members.
+fn any_incarnation(who: &Identity) -> Identity {
+    Identity { incarnation: 0, ..who.clone() }
 }
 
 #[cfg(test)]
--- a/crates/decisions/src/membership/transport/replay_window.rs
+++ b/crates/decisions/src/membership/transport/replay_window.rs
@@ -6,13 +6,13 @@
 
 /// The numbers of one process of one sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Window {
+pub struct ReplayWindow {
     highest: u64,
     /// One bit a number, by its remainder: set if seen.
     seen: [u64; WORDS],
 }
 
-impl Window {
+impl ReplayWindow {
     /// From that number on, which is taken herewith; what was sent before is not.
     pub fn from(number: u64) -> Self {
         let mut window = Self { highest: number, seen: [u64::MAX; WORDS] };
@@ -21,7 +21,7 @@
     }
 
     /// Whether that number comes for the first time, and whether it is the highest so far.
-    pub fn take(&mut self, number: u64) -> Option<Order> {
+    pub fn take(&mut self, number: u64) -> Option<Arrival> {
         if number > self.highest {
             // What is skipped may still come.
             for skipped in (self.highest + 1..=number).rev().take(WIDTH as usize) {
@@ -29,13 +29,13 @@
             }
             self.highest = number;
             self.mark(number);
-            return Some(Order::Latest);
+            return Some(Arrival::Latest);
         }
         if self.highest - number >= WIDTH || self.is_seen(number) {
             return None;
         }
         self.mark(number);
-        Some(Order::Overtaken)
+        Some(Arrival::Overtaken)
     }
 
     fn place(number: u64) -> (usize, u64) {
@@ -60,7 +60,7 @@
 
 /// Where a message stands among those of its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Arrival {
     /// None that was sent later has come before.
     Latest,
     /// A later one has come before it.
@@ -75,9 +75,9 @@
 
     #[test]
     fn what_was_sent_before_the_first_that_is_known_is_not_taken() {
-        let mut window = Window::from(5_000);
+        let mut window = ReplayWindow::from(5_000);
         assert_eq!([4_999, 5_000, 4_000, 0].map(|n| window.take(n)), [None; 4]);
-        assert_eq!(window.take(5_001), Some(Order::Latest));
+        assert_eq!(window.take(5_001), Some(Arrival::Latest));
     }
 
     proptest! {
@@ -85,11 +85,11 @@
         /// within the width.
         #[test]
         fn each_number_is_taken_once(first in 0u64..5_000, steps in proptest::collection::vec(-1_500i64..1_500, 1..400)) {
-            let (mut window, mut seen, mut highest) = (Window::from(first), BTreeSet::from([first]), first);
+            let (mut window, mut seen, mut highest) = (ReplayWindow::from(first), BTreeSet::from([first]), first);
             for step in steps {
                 let number = highest.saturating_add_signed(step);
                 let due = number > first && highest.saturating_sub(number) < WIDTH && !seen.contains(&number);
-                let order = if number > highest { Order::Latest } else { Order::Overtaken };
+                let order = if number > highest { Arrival::Latest } else { Arrival::Overtaken };
                 prop_assert_eq!(window.take(number), due.then_some(order), "{}", number);
                 if due {
                     seen.insert(number);
--- a/crates/decisions/src/membership/transport/tests.rs
+++ b/crates/decisions/src/membership/transport/tests.rs
@@ -11,48 +11,58 @@
 struct Process {
     me: Identity,
     port: u16,
-    post: Post,
+    transport: Transport,
 }
 
 /// Everybody knows where everybody is, but for those who are not in the file.
 fn process(name: &str, port: u16, seed: u64, file: &[(&str, u16)]) -> Process {
     let fixed = file.iter().map(|(name, port)| ((*name).into(), at(*port))).collect();
     let me = Identity::new(name, seed);
-    let post = Post::new(me.name.clone(), Seal::new("north", &key(1), None), Book::new(fixed), seed);
-    Process { me, port, post }
+    let transport = Transport::new(
+        me.name.clone(),
+        Authenticator::new("north", &key(1), None),
+        AddressTable::new(fixed),
+        seed,
+    );
+    Process { me, port, transport }
 }
 
-fn probe(number: u32) -> Message {
-    Message::Advice(failure_detector::Message::Probe { number, news: Vec::new() })
+fn probe(number: u32) -> MemberMessage {
+    MemberMessage::FailureDetector(failure_detector::Message::Probe { sequence: number, updates: Vec::new() })
 }
 
 impl Process {
-    fn write(&mut self, to: &Identity, number: u32) -> Vec<Parcel> {
+    fn write(&mut self, to: &Identity, number: u32) -> Vec<OutboundDatagram> {
         let me = self.me.clone();
-        self.post.send(Timestamp(0), &me, to, probe(number)).unwrap()
+        self.transport.send(Timestamp(0), &me, to, probe(number)).unwrap()
     }
 
-    fn open(&mut self, bytes: &[u8], source: u16) -> Result<Opened, Dropped> {
+    fn open(&mut self, bytes: &[u8], source: u16) -> Result<Received, DropReason> {
         let me = self.me.clone();
-        self.post.open(Timestamp(0), &me, bytes, Some(at(source)))
+        self.transport.receive(Timestamp(0), &me, bytes, Some(at(source)))
     }
 }
 
 /// All that went over the wire, each with where it came from.
-type Wire = Vec<(u16, Parcel)>;
+type Wire = Vec<(u16, OutboundDatagram)>;
 
 /// Carries parcels to and fro until there is none; what was read, by whom, and all that went over the wire.
-fn carry(all: &mut [&mut Process], from: u16, parcels: Vec<Parcel>) -> (Vec<(u16, u32)>, Wire) {
-    let mut under_way: Vec<(u16, Parcel)> = parcels.into_iter().map(|parcel| (from, parcel)).collect();
+fn carry(all: &mut [&mut Process], from: u16, datagrams: Vec<OutboundDatagram>) -> (Vec<(u16, u32)>, Wire) {
+    let mut under_way: Vec<(u16, OutboundDatagram)> =
+        datagrams.into_iter().map(|datagram| (from, datagram)).collect();
     let (mut read, mut wire) = (Vec::new(), Vec::new());
-    while let Some((source, parcel)) = under_way.pop() {
-        wire.push((source, parcel.clone()));
-        let Some(to) = all.iter_mut().find(|p| at(p.port) == parcel.address) else { continue };
-        let Ok(opened) = to.open(&parcel.bytes, source) else { continue };
-        if let Some((_, Message::Advice(failure_detector::Message::Probe { number, .. }))) = opened.message {
+    while let Some((source, datagram)) = under_way.pop() {
+        wire.push((source, datagram.clone()));
+        let Some(to) = all.iter_mut().find(|p| at(p.port) == datagram.address) else { continue };
+        let Ok(received) = to.open(&datagram.bytes, source) else { continue };
+        if let Some((
+            _,
+            MemberMessage::FailureDetector(failure_detector::Message::Probe { sequence: number, .. }),
+        )) = received.message
+        {
             read.push((to.port, number));
         }
-        under_way.extend(opened.reply.map(|reply| (to.port, reply)));
+        under_way.extend(received.reply.map(|reply| (to.port, reply)));
     }
     (read, wire)
 }
@@ -75,21 +85,21 @@
     let (mut a, mut b) = (process("a", 1, 10, &FILE), process("b", 2, 20, &FILE));
     let mut wire = Vec::new();
     for number in 0..5 {
-        let parcels = a.write(&b.me, number);
-        wire.extend(carry(&mut [&mut a, &mut b], 1, parcels).1);
+        let datagrams = a.write(&b.me, number);
+        wire.extend(carry(&mut [&mut a, &mut b], 1, datagrams).1);
     }
     for seed in [20, 21] {
         // The same process, and one that has started since: yesterday's messages, from anywhere.
         let mut fresh = process("b", 2, seed, &FILE);
         let b = if seed == 20 { &mut b } else { &mut fresh };
-        for (_, parcel) in wire.iter().filter(|(_, parcel)| parcel.address == at(2)) {
-            let opened = b.open(&parcel.bytes, 66);
-            assert!(opened.is_err() || opened.is_ok_and(|opened| opened.message.is_none()));
+        for (_, datagram) in wire.iter().filter(|(_, datagram)| datagram.address == at(2)) {
+            let received = b.open(&datagram.bytes, 66);
+            assert!(received.is_err() || received.is_ok_and(|received| received.message.is_none()));
         }
     }
     // And the one that knows its peer still speaks with it where it is.
-    let parcels = b.write(&a.me, 9);
-    assert_eq!(parcels[0].address, at(1), "a recording played from elsewhere moves nobody");
+    let datagrams = b.write(&a.me, 9);
+    assert_eq!(datagrams[0].address, at(1), "a recording played from elsewhere moves nobody");
 }
 
 #[test]
@@ -99,21 +109,25 @@
     let first = a.write(&b.me, 2);
     carry(&mut [&mut a, &mut b], 1, first);
     let mut a = process("a", 1, 11, &FILE);
-    let parcels = a.write(&b.me, 3);
-    assert_eq!(carry(&mut [&mut a, &mut b], 1, parcels).0, [(2, 3)]);
-    assert_eq!(b.open(&late[0].bytes, 1), Err(Dropped::Replayed));
+    let datagrams = a.write(&b.me, 3);
+    assert_eq!(carry(&mut [&mut a, &mut b], 1, datagrams).0, [(2, 3)]);
+    assert_eq!(b.open(&late[0].bytes, 1), Err(DropReason::Replayed));
 }
 
 #[test]
 fn what_is_for_somebody_else_or_of_this_very_process_is_dropped() {
     let (mut a, mut b) = (process("a", 1, 10, &FILE), process("b", 2, 20, &FILE));
-    let parcels = a.write(&b.me, 1);
+    let datagrams = a.write(&b.me, 1);
     let mut c = process("c", 3, 30, &FILE);
-    assert_eq!(c.open(&parcels[0].bytes, 1), Err(Dropped::Astray));
-    let next_life = a.write(&Identity::new("b", 21), 2);
-    assert_eq!(b.open(&next_life[0].bytes, 1), Err(Dropped::Astray), "nobody answers for another life");
+    assert_eq!(c.open(&datagrams[0].bytes, 1), Err(DropReason::Astray));
+    let next_incarnation = a.write(&Identity::new("b", 21), 2);
+    assert_eq!(
+        b.open(&next_incarnation[0].bytes, 1),
+        Err(DropReason::Astray),
+        "nobody answers for another incarnation"
+    );
     let own = b.write(&Identity::new("b", 0), 1);
-    assert_eq!(b.open(&own[0].bytes, 2), Err(Dropped::Astray), "reflected");
+    assert_eq!(b.open(&own[0].bytes, 2), Err(DropReason::Astray), "reflected");
 }
 
 #[test]
@@ -124,19 +138,19 @@
     for (from, to) in [(3, 2), (1, 2), (2, 1)] {
         let to = Identity::new(if to == 1 { "a" } else { "b" }, if to == 1 { 10 } else { 20 });
         let writer = [&mut a, &mut b, &mut c].into_iter().find(|p| p.port == from).unwrap();
-        let parcels = writer.write(&to, 1);
-        carry(&mut [&mut a, &mut b, &mut c], from, parcels);
+        let datagrams = writer.write(&to, 1);
+        carry(&mut [&mut a, &mut b, &mut c], from, datagrams);
     }
     let asks = a.write(&c.me, 2);
     assert_eq!(asks[0].address, at(2));
     assert_eq!(
-        a.post.send(Timestamp(1), &a.me.clone(), &c.me, probe(2)),
-        Err(Dropped::Unknown),
+        a.transport.send(Timestamp(1), &a.me.clone(), &c.me, probe(2)),
+        Err(DropReason::Unknown),
         "not too often"
     );
     carry(&mut [&mut a, &mut b, &mut c], 1, asks);
-    let parcels = a.write(&c.me, 3);
-    assert_eq!(carry(&mut [&mut a, &mut b, &mut c], 1, parcels).0, [(3, 3)]);
+    let datagrams = a.write(&c.me, 3);
+    assert_eq!(carry(&mut [&mut a, &mut b, &mut c], 1, datagrams).0, [(3, 3)]);
 }
 
 #[test]
@@ -145,19 +159,28 @@
     let mut answers = 0;
     for n in 0..10_000u64 {
         let mut stranger = process(&format!("s{n}"), 9, n, &FILE);
-        let parcels = stranger.write(&b.me, 1);
-        answers += usize::from(b.open(&parcels[0].bytes, 9).is_ok_and(|opened| opened.reply.is_some()));
+        let datagrams = stranger.write(&b.me, 1);
+        answers += usize::from(b.open(&datagrams[0].bytes, 9).is_ok_and(|received| received.reply.is_some()));
         // The same once more is not answered.
-        assert_eq!(b.open(&parcels[0].bytes, 9), Err(Dropped::Unproved));
+        assert_eq!(b.open(&datagrams[0].bytes, 9), Err(DropReason::Unproved));
     }
-    assert_eq!((answers, b.post.asked.len(), b.post.known.len()), (10_000, MOST_ASKED, 0));
+    assert_eq!(
+        (answers, b.transport.challenged.len(), b.transport.sessions.len()),
+        (10_000, MAX_CHALLENGED, 0)
+    );
 }
 
 #[test]
 fn datagrams_and_streams_have_their_bounds() {
     let mut b = process("b", 2, 20, &FILE);
-    assert_eq!(b.open(&vec![0; LONGEST_DATAGRAM + 1], 1), Err(Dropped::Oversized));
+    assert_eq!(b.open(&vec![0; MAX_DATAGRAM_BYTES + 1], 1), Err(DropReason::Oversized));
     let me = b.me.clone();
-    assert_eq!(b.post.open(Timestamp(0), &me, &vec![0; LONGEST_STREAM + 1], None), Err(Dropped::Oversized));
-    assert_eq!(b.post.open(Timestamp(0), &me, &vec![0; LONGEST_STREAM], None), Err(Dropped::Garbage));
+    assert_eq!(
+        b.transport.receive(Timestamp(0), &me, &vec![0; MAX_STREAM_BYTES + 1], None),
+        Err(DropReason::Oversized)
+    );
+    assert_eq!(
+        b.transport.receive(Timestamp(0), &me, &vec![0; MAX_STREAM_BYTES], None),
+        Err(DropReason::Garbage)
+    );
 }
--- a/crates/decisions/src/membership/view.rs
+++ b/crates/decisions/src/membership/view.rs
@@ -8,31 +8,31 @@
 
 /// Members that vote: the longest-standing ones. More would cost each vote and each lease more messages, and a fleet of
 /// 300 would spend its traffic on them; fewer would be lost together too easily.
-pub const ELECTORS: usize = 7;
+pub const MAX_VOTERS: usize = 7;
 
 /// What a proxy is called, whichever of its processes it is.
 pub type Name = Arc<str>;
 
-/// One life of a proxy: its name and the number of its vote. A process that comes back without what it had voted for is
-/// another life: it must not vote in the place of the one that it replaces, nor be answered for.
+/// One incarnation of a proxy: its name and the number of its vote. A process that comes back without what it had voted for is
+/// another incarnation: it must not vote in the place of the one that it replaces, nor be answered for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Identity {
     /// Its name.
     pub name: Name,
-    /// The number of this life; 0 stands for any life of the name, before there is a view.
-    pub life: u64,
+    /// The number of this incarnation; 0 stands for any incarnation of the name, before there is a view.
+    pub incarnation: u64,
 }
 
 impl Identity {
-    /// A life of a name.
-    pub fn new(name: &str, life: u64) -> Self {
-        Self { name: name.into(), life }
+    /// A incarnation of a name.
+    pub fn new(name: &str, incarnation: u64) -> Self {
+        Self { name: name.into(), incarnation }
     }
 }
 
 impl fmt::Display for Identity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}#{:x}", self.name, self.life)
+        write!(f, "{}#{:x}", self.name, self.incarnation)
     }
 }
 
@@ -48,33 +48,33 @@
 impl View {
     /// What stands before the first view: the names of the seeds, all of which have to agree on that.
     pub fn genesis(seeds: &[Name]) -> Self {
-        let members = seeds.iter().map(|name| Identity { name: Arc::clone(name), life: 0 }).collect();
+        let members = seeds.iter().map(|name| Identity { name: Arc::clone(name), incarnation: 0 }).collect();
         Self { epoch: 0, members }
     }
 
-    /// Whether that life is a member. Before the first view nobody is.
+    /// Whether that incarnation is a member. Before the first view nobody is.
     pub fn contains(&self, who: &Identity) -> bool {
         self.epoch > 0 && self.members.contains(who)
     }
 
     /// The member of that name.
-    pub fn named(&self, name: &str) -> Option<&Identity> {
+    pub fn member_named(&self, name: &str) -> Option<&Identity> {
         self.members.iter().find(|member| *member.name == *name)
     }
 
     /// Who votes on the next view and grants leases under this one.
-    pub fn electors(&self) -> &[Identity] {
+    pub fn voters(&self) -> &[Identity] {
         // All seeds found the fleet: a part of them might not know that it has been founded already.
-        let most = if self.epoch == 0 { self.members.len() } else { ELECTORS };
+        let most = if self.epoch == 0 { self.members.len() } else { MAX_VOTERS };
         &self.members[..self.members.len().min(most)]
     }
 
-    /// Whether that life votes. Before the first view any life of a seed does: nothing that it may have lost was
+    /// Whether that incarnation votes. Before the first view any incarnation of a seed does: nothing that it may have lost was
     /// decided without all the others.
-    pub fn elects(&self, who: &Identity) -> bool {
+    pub fn is_voter(&self, who: &Identity) -> bool {
         match self.epoch {
-            0 => self.named(&who.name).is_some(),
-            _ => self.electors().contains(who),
+            0 => self.member_named(&who.name).is_some(),
+            _ => self.voters().contains(who),
         }
     }
 
@@ -82,20 +82,24 @@
     pub fn quorum(&self) -> usize {
         match self.epoch {
             0 => self.members.len().max(1),
-            _ => self.electors().len() / 2 + 1,
+            _ => self.voters().len() / 2 + 1,
         }
     }
 
-    /// The next view, if a change makes any difference. Whoever comes takes the place of an older life of its
+    /// The next view, if a change makes any difference. Whoever comes takes the place of an older incarnation of its
     /// name, at the end; who is to go and to come at once comes.
     pub fn next(&self, change: &Change) -> Option<Self> {
         let replaced = |member: &Identity| {
-            change.join.iter().any(|comes| comes.name == member.name && comes.life > member.life)
+            change
+                .join
+                .iter()
+                .any(|comes| comes.name == member.name && comes.incarnation > member.incarnation)
         };
         let stays = |member: &&Identity| self.epoch > 0 && !change.out.contains(*member) && !replaced(member);
         let mut members: Vec<Identity> = self.members.iter().filter(stays).cloned().collect();
-        let latest =
-            |comes: &&Identity| !change.join.iter().any(|o| o.name == comes.name && o.life > comes.life);
+        let latest = |comes: &&Identity| {
+            !change.join.iter().any(|o| o.name == comes.name && o.incarnation > comes.incarnation)
+        };
         for comes in change.join.iter().filter(latest) {
             if !members.iter().any(|member| member.name == comes.name) {
                 members.push(comes.clone());
@@ -110,7 +114,7 @@
 pub struct Change {
     /// Who has to go.
     pub out: BTreeSet<Identity>,
-    /// Who comes, or comes back as another life.
+    /// Who comes, or comes back as another incarnation.
     pub join: BTreeSet<Identity>,
 }
 
@@ -119,11 +123,16 @@
     use super::*;
 
     fn view(members: &[(&str, u64)]) -> View {
-        View { epoch: 4, members: members.iter().map(|(name, life)| Identity::new(name, *life)).collect() }
+        View {
+            epoch: 4,
+            members: members.iter().map(|(name, incarnation)| Identity::new(name, *incarnation)).collect(),
+        }
     }
 
     fn change(out: &[(&str, u64)], join: &[(&str, u64)]) -> Change {
-        let all = |of: &[(&str, u64)]| of.iter().map(|(name, life)| Identity::new(name, *life)).collect();
+        let all = |of: &[(&str, u64)]| {
+            of.iter().map(|(name, incarnation)| Identity::new(name, *incarnation)).collect()
+        };
         Change { out: all(out), join: all(join) }
     }
 
@@ -156,8 +165,8 @@
     fn the_longest_standing_vote_and_a_majority_of_them_decides() {
         let names: Vec<String> = (0..20).map(|n| format!("m{n:02}")).collect();
         let many = View { epoch: 9, members: names.iter().map(|name| Identity::new(name, 1)).collect() };
-        assert_eq!((many.electors().len(), many.quorum()), (7, 4));
-        assert!(many.elects(&many.members[6]) && !many.elects(&many.members[7]));
+        assert_eq!((many.voters().len(), many.quorum()), (7, 4));
+        assert!(many.is_voter(&many.members[6]) && !many.is_voter(&many.members[7]));
         for (members, quorum) in [(1, 1), (2, 2), (3, 2), (4, 3), (5, 3)] {
             let few = View { epoch: 1, members: many.members[..members].to_vec() };
             assert_eq!(few.quorum(), quorum);
@@ -169,7 +178,7 @@
         let seeds: Vec<Name> = ["a", "b", "c"].map(Name::from).to_vec();
         let genesis = View::genesis(&seeds);
         assert_eq!(genesis.quorum(), 3);
-        assert!(genesis.elects(&Identity::new("b", 77)) && !genesis.elects(&Identity::new("d", 77)));
+        assert!(genesis.is_voter(&Identity::new("b", 77)) && !genesis.is_voter(&Identity::new("d", 77)));
         assert!(!genesis.contains(&Identity::new("b", 0)));
         let first = genesis.next(&change(&[], &[("a", 5), ("b", 6), ("c", 7)]));
         assert_eq!(first.map(|v| (v.epoch, v.members.len())), Some((1, 3)));
--- a/crates/testbench/src/members.rs
+++ b/crates/testbench/src/members.rs
@@ -7,12 +7,14 @@
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
-use wheelpier_decisions::membership::consensus::{Durable, Event};
-use wheelpier_decisions::membership::failure_detector::{self, News, Opinion, Tempo};
-use wheelpier_decisions::membership::member::{Member, Message, Output, Rules};
-use wheelpier_decisions::membership::membership_log::{Chronicle, Told};
-use wheelpier_decisions::membership::reconfiguration::Row;
-use wheelpier_decisions::membership::{Identity, Name, Terms, View};
+use wheelpier_decisions::membership::consensus::{DurableState, Event};
+use wheelpier_decisions::membership::failure_detector::{
+    self, FailureDetectorConfig, GossipUpdate, Suspicion,
+};
+use wheelpier_decisions::membership::member::{FleetConfig, Member, MemberMessage, Output};
+use wheelpier_decisions::membership::membership_log::{MembershipChange, MembershipLog};
+use wheelpier_decisions::membership::reconfiguration::ReachabilityRow;
+use wheelpier_decisions::membership::{Identity, LeaseTerms, Name, View};
 use wheelpier_decisions::Timestamp;
 use wheelpier_emulator::link::Link;
 use wheelpier_emulator::{MS, SECOND};
@@ -58,12 +60,12 @@
     rate: f64,
     boot: u64,
     paused_until: i64,
-    chronicle: Chronicle,
+    membership_log: MembershipLog,
 }
 
 enum Due {
     /// To a process, for one life of it or, where that is 0, for any; from whom.
-    Deliver(usize, u64, Identity, Message),
+    Deliver(usize, u64, Identity, MemberMessage),
     Timer(usize, u64),
     Trouble(Trouble),
 }
@@ -76,7 +78,7 @@
     pub names: Vec<Name>,
     seeds: Vec<Name>,
     nodes: Vec<Option<Node>>,
-    disks: HashMap<Name, (Identity, Durable)>,
+    disks: HashMap<Name, (Identity, DurableState)>,
     keeps: bool,
     boots: u64,
     random: ChaCha8Rng,
@@ -107,7 +109,7 @@
     pub known: BTreeMap<(u64, usize), i64>,
 }
 
-fn what((epoch, who, cause): Told, lease_until: i64) -> What {
+fn what((epoch, who, cause): MembershipChange, lease_until: i64) -> What {
     What::Change { epoch, who, cause: format!("{cause:?}"), lease_until }
 }
 
@@ -164,8 +166,12 @@
         }
         self.boots += 1;
         let name = self.names[n].clone();
-        let rules = Rules { seeds: self.seeds.clone(), terms: Terms::default(), tempo: Tempo::default() };
-        let fresh = (Identity { name: name.clone(), life: self.boots }, Durable::default());
+        let rules = FleetConfig {
+            seeds: self.seeds.clone(),
+            terms: LeaseTerms::default(),
+            failure_detector: FailureDetectorConfig::default(),
+        };
+        let fresh = (Identity { name: name.clone(), incarnation: self.boots }, DurableState::default());
         let (me, kept) = match self.disks.get(&name).filter(|_| self.keeps) {
             Some(kept) => kept.clone(),
             None => fresh,
@@ -182,9 +188,9 @@
             rate,
             boot: self.boots,
             paused_until: 0,
-            chronicle: Chronicle::default(),
+            membership_log: MembershipLog::default(),
         });
-        self.act(n, |member, now, out| member.timer(now, out));
+        self.act(n, |member, now, out| member.handle_timeout(now, out));
     }
 
     fn local(node: &Node, now: i64) -> Timestamp {
@@ -212,7 +218,7 @@
         }
         if let Some(node) = self.nodes[n].as_ref() {
             let (local, rate, boot) = (Self::local(node, self.now), node.rate, node.boot);
-            let wait = ((node.member.next_timer().0 - local.0) as f64 / rate).ceil().max(0.0) as i64;
+            let wait = ((node.member.next_timeout().0 - local.0) as f64 / rate).ceil().max(0.0) as i64;
             self.at(self.now + wait + 20, Due::Timer(n, boot));
         }
     }
@@ -222,20 +228,24 @@
         let Some(node) = self.nodes[n].as_mut() else { return };
         let (me, local) = (node.member.me().clone(), Self::local(node, self.now));
         // A lease's end is by the member's own clock.
-        let until = node.member.agreement().lease_until();
+        let until = node.member.consensus().lease_until();
         let until = until.map_or(0, |until| self.now + ((until.0 - local.0) as f64 / node.rate) as i64);
-        let mut said: Vec<What> =
-            node.chronicle.note(local, &me, output).into_iter().map(|change| what(change, until)).collect();
+        let mut said: Vec<What> = node
+            .membership_log
+            .note(local, &me, output)
+            .into_iter()
+            .map(|change| what(change, until))
+            .collect();
         match output {
-            Output::Agreed(Event::View(view)) => {
+            Output::Consensus(Event::View(view)) => {
                 let members = view.members.iter().map(ToString::to_string).collect();
                 said.push(What::View { epoch: view.epoch, members });
             }
-            Output::Advised(who, opinion) => {
+            Output::SuspicionChanged(who, opinion) => {
                 said.push(What::Advice { who: who.to_string(), opinion: format!("{opinion:?}") });
             }
-            Output::Life(_) => said.push(What::Life),
-            Output::Twin(_) => said.push(What::Twin),
+            Output::IncarnationChanged(_) => said.push(What::Life),
+            Output::NameConflict(_) => said.push(What::Twin),
             _ => {}
         }
         let (at, me) = (self.now, me.to_string());
@@ -245,7 +255,7 @@
     fn record_freed(&mut self, n: usize) {
         let Some(node) = self.nodes[n].as_mut() else { return };
         let (local, me) = (Self::local(node, self.now), node.member.me().to_string());
-        let freed = node.chronicle.freed(local, node.member.agreement());
+        let freed = node.membership_log.freed(local, node.member.consensus());
         let at = self.now;
         let said =
             freed.into_iter().map(|change| Said { at, process: n, me: me.clone(), what: what(change, 0) });
@@ -261,27 +271,27 @@
     fn carry_out(&mut self, n: usize, output: Output) {
         match output {
             Output::Send(to, message) => self.send(n, &to, message),
-            Output::Keep(me, kept) => _ = self.disks.insert(self.names[n].clone(), (me, kept)),
-            Output::Agreed(Event::View(view)) => {
+            Output::Persist(me, kept) => _ = self.disks.insert(self.names[n].clone(), (me, kept)),
+            Output::Consensus(Event::View(view)) => {
                 let first = self.views.entry(view.epoch).or_insert_with(|| view.clone());
                 assert_eq!(*first, view, "two views with one number");
                 self.adopted.entry(view.epoch).or_insert(self.now);
                 self.known.entry((view.epoch, n)).or_insert(self.now);
             }
-            Output::Agreed(Event::Forked(view)) => panic!("forked: {view:?}"),
-            Output::Parted => {
+            Output::Consensus(Event::ConflictingView(view)) => panic!("forked: {view:?}"),
+            Output::Left => {
                 self.left.insert(n);
                 self.nodes[n] = None;
             }
-            Output::Agreed(_)
-            | Output::Advised(..)
-            | Output::Life(_)
-            | Output::Twin(_)
-            | Output::Stood(_) => {}
+            Output::Consensus(_)
+            | Output::SuspicionChanged(..)
+            | Output::IncarnationChanged(_)
+            | Output::NameConflict(_)
+            | Output::Stalled(_) => {}
         }
     }
 
-    fn send(&mut self, n: usize, to: &Identity, message: Message) {
+    fn send(&mut self, n: usize, to: &Identity, message: MemberMessage) {
         let message = match self.liars.contains(&n) {
             true => self.lie(n, to, message),
             false => message,
@@ -297,14 +307,17 @@
         let Some(from) = self.nodes[n].as_ref().map(|node| node.member.me().clone()) else { return };
         let way = self.random.random_range(self.delay.0..=self.delay.1);
         let Some(link) = self.links.get(&(n, other)).filter(|link| **link != Link::default()) else {
-            return self.at(self.now + way, Due::Deliver(other, to.life, from, message));
+            return self.at(self.now + way, Due::Deliver(other, to.incarnation, from, message));
         };
         let bytes = postcard::to_allocvec(&message).map_or(0, |bytes| bytes.len());
         // What lacks its end is nobody's message.
         let copies: Vec<_> =
             link.carry(bytes, &mut self.random).into_iter().filter(|c| c.bytes == bytes).collect();
         for copy in copies {
-            self.at(self.now + way + copy.after, Due::Deliver(other, to.life, from.clone(), message.clone()));
+            self.at(
+                self.now + way + copy.after,
+                Due::Deliver(other, to.incarnation, from.clone(), message.clone()),
+            );
         }
     }
 
@@ -323,29 +336,38 @@
     }
 
     /// What a member that lies says instead: it does not hear anybody, and all others are gone.
-    fn lie(&self, n: usize, to: &Identity, message: Message) -> Message {
+    fn lie(&self, n: usize, to: &Identity, message: MemberMessage) -> MemberMessage {
         let others = self.nodes.iter().flatten().map(|node| node.member.me().clone());
-        let gone = |who: Identity| News {
-            who,
-            opinion: Opinion::Gone,
-            refuted: u32::MAX / 2,
-            by: self.names[n].clone(),
+        let gone = |who: Identity| GossipUpdate {
+            subject: who,
+            suspicion: Suspicion::Gone,
+            refutations: u32::MAX / 2,
+            reporter: self.names[n].clone(),
         };
-        let news = || others.clone().filter(|who| who.name != self.names[n] && who != to).map(gone).collect();
+        let updates =
+            || others.clone().filter(|who| who.name != self.names[n] && who != to).map(gone).collect();
         match message {
-            Message::Row(row) => Message::Row(Row { hears: vec![false; row.hears.len()], ..row }),
-            Message::Advice(failure_detector::Message::Probe { number, .. }) => {
-                Message::Advice(failure_detector::Message::Probe { number, news: news() })
+            MemberMessage::Reachability(row) => {
+                MemberMessage::Reachability(ReachabilityRow { hears: vec![false; row.hears.len()], ..row })
+            }
+            MemberMessage::FailureDetector(failure_detector::Message::Probe { sequence, .. }) => {
+                MemberMessage::FailureDetector(failure_detector::Message::Probe {
+                    sequence,
+                    updates: updates(),
+                })
             }
-            Message::Advice(failure_detector::Message::Answer { number, .. }) => {
-                Message::Advice(failure_detector::Message::Answer { number, news: news() })
+            MemberMessage::FailureDetector(failure_detector::Message::Ack { sequence, .. }) => {
+                MemberMessage::FailureDetector(failure_detector::Message::Ack {
+                    sequence,
+                    updates: updates(),
+                })
             }
             other => other,
         }
     }
 
     fn life(&self, n: usize) -> Option<u64> {
-        self.nodes[n].as_ref().map(|node| node.member.me().life)
+        self.nodes[n].as_ref().map(|node| node.member.me().incarnation)
     }
 
     fn happens(&mut self, due: Due) {
@@ -356,7 +378,7 @@
             Due::Deliver(n, life, ..) if life != 0 && self.life(n).is_some_and(|own| own != life) => {}
             Due::Deliver(n, life, from, message) => match paused(self, n) {
                 Some(until) => self.at(until + 1, Due::Deliver(n, life, from, message)),
-                None => self.act(n, |member, now, out| member.heard(now, &from, message, out)),
+                None => self.act(n, |member, now, out| member.handle_message(now, &from, message, out)),
             },
             Due::Timer(n, boot) => {
                 if self.nodes[n].as_ref().is_none_or(|node| node.boot != boot) {
@@ -367,9 +389,9 @@
                     None => {
                         let due = self.nodes[n]
                             .as_ref()
-                            .is_some_and(|node| node.member.next_timer() <= Self::local(node, self.now));
+                            .is_some_and(|node| node.member.next_timeout() <= Self::local(node, self.now));
                         if due {
-                            self.act(n, |member, now, out| member.timer(now, out));
+                            self.act(n, |member, now, out| member.handle_timeout(now, out));
                         }
                     }
                 }
@@ -439,10 +461,10 @@
     /// Also of those that stand still: they act the moment they go on, by what their clock says then.
     fn nobody_acts_for_one_that_acts(&self) {
         let nodes = || self.nodes.iter().flatten();
-        for acts in nodes().filter(|n| !n.member.agreement().fenced(Self::local(n, self.now))) {
+        for acts in nodes().filter(|n| !n.member.consensus().fenced(Self::local(n, self.now))) {
             let me = acts.member.me();
             for other in nodes() {
-                let free = other.member.agreement().free(me, Self::local(other, self.now));
+                let free = other.member.consensus().can_take_over(me, Self::local(other, self.now));
                 assert!(!free, "{me} acts, and {} may act for it at {}", other.member.me(), self.now);
             }
         }
@@ -451,10 +473,10 @@
     /// The one view in which all that live are, with their leases; none if it is not so.
     pub fn settled(&self) -> Option<&View> {
         let living: BTreeSet<Identity> = self.nodes.iter().flatten().map(|n| n.member.me().clone()).collect();
-        let first = self.nodes.iter().flatten().next()?.member.agreement().view();
+        let first = self.nodes.iter().flatten().next()?.member.consensus().view();
         let same = |n: &Node| {
-            let agreement = n.member.agreement();
-            agreement.view() == first && !agreement.fenced(Self::local(n, self.now))
+            let consensus = n.member.consensus();
+            consensus.view() == first && !consensus.fenced(Self::local(n, self.now))
         };
         let members: BTreeSet<Identity> = first.members.iter().cloned().collect();
         (members == living && self.nodes.iter().flatten().all(same)).then_some(first)
@@ -476,7 +498,7 @@
 
     /// Members that do not act, of those that run.
     pub fn fenced(&self) -> usize {
-        let fenced = |n: &&Node| n.member.agreement().fenced(Self::local(n, self.now));
+        let fenced = |n: &&Node| n.member.consensus().fenced(Self::local(n, self.now));
         self.nodes.iter().flatten().filter(fenced).count()
     }
 
@@ -490,14 +512,14 @@
 
     fn told(&self) -> String {
         let one = |n: &Node| {
-            let a = n.member.agreement();
+            let a = n.member.consensus();
             let members: Vec<String> = a.view().members.iter().map(ToString::to_string).collect();
             format!(
                 "{} at {} of {members:?}, fenced {}, undecided {}",
                 n.member.me(),
                 a.view().epoch,
                 a.fenced(Self::local(n, self.now)),
-                a.undecided()
+                a.has_undecided_proposal()
             )
         };
         self.nodes.iter().flatten().map(one).collect::<Vec<_>>().join("; ")
--- a/crates/testbench/src/scale.rs
+++ b/crates/testbench/src/scale.rs
@@ -123,7 +123,7 @@
             let victim = if n % 2 == 0 { members - 1 - n } else { n };
             fleet.play(vec![(0, Trouble::Kill(victim))], 6 * SECOND);
             let name = fleet.names[victim].clone();
-            let out = fleet.views.range(epoch + 1..).find(|(_, view)| view.named(&name).is_none());
+            let out = fleet.views.range(epoch + 1..).find(|(_, view)| view.member_named(&name).is_none());
             let Some((at, first)) = out.map(|(at, _)| (*at, fleet.adopted[at])) else { continue };
             outs.push((first - begin) / 1_000);
             let last = fleet.known.range((at, 0)..(at + 1, 0)).map(|(_, when)| *when).max().unwrap_or(first);
--- a/crates/testbench/src/trouble.rs
+++ b/crates/testbench/src/trouble.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
-use wheelpier::membership::transport::VERSION;
+use wheelpier::membership::transport::PROTOCOL_VERSION;
 use wheelpier_emulator::link::Link;
 use wheelpier_emulator::{MS, SECOND};
 
@@ -276,7 +276,7 @@
                 Action::Mute(n) => fleet.others(n).for_each(|other| fleet.link(n, other, &cut)),
                 Action::Split(side) => fleet.between(&side, &cut),
                 Action::OtherVersion(side) => {
-                    let version = Some(VERSION + 1);
+                    let version = Some(PROTOCOL_VERSION + 1);
                     fleet.between(&side, &Link { version, ..Link::default() });
                 }
                 Action::Links(link) => fleet.links(&link),
--- a/crates/testbench/tests/hostile.rs
+++ b/crates/testbench/tests/hostile.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use wheelpier::membership::failure_detector;
-use wheelpier::membership::member::Message;
-use wheelpier::membership::transport::{Book, Key, Post, Seal};
+use wheelpier::membership::member::MemberMessage;
+use wheelpier::membership::transport::{AddressTable, Authenticator, Key, Transport};
 use wheelpier::membership::{Identity, Name};
 use wheelpier::Timestamp;
 use wheelpier_testbench::processes::Processes;
@@ -21,16 +21,25 @@
     let target: Name = "p0".into();
     let mut all = Vec::new();
     for (n, (key, fleet)) in [("5e", "lab"), ("5f", "lab"), ("5e", "another")].into_iter().enumerate() {
-        let seal = Seal::new(fleet, &Key::read(&key.repeat(32)).unwrap(), None);
-        let book = Book::new([(Name::clone(&target), address)].into());
+        let authenticator = Authenticator::new(fleet, &Key::read(&key.repeat(32)).unwrap(), None);
+        let addresses = AddressTable::new([(Name::clone(&target), address)].into());
         let me = Identity::new("p1", 99 + n as u64);
-        let mut post = Post::new(me.name.clone(), seal, book, n as u64);
+        let mut transport = Transport::new(me.name.clone(), authenticator, addresses, n as u64);
         for number in 0..50 {
-            let whom = Identity { name: Name::clone(&target), life: 0 };
-            let probe = Message::Advice(failure_detector::Message::Probe { number, news: Vec::new() });
-            for message in [probe, Message::Hello, Message::Stuck, Message::Leaving] {
+            let target_member = Identity { name: Name::clone(&target), incarnation: 0 };
+            let probe = MemberMessage::FailureDetector(failure_detector::Message::Probe {
+                sequence: number,
+                updates: Vec::new(),
+            });
+            for message in
+                [probe, MemberMessage::JoinRequest, MemberMessage::LeaseStarved, MemberMessage::Leaving]
+            {
                 all.extend(
-                    post.send(Timestamp(0), &me, &whom, message).unwrap().into_iter().map(|p| p.bytes),
+                    transport
+                        .send(Timestamp(0), &me, &target_member, message)
+                        .unwrap()
+                        .into_iter()
+                        .map(|datagram| datagram.bytes),
                 );
             }
         }
--- a/crates/testbench/tests/members.rs
+++ b/crates/testbench/tests/members.rs
@@ -24,7 +24,7 @@
         let victim = seed as usize % 7;
         let gone = fleet.names[victim].clone();
         fleet.play(vec![(0, Trouble::Kill(victim))], 6 * SECOND);
-        let out = fleet.views.range(epoch + 1..).find(|(_, view)| view.named(&gone).is_none());
+        let out = fleet.views.range(epoch + 1..).find(|(_, view)| view.member_named(&gone).is_none());
         let (at, view) = out.expect("it is out within 6 s");
         assert_eq!((*at, view.members.len()), (epoch + 1, 6), "seed {seed}: nobody else is out");
         took.push(fleet.adopted[at] - begin);
--- a/fuzz/fuzz_targets/peers.rs
+++ b/fuzz/fuzz_targets/peers.rs
@@ -4,37 +4,37 @@
 
 use libfuzzer_sys::fuzz_target;
 use std::net::SocketAddr;
-use wheelpier_decisions::membership::failure_detector::Tempo;
-use wheelpier_decisions::membership::consensus::Durable;
-use wheelpier_decisions::membership::member::{Member, Message, Rules};
-use wheelpier_decisions::membership::transport::{Book, Key, Post, Seal};
-use wheelpier_decisions::membership::{Identity, Terms};
+use wheelpier_decisions::membership::failure_detector::FailureDetectorConfig;
+use wheelpier_decisions::membership::consensus::DurableState;
+use wheelpier_decisions::membership::member::{Member, MemberMessage, FleetConfig};
+use wheelpier_decisions::membership::transport::{AddressTable, Key, Transport, Authenticator};
+use wheelpier_decisions::membership::{Identity, LeaseTerms};
 use wheelpier_decisions::Timestamp;
 
 fuzz_target!(|bytes: &[u8]| {
     let me = Identity::new("a", 1);
-    let seal = Seal::new("fleet", &Key::read(&"5e".repeat(32)).expect("64 digits"), None);
-    let mut post = Post::new(me.name.clone(), seal, Book::default(), 7);
+    let authenticator = Authenticator::new("fleet", &Key::read(&"5e".repeat(32)).expect("64 digits"), None);
+    let mut transport = Transport::new(me.name.clone(), authenticator, AddressTable::default(), 7);
     let source: SocketAddr = ([127, 0, 0, 1], 9).into();
     for source in [Some(source), None] {
-        if let Ok(opened) = post.open(Timestamp(0), &me, bytes, source) {
-            assert!(opened.message.is_none());
+        if let Ok(received) = transport.receive(Timestamp(0), &me, bytes, source) {
+            assert!(received.message.is_none());
         }
     }
-    let rules = Rules {
+    let config = FleetConfig {
         seeds: vec!["a".into(), "b".into(), "c".into()],
-        terms: Terms::default(),
-        tempo: Tempo::default(),
+        terms: LeaseTerms::default(),
+        failure_detector: FailureDetectorConfig::default(),
     };
-    let mut member = Member::new(me, rules, Durable::default(), 7, Timestamp(0));
+    let mut member = Member::new(me, config, DurableState::default(), 7, Timestamp(0));
     let (mut rest, mut now, mut out) = (bytes, 0, Vec::new());
-    while let Ok((message, left)) = postcard::take_from_bytes::<Message>(rest) {
+    while let Ok((message, left)) = postcard::take_from_bytes::<MemberMessage>(rest) {
         if left.len() == rest.len() {
             break;
         }
         now += 100_000;
-        member.heard(Timestamp(now), &Identity::new("b", 1 + left.len() as u64 % 3), message, &mut out);
-        member.timer(Timestamp(now), &mut out);
+        member.handle_message(Timestamp(now), &Identity::new("b", 1 + left.len() as u64 % 3), message, &mut out);
+        member.handle_timeout(Timestamp(now), &mut out);
         out.clear();
         rest = left;
     }
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -1,6 +1,6 @@
 //! `wheelpier fleet status`: the fleet as one of its proxies knows it, asked of that proxy's console.
 
-use crate::membership::failure_detector::Opinion;
+use crate::membership::failure_detector::Suspicion;
 use crate::membership::membership_log::{Cause, Changed, Fleet, Links, Row};
 use bytes::Bytes;
 use clap::{Args, Subcommand};
@@ -110,10 +110,10 @@
 fn member(out: &mut String, row: &Row) {
     let votes = if row.votes { "yes" } else { "no" };
     let advice = match row.advice {
-        Some(Opinion::Alive) => "alive",
-        Some(Opinion::Suspect) => "suspect",
-        Some(Opinion::Gone) => "gone",
-        Some(Opinion::Left) => "left",
+        Some(Suspicion::Alive) => "alive",
+        Some(Suspicion::Suspect) => "suspect",
+        Some(Suspicion::Gone) => "gone",
+        Some(Suspicion::Left) => "left",
         None => "not met",
     };
     let heard = row.heard_ms_ago.map_or("-".to_owned(), |ms| format!("{ms} ms"));
@@ -172,7 +172,7 @@
             fenced: false,
             lease_left_ms: 2_400,
             unwell: 0,
-            members: vec![row("a#1", Some(Opinion::Alive)), row("b#2", Some(Opinion::Suspect))],
+            members: vec![row("a#1", Some(Suspicion::Alive)), row("b#2", Some(Suspicion::Suspect))],
             links: vec![links("a#1", &["b#2"]), links("b#2", &[])],
             changes: vec![Changed { ms_ago: 900, epoch: 3, who: "c#1".to_owned(), cause: Cause::Gone }],
         };
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::budget::PURPOSES;
 use crate::config::{ClassName, Config, ConfigError, Names, Operator, OperatorError, Peers};
-use crate::membership::ELECTORS;
+use crate::membership::MAX_VOTERS;
 use crate::net::{self, Control};
 use bytesize::ByteSize;
 use clap::{Parser, Subcommand, ValueEnum};
@@ -174,7 +174,7 @@
     let founders = peers.founders.len();
     let keys = if peers.second_key.is_some() { "two keys, of which the first seals" } else { "one key" };
     let names: Vec<&str> = peers.founders.keys().map(AsRef::as_ref).collect();
-    let voters = founders.min(ELECTORS);
+    let voters = founders.min(MAX_VOTERS);
     let loses = match voters {
         1 => "one founder: votes alone until others join".to_owned(),
         2 => "two voters lose none: when either is lost the other is fenced until it is back, since neither can tell \
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -248,7 +248,7 @@
     counters.fleet(Arc::clone(&tally));
     let (name, draining) = (config.name.clone(), draining.clone());
     let streams = config.limits.streams;
-    peers::start(station, peers::Start { name, peers, streams, clock, tally, draining }).map(Some)
+    peers::start(station, peers::Start { name, peers, streams, clock, metrics: tally, draining }).map(Some)
 }
 
 /// Tells the module of a drain: what waits for hosts that hang has its answer before SIGKILL.
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -1,19 +1,21 @@
-//! The other proxies of the fleet: one actor that owns this process's membership, its post and its datagrams. What it
+//! The other proxies of the fleet: one actor that owns this process's membership, its transport and its datagrams. What it
 //! means is decided in [`crate::membership`]; here are sockets, timers, the log and the counters. Nothing of it runs
 //! where the operator's file has no `peers`.
 //!
 //! Mailboxes: streams that have come (bounded; what finds no room is dropped and counted, as any message may get lost) and
-//! questions of the console (bounded). The actor waits for nobody: datagrams that the socket does not take are lost,
+//! queries of the console (bounded). The actor waits for nobody: datagrams that the socket does not take are lost,
 //! streams are written by tasks of their own, a bounded number at once.
 
 mod streams;
 
 use super::clock::Clock;
 use crate::config::Peers;
-use crate::membership::member::{Member, Output, Rules};
-use crate::membership::membership_log::{Cause, Chronicle, Fleet};
-use crate::membership::transport::{Book, Dropped, Opened, Parcel, Post, Seal, LONGEST_DATAGRAM};
-use crate::membership::{consensus, failure_detector, Identity, Name, Terms};
+use crate::membership::member::{FleetConfig, Member, Output};
+use crate::membership::membership_log::{Cause, Fleet, MembershipLog};
+use crate::membership::transport::{
+    AddressTable, Authenticator, DropReason, OutboundDatagram, Received, Transport, MAX_DATAGRAM_BYTES,
+};
+use crate::membership::{consensus, failure_detector, Identity, LeaseTerms, Name};
 use crate::peer_metrics::PeerMetrics;
 use std::io;
 use std::net::SocketAddr;
@@ -23,8 +25,8 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep_until, Instant};
 
-/// MembershipQueries that may wait.
-const QUESTIONS: usize = 16;
+/// Fleet status queries that may wait.
+const QUERY_CAPACITY: usize = 16;
 
 /// The sockets, before anything is said on them.
 #[derive(Debug)]
@@ -56,7 +58,7 @@
     /// Streams at once, in each direction.
     pub streams: usize,
     pub clock: Clock,
-    pub tally: Arc<PeerMetrics>,
+    pub metrics: Arc<PeerMetrics>,
     pub draining: watch::Receiver<Option<Instant>>,
 }
 
@@ -65,86 +67,91 @@
 /// # Errors
 /// When the system has no random numbers.
 pub(crate) fn start(
-    station: PeerListener,
+    listener: PeerListener,
     start: Start,
 ) -> io::Result<(MembershipQueries, tokio::task::JoinHandle<()>)> {
-    let (questions, asked) = mpsc::channel(QUESTIONS);
-    let actor = Actor::new(&station, &start)?;
-    let run = tokio::spawn(actor.run(station, asked, start.draining));
-    let tally = start.tally;
+    let (queries, received_queries) = mpsc::channel(QUERY_CAPACITY);
+    let actor = Actor::new(&listener, &start)?;
+    let run = tokio::spawn(actor.run(listener, received_queries, start.draining));
+    let metrics = start.metrics;
     // A proxy without its fleet serves on: it is out of it, and says so.
     let watched = async move {
         if let Err(problem) = run.await {
-            tally.stands(0, 0, true);
+            metrics.stands(0, 0, true);
             tracing::error!("this proxy goes on without its fleet: {problem}");
         }
     };
-    Ok((questions, tokio::spawn(watched)))
+    Ok((queries, tokio::spawn(watched)))
 }
 
 struct Actor {
     fleet: String,
     clock: Clock,
     member: Member,
-    post: Post,
-    chronicle: Chronicle,
-    tally: Arc<PeerMetrics>,
+    transport: Transport,
+    membership_log: MembershipLog,
+    metrics: Arc<PeerMetrics>,
     streams: Streams,
     /// The messages that the present turn has for others.
-    out: Vec<Parcel>,
-    parted: bool,
+    out: Vec<OutboundDatagram>,
+    left: bool,
 }
 
 impl Actor {
-    fn new(station: &PeerListener, start: &Start) -> io::Result<Self> {
+    fn new(listener: &PeerListener, start: &Start) -> io::Result<Self> {
         let random = || getrandom::u64().map_err(|e| io::Error::other(format!("random numbers: {e}")));
         let peers = &start.peers;
         // Without what an earlier process has voted for, this one must be another life. Its number only has to differ:
-        // whoever has a higher one in the view is asked in as the next after that.
+        // whoever has a higher one in the view is queries in as the next after that.
         let me = Identity::new(&start.name, 1 + (random()? >> 32));
         let seeds: Vec<Name> = peers.founders.keys().cloned().collect();
-        let rules = Rules { seeds, terms: Terms::default(), tempo: failure_detector::Tempo::default() };
+        let config = FleetConfig {
+            seeds,
+            terms: LeaseTerms::default(),
+            failure_detector: failure_detector::FailureDetectorConfig::default(),
+        };
         let now = start.clock.now();
         let fixed = peers.founders.iter().chain(&peers.members).map(|(name, at)| (Name::clone(name), *at));
-        let seal = Seal::new(&peers.fleet, &peers.key, peers.second_key.as_ref());
-        let post = Post::new(me.name.clone(), seal, Book::new(fixed.collect()), random()?);
-        let address = station.datagrams.local_addr()?;
+        let authenticator = Authenticator::new(&peers.fleet, &peers.key, peers.second_key.as_ref());
+        let transport =
+            Transport::new(me.name.clone(), authenticator, AddressTable::new(fixed.collect()), random()?);
+        let address = listener.datagrams.local_addr()?;
         tracing::info!(fleet = peers.fleet, member = %me, %address, "looks for its peers");
         Ok(Self {
             fleet: peers.fleet.clone(),
             clock: start.clock,
-            member: Member::new(me, rules, consensus::Durable::default(), random()?, now),
-            post,
-            chronicle: Chronicle::default(),
-            tally: Arc::clone(&start.tally),
-            streams: Streams::new(start.streams, Arc::clone(&start.tally)),
+            member: Member::new(me, config, consensus::DurableState::default(), random()?, now),
+            transport,
+            membership_log: MembershipLog::default(),
+            metrics: Arc::clone(&start.metrics),
+            streams: Streams::new(start.streams, Arc::clone(&start.metrics)),
             out: Vec::new(),
-            parted: false,
+            left: false,
         })
     }
 
     async fn run(
         mut self,
-        station: PeerListener,
-        mut asked: mpsc::Receiver<oneshot::Sender<Fleet>>,
+        listener: PeerListener,
+        mut queries: mpsc::Receiver<oneshot::Sender<Fleet>>,
         mut draining: watch::Receiver<Option<Instant>>,
     ) {
-        let PeerListener { datagrams, streams } = station;
+        let PeerListener { datagrams, streams } = listener;
         let mut arrived = self.streams.listen(streams);
         // One byte more than may come shows what is too long.
-        let mut room = [0; LONGEST_DATAGRAM + 1];
-        while !self.parted {
-            let due = self.clock.moment(self.member.next_timer());
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
+        while !self.left {
+            let due = self.clock.moment(self.member.next_timeout());
             tokio::select! {
-                received = datagrams.recv_from(&mut room) => match received {
-                    Ok((length, source)) => self.heard(&room[..length], Some(source)),
+                received = datagrams.recv_from(&mut buffer) => match received {
+                    Ok((length, source)) => self.heard(&buffer[..length], Some(source)),
                     Err(problem) => tracing::debug!("peers: {problem}"),
                 },
                 Some(bytes) = arrived.recv() => self.heard(&bytes, None),
                 () = sleep_until(due) => self.catch_up(),
-                Some(question) = asked.recv() => {
+                Some(query) = queries.recv() => {
                     self.catch_up();
-                    let _ = question.send(self.told());
+                    let _ = query.send(self.told());
                 }
                 Ok(_) = draining.wait_for(Option::is_some), if !self.member.leaving() => {
                     self.act(|member, now, out| member.leave(now, out));
@@ -159,29 +166,29 @@
 
     /// Timers that are due go before whatever has come: a process that stood still learns so before all else.
     fn catch_up(&mut self) {
-        if self.member.next_timer() <= self.clock.now() {
-            self.act(Member::timer);
+        if self.member.next_timeout() <= self.clock.now() {
+            self.act(Member::handle_timeout);
         }
         self.freed();
     }
 
     fn heard(&mut self, bytes: &[u8], source: Option<SocketAddr>) {
         self.catch_up();
-        self.tally.received(bytes.len());
+        self.metrics.received(bytes.len());
         let (now, me) = (self.clock.now(), self.member.me().clone());
-        match self.post.open(now, &me, bytes, source) {
-            Ok(Opened { message, reply }) => {
+        match self.transport.receive(now, &me, bytes, source) {
+            Ok(Received { message, reply }) => {
                 self.out.extend(reply);
                 if let Some((from, message)) = message {
-                    self.act(|member, now, out| member.heard(now, &from, message, out));
+                    self.act(|member, now, out| member.handle_message(now, &from, message, out));
                 }
             }
             Err(reason) => self.dropped(reason),
         }
     }
 
-    fn dropped(&self, reason: Dropped) {
-        self.tally.dropped(reason);
+    fn dropped(&self, reason: DropReason) {
+        self.metrics.dropped(reason);
         tracing::trace!("peers: dropped a message: {reason}");
     }
 
@@ -189,69 +196,71 @@
         let (now, mut outputs) = (self.clock.now(), Vec::new());
         act(&mut self.member, now, &mut outputs);
         for output in outputs {
-            self.carry_out(now, output);
+            self.apply_output(now, output);
         }
-        let agreement = self.member.agreement();
-        self.tally.stands(agreement.view().epoch, agreement.view().members.len(), agreement.fenced(now));
+        let consensus = self.member.consensus();
+        self.metrics.stands(consensus.view().epoch, consensus.view().members.len(), consensus.fenced(now));
     }
 
-    fn carry_out(&mut self, now: crate::Timestamp, output: Output) {
+    fn apply_output(&mut self, now: crate::Timestamp, output: Output) {
         let me = self.member.me().clone();
-        for (epoch, who, cause) in self.chronicle.note(now, &me, &output) {
+        for (epoch, who, cause) in self.membership_log.note(now, &me, &output) {
             self.tell(now, epoch, &who, cause);
         }
         match output {
-            Output::Send(to, message) => match self.post.send(now, &me, &to, message) {
-                Ok(parcels) => self.out.extend(parcels),
+            Output::Send(to, message) => match self.transport.send(now, &me, &to, message) {
+                Ok(datagrams) => self.out.extend(datagrams),
                 Err(reason) => self.dropped(reason),
             },
-            Output::Agreed(consensus::Event::View(view)) => {
+            Output::Consensus(consensus::Event::View(view)) => {
                 let members: Vec<String> = view.members.iter().map(ToString::to_string).collect();
                 let members = members.join(" ");
                 tracing::info!(event = "view", at_us = now.0, me = %me, epoch = view.epoch, members, "fleet");
             }
-            Output::Agreed(consensus::Event::Forked(view)) => {
+            Output::Consensus(consensus::Event::ConflictingView(view)) => {
                 tracing::error!(event = "forked", at_us = now.0, me = %me, epoch = view.epoch, "two views with one number");
             }
-            Output::Twin(there) => {
+            Output::NameConflict(there) => {
                 tracing::error!(event = "twin", at_us = now.0, me = %me, %there,
                     "another process of this name is a member and alive: this one is not let in; give it another name or end one of the two");
             }
-            Output::Life(me) => tracing::info!(event = "life", at_us = now.0, me = %me, "fleet"),
-            Output::Advised(who, opinion) => {
-                tracing::info!(event = "advice", at_us = now.0, me = %me, %who, ?opinion, "fleet");
+            Output::IncarnationChanged(me) => {
+                tracing::info!(event = "life", at_us = now.0, me = %me, "fleet")
             }
-            Output::Parted => self.parted = true,
+            Output::SuspicionChanged(who, suspicion) => {
+                tracing::info!(event = "advice", at_us = now.0, me = %me, %who, ?suspicion, "fleet");
+            }
+            Output::Left => self.left = true,
             // Kept nowhere: without a disk each process is another life.
-            Output::Keep(..) | Output::Agreed(_) | Output::Stood(_) => {}
+            Output::Persist(..) | Output::Consensus(_) | Output::Stalled(_) => {}
         }
     }
 
     fn freed(&mut self) {
         let now = self.clock.now();
-        for (epoch, who, cause) in self.chronicle.freed(now, self.member.agreement()) {
+        for (epoch, who, cause) in self.membership_log.freed(now, self.member.consensus()) {
             self.tell(now, epoch, &who, cause);
         }
     }
 
     fn tell(&self, now: crate::Timestamp, epoch: u64, who: &str, cause: Cause) {
-        let lease_until_us = self.member.agreement().lease_until().map_or(0, |until| until.0);
+        let lease_until_us = self.member.consensus().lease_until().map_or(0, |until| until.0);
         let me = self.member.me();
         tracing::info!(event = "change", at_us = now.0, %me, epoch, who, ?cause, lease_until_us, "fleet");
     }
 
     fn told(&self) -> Fleet {
-        let book = self.post.book();
-        self.chronicle.told(self.clock.now(), &self.fleet, &self.member, |who| book.address(who))
+        let addresses = self.transport.addresses();
+        self.membership_log.told(self.clock.now(), &self.fleet, &self.member, |who| addresses.address(who))
     }
 
     fn send(&mut self, datagrams: &UdpSocket) {
-        for parcel in self.out.drain(..) {
-            self.tally.sent(parcel.bytes.len());
-            if parcel.is_long() {
-                self.streams.send(parcel);
-            } else if datagrams.try_send_to(&parcel.bytes, parcel.address).is_err() {
-                self.tally.unsent();
+        for datagram in self.out.drain(..) {
+            self.metrics.sent(datagram.bytes.len());
+            if datagram.is_long() {
+                self.streams.send(datagram);
+            } else if datagrams.try_send_to(&datagram.bytes, datagram.address).is_err() {
+                self.metrics.unsent();
             }
         }
     }
--- a/src/net/peers/streams.rs
+++ b/src/net/peers/streams.rs
@@ -1,6 +1,6 @@
 //! Messages that are too long for a datagram: one a connection, its length before it (`docs/protocol/peers.md`).
 
-use crate::membership::transport::{Parcel, LONGEST_STREAM};
+use crate::membership::transport::{OutboundDatagram, MAX_STREAM_BYTES};
 use crate::peer_metrics::PeerMetrics;
 use std::io;
 use std::sync::Arc;
@@ -11,59 +11,59 @@
 use tokio::time::{sleep, timeout};
 
 /// Messages that may wait for the actor.
-const WAITING: usize = 32;
+const ARRIVED_CAPACITY: usize = 32;
 /// A message is there whole, or written whole, within this time.
-const WHOLE: Duration = Duration::from_secs(1);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Streams from and to other members.
 pub(super) struct Streams {
     writers: Arc<Semaphore>,
     /// Streams at once, in each direction.
-    at_once: usize,
-    tally: Arc<PeerMetrics>,
+    max_concurrent: usize,
+    metrics: Arc<PeerMetrics>,
 }
 
 impl Streams {
-    pub fn new(at_once: usize, tally: Arc<PeerMetrics>) -> Self {
-        Self { writers: Arc::new(Semaphore::new(at_once)), at_once, tally }
+    pub fn new(max_concurrent: usize, metrics: Arc<PeerMetrics>) -> Self {
+        Self { writers: Arc::new(Semaphore::new(max_concurrent)), max_concurrent, metrics }
     }
 
     /// What comes on streams.
     pub fn listen(&self, listener: TcpListener) -> mpsc::Receiver<Vec<u8>> {
-        let (sender, arrived) = mpsc::channel(WAITING);
-        tokio::spawn(accept(listener, self.at_once, sender, Arc::clone(&self.tally)));
+        let (sender, arrived) = mpsc::channel(ARRIVED_CAPACITY);
+        tokio::spawn(accept(listener, self.max_concurrent, sender, Arc::clone(&self.metrics)));
         arrived
     }
 
     /// Writes it, unless too many are being written.
-    pub fn send(&self, parcel: Parcel) {
-        let Ok(seat) = Arc::clone(&self.writers).try_acquire_owned() else { return self.tally.unsent() };
-        let tally = Arc::clone(&self.tally);
+    pub fn send(&self, datagram: OutboundDatagram) {
+        let Ok(permit) = Arc::clone(&self.writers).try_acquire_owned() else { return self.metrics.unsent() };
+        let metrics = Arc::clone(&self.metrics);
         tokio::spawn(async move {
-            let _seat = seat;
-            if !matches!(timeout(WHOLE, write(&parcel)).await, Ok(Ok(()))) {
-                tally.unsent();
+            let _seat = permit;
+            if !matches!(timeout(TRANSFER_TIMEOUT, write(&datagram)).await, Ok(Ok(()))) {
+                metrics.unsent();
             }
         });
     }
 }
 
-async fn write(parcel: &Parcel) -> io::Result<()> {
-    let mut stream = TcpStream::connect(parcel.address).await?;
-    let length = u32::try_from(parcel.bytes.len()).map_err(io::Error::other)?;
+async fn write(datagram: &OutboundDatagram) -> io::Result<()> {
+    let mut stream = TcpStream::connect(datagram.address).await?;
+    let length = u32::try_from(datagram.bytes.len()).map_err(io::Error::other)?;
     stream.write_all(&length.to_be_bytes()).await?;
-    stream.write_all(&parcel.bytes).await?;
+    stream.write_all(&datagram.bytes).await?;
     stream.shutdown().await
 }
 
 /// Ends with the actor, whose mailbox it fills.
 async fn accept(
     listener: TcpListener,
-    at_once: usize,
+    max_concurrent: usize,
     sender: mpsc::Sender<Vec<u8>>,
-    tally: Arc<PeerMetrics>,
+    metrics: Arc<PeerMetrics>,
 ) {
-    let seats = Arc::new(Semaphore::new(at_once));
+    let permit = Arc::new(Semaphore::new(max_concurrent));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -74,16 +74,16 @@
             sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let Ok(seat) = Arc::clone(&seats).try_acquire_owned() else {
-            tally.crowded();
+        let Ok(permit) = Arc::clone(&permit).try_acquire_owned() else {
+            metrics.crowded();
             continue;
         };
-        let (sender, tally) = (sender.clone(), Arc::clone(&tally));
+        let (sender, metrics) = (sender.clone(), Arc::clone(&metrics));
         tokio::spawn(async move {
-            let _seat = seat;
-            if let Ok(Ok(bytes)) = timeout(WHOLE, read(stream)).await {
+            let _seat = permit;
+            if let Ok(Ok(bytes)) = timeout(TRANSFER_TIMEOUT, read(stream)).await {
                 if sender.try_send(bytes).is_err() {
-                    tally.crowded();
+                    metrics.crowded();
                 }
             }
         });
@@ -92,7 +92,7 @@
 
 async fn read(mut stream: TcpStream) -> io::Result<Vec<u8>> {
     let length = stream.read_u32().await? as usize;
-    if length > LONGEST_STREAM {
+    if length > MAX_STREAM_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
     // Room is made as bytes come, not as a stranger says that they will.
--- a/src/peer_metrics.rs
+++ b/src/peer_metrics.rs
@@ -1,6 +1,6 @@
 //! What is counted of the fleet's messages.
 
-use crate::membership::transport::{Dropped, DROPPED};
+use crate::membership::transport::{DropReason, ALL_DROP_REASONS};
 use std::fmt::Write;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 
@@ -9,7 +9,7 @@
 pub struct PeerMetrics {
     sent: [AtomicU64; 2],
     received: [AtomicU64; 2],
-    dropped: [AtomicU64; DROPPED.len()],
+    dropped: [AtomicU64; ALL_DROP_REASONS.len()],
     unsent: AtomicU64,
     crowded: AtomicU64,
     epoch: AtomicU64,
@@ -34,7 +34,7 @@
     }
 
     /// One was dropped for that reason.
-    pub fn dropped(&self, reason: Dropped) {
+    pub fn dropped(&self, reason: DropReason) {
         self.dropped[reason as usize].fetch_add(1, Relaxed);
     }
 
@@ -68,7 +68,7 @@
         line("received_bytes", get(&self.received[1]));
         line("unsent", get(&self.unsent));
         line("crowded", get(&self.crowded));
-        for (reason, counter) in DROPPED.iter().zip(&self.dropped) {
+        for (reason, counter) in ALL_DROP_REASONS.iter().zip(&self.dropped) {
             line(&format!("dropped.{reason}"), get(counter));
         }
     }
