--- a/crates/decisions/src/membership/consensus/model_test.rs
+++ b/crates/decisions/src/membership/consensus/model_test.rs
@@ -2,6 +2,7 @@
 //! as another incarnation, or from their disk. Two faults are planted, which it has to find.
 
 use super::*;
+use crate::membership::view::ViewChange;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 /// One process.
@@ -19,7 +20,7 @@
     /// A lease counts from the answer instead of the asking.
     LeaseFromReceipt,
     /// A process that has lost what it voted for votes on under its old identity.
-    LifeKeptOverRestart,
+    IncarnationKeptOverRestart,
 }
 
 /// What a restart finds on its disk.
@@ -111,7 +112,7 @@
         let (me, view) = (old.consensus.me.clone(), old.durable.view.clone());
         let seeds: Vec<Name> = NAMES[..self.members].iter().map(|name| (*name).into()).collect();
         let (me, durable) = match (self.fault, self.disk) {
-            (Fault::LifeKeptOverRestart, _) => (me, DurableState { view, ..DurableState::default() }),
+            (Fault::IncarnationKeptOverRestart, _) => (me, DurableState { view, ..DurableState::default() }),
             (_, Disk::Kept) => (me, old.durable.clone()),
             (_, Disk::Lost) => (
                 Identity { incarnation: me.incarnation + 1, ..me },
@@ -197,7 +198,7 @@
             Step::Wish(n) => {
                 let (node, whom) = self.wishes[n];
                 let gone = state.nodes[node].consensus.view.member_named(NAMES[whom]).cloned();
-                let change = Change { out: gone.into_iter().collect(), ..Change::default() };
+                let change = ViewChange { evict: gone.into_iter().collect(), ..ViewChange::default() };
                 state.wished.insert(n);
                 state.nodes[node].consensus.propose(now, change, &mut out);
                 node
@@ -215,7 +216,7 @@
         vec![
             Property::always("one view with each number", |_, state: &State| !state.forked),
             Property::always("who is replaced has known before", |_, state: &State| {
-                let acts = |node: &&Node| !node.consensus.fenced(state.now);
+                let acts = |node: &&Node| !node.consensus.is_fenced(state.now);
                 let free = |id: &Identity| {
                     state.nodes.iter().any(|node| node.consensus.can_take_over(id, state.now))
                 };
@@ -285,7 +286,7 @@
 
 #[test]
 fn the_model_finds_a_life_that_is_kept_over_a_restart() {
-    let fault = Fault::LifeKeptOverRestart;
+    let fault = Fault::IncarnationKeptOverRestart;
     let fleet = Fleet { restarts: vec![1], fault, ..Fleet::new(3, &[(0, 2), (2, 0)]) };
     assert!(explore(fleet, 2_000_000).0.contains(ONE_VIEW));
 }
--- a/crates/decisions/src/membership/mod.rs
+++ b/crates/decisions/src/membership/mod.rs
@@ -1,8 +1,9 @@
-//! A proxy as one of many: how it learns which hosts there are, and who its peers are.
+//! Membership of the fleet, and when a proxy polls discovery.
 //!
-//! Of peers there are two kinds of knowledge, told apart by type. *Consensus* ([`consensus`]) says who is in the fleet by
-//! numbered views and leases; it may be built on. *FailureDetector* says who seems to be gone, quickly and sometimes wrongly; it
-//! only makes somebody open a ballot.
+//! Two kinds of knowledge about other members are kept apart by type. [`consensus`] decides who is a member by numbered
+//! views and leases, and may be relied on. [`failure_detector`] suspects members quickly and may be wrong; a suspicion can
+//! only cause [`reconfiguration`] to propose another view. [`member`] puts the three together as one state machine,
+//! [`transport`] carries its messages, [`membership_log`] tells people what happened. None of it does I/O.
 
 pub mod consensus;
 mod discovery_retry;
@@ -14,6 +15,12 @@
 pub mod transport;
 mod view;
 
+pub use consensus::{Consensus, DurableState};
 pub use discovery_retry::DiscoveryRetry;
+pub use failure_detector::{FailureDetector, FailureDetectorConfig, Suspicion};
 pub use lease::LeaseTerms;
-pub use view::{Change, Identity, Name, View, MAX_VOTERS};
+pub use member::{FleetConfig, Member, MemberMessage, Output};
+pub use membership_log::{Cause, FleetStatus, MembershipChange, MembershipLog};
+pub use reconfiguration::{FlapDamping, ReachabilityRow, ReconfigurationPolicy};
+pub use transport::{DropReason, Transport};
+pub use view::{Identity, Name, View, ViewChange, MAX_VOTERS};
--- /dev/null
+++ b/crates/decisions/src/membership/reconfiguration/reachability.rs
@@ -0,0 +1,85 @@
+//! Reachability: which members the voters hear.
+
+use crate::membership::view::{Identity, View};
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A voter's report about itself and the other members.
+///
+/// The encoding is positional: the order of the fields is part of the protocol.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ReachabilityRow {
+    /// The view that the report is about.
+    pub epoch: u64,
+    /// Whether the voter hears each member, by its place in the view.
+    pub hears: Vec<bool>,
+    /// Whether the voter has no lease.
+    pub fenced: bool,
+    /// Members that told the voter that they have had no lease for long.
+    pub lease_starved: BTreeSet<Identity>,
+    /// Processes that ask to be admitted.
+    pub joining: BTreeSet<Identity>,
+    /// Members that are leaving.
+    pub leaving: BTreeSet<Identity>,
+}
+
+/// The reports of the voters of one view. Reports about other views do not count for reachability.
+#[derive(Clone, Copy, Debug)]
+pub struct ReachabilityMatrix<'a> {
+    /// The view.
+    pub view: &'a View,
+    /// The latest report of each voter.
+    pub rows: &'a BTreeMap<Identity, ReachabilityRow>,
+}
+
+impl<'a> ReachabilityMatrix<'a> {
+    /// Returns a voter's report about this view.
+    pub(super) fn report_of(&self, voter: &Identity) -> Option<&'a ReachabilityRow> {
+        self.rows.get(voter).filter(|row| row.epoch == self.view.epoch)
+    }
+
+    /// Returns whether a quorum of voters has reported. Without one no member could be heard by a quorum.
+    pub fn has_quorum_of_reports(&self) -> bool {
+        let has_reported = |voter: &&Identity| self.report_of(voter).is_some();
+        self.view.voters().iter().filter(has_reported).count() >= self.view.quorum()
+    }
+
+    /// Returns the members that a quorum of voters reports to hear. A voter that has not reported counts as hearing
+    /// nobody.
+    pub fn heard_by_quorum(&self) -> BTreeSet<Identity> {
+        let members = self.view.members.iter().enumerate();
+        let heard =
+            members.filter(|(place, member)| self.voters_hearing(*place, member) >= self.view.quorum());
+        heard.map(|(_, member)| member.clone()).collect()
+    }
+
+    /// Returns the members that no quorum can hear, as far as the voter `me` can tell. A voter that `me` hears and that
+    /// has yet to report about this view may hear everybody.
+    pub fn unheard_by_quorum(&self, me: &Identity) -> BTreeSet<Identity> {
+        let own = self.report_of(me);
+        let voters = self.view.voters().iter().enumerate();
+        let is_pending = |(place, voter): &(usize, &Identity)| {
+            self.report_of(voter).is_none() && own.is_some_and(|own| own.hears.get(*place) == Some(&true))
+        };
+        let pending = voters.filter(is_pending).count();
+        let members = self.view.members.iter().enumerate();
+        let unheard = members
+            .filter(|(place, member)| self.voters_hearing(*place, member) + pending < self.view.quorum());
+        unheard.map(|(_, member)| member.clone()).collect()
+    }
+
+    /// Returns the member that has the name of a joining process and is heard by a quorum. While there is one the
+    /// joining process is not admitted.
+    pub fn name_conflict(&self, joining: &Identity) -> Option<&'a Identity> {
+        let namesake = self.view.member_named(&joining.name).filter(|member| *member != joining)?;
+        self.heard_by_quorum().contains(namesake).then_some(namesake)
+    }
+
+    /// Counts the voters that hear the member in this place of the view. A voter hears itself.
+    fn voters_hearing(&self, place: usize, member: &Identity) -> usize {
+        let hears = |voter: &&Identity| {
+            self.report_of(voter).is_some_and(|row| *voter == member || row.hears.get(place) == Some(&true))
+        };
+        self.view.voters().iter().filter(hears).count()
+    }
+}
--- a/crates/decisions/src/membership/transport/address_table.rs
+++ b/crates/decisions/src/membership/transport/address_table.rs
@@ -1,104 +1,77 @@
-//! Where members are: what the operator's file says, what was seen of them, and what others say. It guards nothing; a wrong
-//! address costs messages that nobody opens.
+//! Addresses of members: from the configuration, from datagrams received, and from other members. A wrong address costs
+//! messages that nobody accepts.
 
+use super::session_table::evict_oldest;
 use crate::interface::Timestamp;
 use crate::membership::{Identity, Name};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Lives of which the address is remembered, and names of which others told.
-const MOST: usize = 4_096;
+/// Bound on the incarnations whose address was seen, and on the names whose address is known from others.
+const MAX_ADDRESSES: usize = 4_096;
+
+#[derive(Clone, Copy, Debug)]
+struct SeenAddress {
+    address: SocketAddr,
+    at: Timestamp,
+}
 
 /// The addresses of members.
 #[derive(Clone, Debug, Default)]
 pub struct AddressTable {
-    fixed: BTreeMap<Name, SocketAddr>,
-    seen: BTreeMap<Identity, (SocketAddr, Timestamp)>,
-    told: BTreeMap<Name, SocketAddr>,
+    configured: BTreeMap<Name, SocketAddr>,
+    seen: BTreeMap<Identity, SeenAddress>,
+    hearsay: BTreeMap<Name, SocketAddr>,
 }
 
 impl AddressTable {
-    /// With what the file says.
-    pub fn new(fixed: BTreeMap<Name, SocketAddr>) -> Self {
-        Self { fixed, ..Self::default() }
+    /// Creates a table with the configured addresses.
+    pub fn new(configured: BTreeMap<Name, SocketAddr>) -> Self {
+        Self { configured, ..Self::default() }
     }
 
-    /// A message of that incarnation has come from there.
-    pub fn seen(&mut self, who: &Identity, address: SocketAddr, now: Timestamp) {
-        if !self.seen.contains_key(who) {
-            super::evict_oldest(&mut self.seen, MOST, |(_, at)| *at);
+    /// Records the source address of a datagram that was accepted from a member.
+    pub fn record_seen(&mut self, member: &Identity, address: SocketAddr, now: Timestamp) {
+        if !self.seen.contains_key(member) {
+            evict_oldest(&mut self.seen, MAX_ADDRESSES, |seen| seen.at);
         }
-        self.seen.insert(who.clone(), (address, now));
+        self.seen.insert(member.clone(), SeenAddress { address, at: now });
     }
 
-    /// Another member says that it is there.
-    pub fn told(&mut self, name: &Name, address: SocketAddr) {
-        if self.told.contains_key(name) || self.told.len() < MOST {
-            self.told.insert(Name::clone(name), address);
+    /// Records what another member says of the address of a name.
+    pub fn record_hearsay(&mut self, name: &Name, address: SocketAddr) {
+        if self.hearsay.contains_key(name) || self.hearsay.len() < MAX_ADDRESSES {
+            self.hearsay.insert(Name::clone(name), address);
         }
     }
 
-    /// Where that incarnation is: where it was seen, else where the file has its name, else where a incarnation of the name was seen last,
-    /// else where others say.
-    pub fn address(&self, who: &Identity) -> Option<SocketAddr> {
-        let exact = self.seen.get(who).map(|(address, _)| *address);
+    /// Returns the address of a member: where this incarnation was last seen, else the configured address of the name,
+    /// else where any incarnation was last seen, else what other members say.
+    pub fn address(&self, member: &Identity) -> Option<SocketAddr> {
+        let exact = self.seen.get(member).map(|seen| seen.address);
         exact
-            .or_else(|| self.fixed.get(&who.name).copied())
-            .or_else(|| self.last_seen(&who.name))
-            .or_else(|| self.told.get(&who.name).copied())
+            .or_else(|| self.configured.get(&member.name).copied())
+            .or_else(|| self.last_seen(&member.name))
+            .or_else(|| self.hearsay.get(&member.name).copied())
     }
 
-    /// Where a incarnation of that name was seen last, or the file has it: what is told to others.
-    pub fn known(&self, name: &Name) -> Option<SocketAddr> {
-        self.last_seen(name).or_else(|| self.fixed.get(name).copied())
+    /// Returns the address of a name that is told to others; never hearsay.
+    pub fn shared_address(&self, name: &Name) -> Option<SocketAddr> {
+        self.last_seen(name).or_else(|| self.configured.get(name).copied())
     }
 
     fn last_seen(&self, name: &Name) -> Option<SocketAddr> {
-        let incarnations = self.seen.iter().filter(|(who, _)| who.name == *name);
-        incarnations.max_by_key(|(_, (_, at))| *at).map(|(_, (address, _))| *address)
+        let incarnations = self.seen.iter().filter(|(member, _)| member.name == *name);
+        incarnations.max_by_key(|(_, seen)| seen.at).map(|(_, seen)| seen.address)
     }
 
-    /// Lives that were seen, the latest first.
+    /// Returns the members that were seen, the latest first.
     pub fn latest(&self) -> Vec<&Identity> {
-        let mut all: Vec<_> = self.seen.iter().collect();
-        all.sort_by_key(|(_, (_, at))| std::cmp::Reverse(*at));
-        all.into_iter().map(|(who, _)| who).collect()
+        let mut members: Vec<_> = self.seen.iter().collect();
+        members.sort_by_key(|(_, seen)| std::cmp::Reverse(seen.at));
+        members.into_iter().map(|(member, _)| member).collect()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn at(port: u16) -> SocketAddr {
-        SocketAddr::from(([127, 0, 0, 1], port))
-    }
-
-    #[test]
-    fn what_was_seen_of_a_life_goes_before_the_file_and_that_before_hearsay() {
-        let (old, new) = (Identity::new("a", 1), Identity::new("a", 2));
-        let mut addresses = AddressTable::default();
-        assert_eq!(addresses.address(&old), None);
-        addresses.told(&old.name, at(1));
-        assert_eq!(addresses.address(&old), Some(at(1)));
-        addresses.seen(&old, at(2), Timestamp(5));
-        assert_eq!(addresses.address(&new), Some(at(2)), "another incarnation may be in the same place");
-        let mut addresses = AddressTable { fixed: [("a".into(), at(3))].into(), ..addresses };
-        assert_eq!((addresses.address(&old), addresses.address(&new)), (Some(at(2)), Some(at(3))));
-        // Two processes of one name are told apart.
-        addresses.seen(&new, at(4), Timestamp(6));
-        assert_eq!((addresses.address(&old), addresses.address(&new)), (Some(at(2)), Some(at(4))));
-        assert_eq!(addresses.known(&new.name), Some(at(4)));
-    }
-
-    #[test]
-    fn it_is_bounded_and_forgets_whom_it_has_not_heard_for_longest() {
-        let mut addresses = AddressTable::default();
-        for n in 0..2 * MOST as u64 {
-            addresses.seen(&Identity::new("a", n), at(1), Timestamp(n as i64));
-            addresses.told(&format!("n{n}").as_str().into(), at(1));
-        }
-        assert_eq!((addresses.seen.len(), addresses.told.len()), (MOST, MOST));
-        assert!(!addresses.seen.contains_key(&Identity::new("a", 0)));
-    }
-}
+mod tests;
--- a/crates/decisions/src/membership/transport/authentication.rs
+++ b/crates/decisions/src/membership/transport/authentication.rs
@@ -1,57 +1,57 @@
-//! The bytes of one datagram or frame between members: version, fleet, content, and a mark that only holders of the fleet's
-//! key can make (`docs/protocol/peers.md`). It guards against garbage, forgery and other fleets; what was sent before
-//! and comes once more is for [`super::replay_window`] to tell.
+//! Authentication: the bytes of one datagram or stream, with version, fleet, content, and a tag that only holders of the
+//! fleet's key can compute (`docs/protocol/peers.md`). Guards against garbage, forgery and other fleets; replays are for
+//! [`super::ReplayWindow`] to detect.
 
 use super::{DropReason, Frame};
 use std::fmt;
 
-/// What each message begins with.
+/// The first bytes of each message.
 const MAGIC: [u8; 3] = *b"wpp";
 /// The version of the protocol that this program speaks.
 pub const PROTOCOL_VERSION: u8 = 1;
-/// Bytes of the mark that says to which fleet a message belongs.
-const FLEET: usize = 8;
-/// Bytes of the mark at the end: BLAKE3 with a key, cut to 128 bits.
-const MARK: usize = 16;
-const HEAD: usize = MAGIC.len() + 1 + FLEET;
-/// What derives the key of this use from the fleet's.
-const CONTEXT: &str = "wheelpier 2026-12 messages between members";
-
-/// A longer message goes as a stream.
+/// Length of the fleet's identifier: the first bytes of BLAKE3 of its name.
+const FLEET_ID_BYTES: usize = 8;
+/// Length of the authentication tag: keyed BLAKE3, truncated to 128 bits.
+const TAG_BYTES: usize = 16;
+const HEADER_BYTES: usize = MAGIC.len() + 1 + FLEET_ID_BYTES;
+/// Length of a fleet's key.
+const KEY_BYTES: usize = 32;
+/// Context of the key derivation; part of the protocol.
+const KEY_CONTEXT: &str = "wheelpier 2026-12 messages between members";
+/// Initial capacity for an encoded message; most are shorter.
+const TYPICAL_BYTES: usize = 256;
+
+/// The longest message in a datagram. A longer one is sent on a stream.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// A longer one is not taken at all.
+/// The longest message on a stream. A longer one is neither sent nor accepted.
 pub const MAX_STREAM_BYTES: usize = 256 * 1024;
 
 /// A key of the fleet.
 #[derive(Clone, PartialEq, Eq)]
-pub struct Key([u8; 32]);
+pub struct Key([u8; KEY_BYTES]);
 
-/// What is wrong with the text of a key.
+/// The text of a key is not 64 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a key is 64 hexadecimal digits, which 32 random bytes make")]
 pub struct KeyError;
 
 impl Key {
-    /// Reads 64 hexadecimal digits; space around them counts for nothing.
+    /// Reads 64 hexadecimal digits, ignoring white space around them.
     ///
     /// # Errors
-    /// When it is anything else.
-    pub fn read(text: &str) -> Result<Self, KeyError> {
-        let digits: Vec<u8> = text
-            .trim()
-            .chars()
-            .map(|c| c.to_digit(16).map(|d| d as u8))
-            .collect::<Option<_>>()
-            .ok_or(KeyError)?;
+    /// [`KeyError`] if the text is anything else.
+    pub fn from_hex(text: &str) -> Result<Self, KeyError> {
+        let digit = |c: char| c.to_digit(16).map(|digit| digit as u8);
+        let digits: Vec<u8> = text.trim().chars().map(digit).collect::<Option<_>>().ok_or(KeyError)?;
         let bytes: Vec<u8> = digits.chunks_exact(2).map(|pair| pair[0] << 4 | pair[1]).collect();
-        match (digits.len(), <[u8; 32]>::try_from(bytes)) {
-            (64, Ok(bytes)) => Ok(Self(bytes)),
+        match <[u8; KEY_BYTES]>::try_from(bytes) {
+            Ok(bytes) if digits.len() == 2 * KEY_BYTES => Ok(Self(bytes)),
             _ => Err(KeyError),
         }
     }
 
-    fn derived(&self) -> [u8; 32] {
-        blake3::derive_key(CONTEXT, &self.0)
+    fn derived(&self) -> [u8; KEY_BYTES] {
+        blake3::derive_key(KEY_CONTEXT, &self.0)
     }
 }
 
@@ -61,46 +61,47 @@
     }
 }
 
-/// What seals and opens messages of one fleet.
+/// Encodes, authenticates and decodes the messages of one fleet.
 #[derive(Clone)]
 pub struct Authenticator {
-    fleet: [u8; FLEET],
-    /// The first seals; each opens.
-    keys: Vec<[u8; 32]>,
+    fleet_id: [u8; FLEET_ID_BYTES],
+    /// Derived keys. The first one authenticates; a message is accepted with any.
+    keys: Vec<[u8; KEY_BYTES]>,
 }
 
 impl fmt::Debug for Authenticator {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Authenticator").field("fleet", &self.fleet).finish_non_exhaustive()
+        f.debug_struct("Authenticator").field("fleet_id", &self.fleet_id).finish_non_exhaustive()
     }
 }
 
 impl Authenticator {
-    /// Of the fleet of that name: `first` seals, `second` opens as well, so that a key can be changed member by member.
+    /// Creates the authenticator of a fleet. Messages are sent with the first key and accepted with both, so keys can be
+    /// changed member by member.
     pub fn new(fleet: &str, first: &Key, second: Option<&Key>) -> Self {
-        let mut mark = [0; FLEET];
-        mark.copy_from_slice(&blake3::hash(fleet.as_bytes()).as_bytes()[..FLEET]);
-        Self { fleet: mark, keys: std::iter::once(first).chain(second).map(Key::derived).collect() }
+        let mut fleet_id = [0; FLEET_ID_BYTES];
+        fleet_id.copy_from_slice(&blake3::hash(fleet.as_bytes()).as_bytes()[..FLEET_ID_BYTES]);
+        Self { fleet_id, keys: std::iter::once(first).chain(second).map(Key::derived).collect() }
     }
 
-    /// The message's bytes; none where it cannot be written.
+    /// Returns the bytes of a frame, or `None` if it cannot be encoded.
     pub fn encode(&self, frame: &Frame) -> Option<Vec<u8>> {
-        let mut bytes = Vec::with_capacity(256);
-        bytes.extend(MAGIC);
-        bytes.push(PROTOCOL_VERSION);
-        bytes.extend(self.fleet);
-        let mut bytes = postcard::to_extend(frame, bytes).ok()?;
-        let mark = mark(self.keys.first()?, &bytes);
-        bytes.extend(mark);
+        let mut header = Vec::with_capacity(TYPICAL_BYTES);
+        header.extend(MAGIC);
+        header.push(PROTOCOL_VERSION);
+        header.extend(self.fleet_id);
+        let mut bytes = postcard::to_extend(frame, header).ok()?;
+        let tag = tag(self.keys.first()?, &bytes);
+        bytes.extend(tag);
         Some(bytes)
     }
 
-    /// What a message says.
+    /// Decodes the bytes of a frame.
     ///
     /// # Errors
-    /// Why it is not one of this fleet's.
-    pub fn open(&self, bytes: &[u8]) -> Result<Frame, DropReason> {
-        let Some(content) = bytes.len().checked_sub(MARK).filter(|end| *end >= HEAD) else {
+    /// The reason if they are no message of this fleet.
+    pub fn decode(&self, bytes: &[u8]) -> Result<Frame, DropReason> {
+        let Some(content_end) = bytes.len().checked_sub(TAG_BYTES).filter(|end| *end >= HEADER_BYTES) else {
             return Err(DropReason::Garbage);
         };
         if bytes[..MAGIC.len()] != MAGIC {
@@ -109,113 +110,31 @@
         if bytes[MAGIC.len()] != PROTOCOL_VERSION {
             return Err(DropReason::Version);
         }
-        if bytes[MAGIC.len() + 1..HEAD] != self.fleet {
+        if bytes[MAGIC.len() + 1..HEADER_BYTES] != self.fleet_id {
             return Err(DropReason::Fleet);
         }
-        let (sealed, given) = bytes.split_at(content);
-        if !self.keys.iter().any(|key| same(&mark(key, sealed), given)) {
+        let (authenticated, given_tag) = bytes.split_at(content_end);
+        if !self.keys.iter().any(|key| is_same_tag(&tag(key, authenticated), given_tag)) {
             return Err(DropReason::Forged);
         }
-        match postcard::take_from_bytes::<Frame>(&sealed[HEAD..]) {
+        match postcard::take_from_bytes::<Frame>(&authenticated[HEADER_BYTES..]) {
             Ok((frame, [])) => Ok(frame),
             _ => Err(DropReason::Garbage),
         }
     }
 }
 
-fn mark(key: &[u8; 32], bytes: &[u8]) -> [u8; MARK] {
-    let mut mark = [0; MARK];
-    mark.copy_from_slice(&blake3::keyed_hash(key, bytes).as_bytes()[..MARK]);
-    mark
+fn tag(key: &[u8; KEY_BYTES], bytes: &[u8]) -> [u8; TAG_BYTES] {
+    let mut tag = [0; TAG_BYTES];
+    tag.copy_from_slice(&blake3::keyed_hash(key, bytes).as_bytes()[..TAG_BYTES]);
+    tag
 }
 
-/// Takes as long for any two marks.
-fn same(one: &[u8; MARK], other: &[u8]) -> bool {
-    one.iter().zip(other).fold(0, |differs, (a, b)| differs | (a ^ b)) == 0 && other.len() == MARK
+/// Compares in constant time: how long it takes does not tell where two tags differ.
+fn is_same_tag(expected: &[u8; TAG_BYTES], given: &[u8]) -> bool {
+    let difference = expected.iter().zip(given).fold(0, |difference, (a, b)| difference | (a ^ b));
+    difference == 0 && given.len() == TAG_BYTES
 }
 
 #[cfg(test)]
-pub(super) mod tests {
-    use super::super::Message;
-    use super::*;
-    use crate::membership::Identity;
-    use proptest::prelude::*;
-
-    pub fn key(n: u8) -> Key {
-        Key([n; 32])
-    }
-
-    fn frame() -> Frame {
-        let from = Identity::new("a", 7);
-        Frame {
-            from,
-            to: Identity::new("b", 0),
-            incarnation_nonce: 3,
-            sequence: 9,
-            message: Message::Challenge { nonce: 5 },
-        }
-    }
-
-    #[test]
-    fn what_is_sealed_opens_with_the_same_key_and_fleet_alone() {
-        let authenticator = Authenticator::new("north", &key(1), None);
-        let bytes = authenticator.encode(&frame()).unwrap();
-        assert_eq!(authenticator.open(&bytes), Ok(frame()));
-        assert_eq!(Authenticator::new("south", &key(1), None).open(&bytes), Err(DropReason::Fleet));
-        assert_eq!(Authenticator::new("north", &key(2), None).open(&bytes), Err(DropReason::Forged));
-    }
-
-    /// Old alone, old with new, new with old, new alone: at each step neighbours understand each other.
-    #[test]
-    fn a_key_is_changed_member_by_member() {
-        let steps = [(1, None), (1, Some(2)), (2, Some(1)), (2, None)];
-        let seals: Vec<Authenticator> =
-            steps.map(|(a, b)| Authenticator::new("north", &key(a), b.map(key).as_ref())).to_vec();
-        for pair in seals.windows(2) {
-            for (from, to) in [(&pair[0], &pair[1]), (&pair[1], &pair[0])] {
-                assert_eq!(to.open(&from.encode(&frame()).unwrap()), Ok(frame()));
-            }
-        }
-        assert_eq!(seals[3].open(&seals[0].encode(&frame()).unwrap()), Err(DropReason::Forged));
-    }
-
-    #[test]
-    fn another_version_is_told_apart_from_garbage() {
-        let authenticator = Authenticator::new("north", &key(1), None);
-        let mut bytes = authenticator.encode(&frame()).unwrap();
-        bytes[3] = PROTOCOL_VERSION + 1;
-        assert_eq!(authenticator.open(&bytes), Err(DropReason::Version));
-        assert_eq!(authenticator.open(b"GET / HTTP/1.1\r\nhost: somebody\r\n\r\n"), Err(DropReason::Garbage));
-        assert_eq!(authenticator.open(&[]), Err(DropReason::Garbage));
-    }
-
-    #[test]
-    fn keys_are_64_digits_and_are_not_told() {
-        assert_eq!(Key::read(&format!(" {}\n", "0a".repeat(32))), Ok(Key([10; 32])));
-        for wrong in ["", "0a", &"0a".repeat(33), &"0x".repeat(32), &"ä".repeat(32)] {
-            assert_eq!(Key::read(wrong), Err(KeyError), "{wrong}");
-        }
-        assert!(!format!("{:?} {:?}", key(77), Authenticator::new("x", &key(77), None)).contains("77"));
-    }
-
-    proptest! {
-        #[test]
-        fn no_change_to_a_message_goes_unseen(at in 0usize..200, bit in 0u8..8, cut in 0usize..60) {
-            let authenticator = Authenticator::new("north", &key(1), Some(&key(2)));
-            let whole = authenticator.encode(&frame()).unwrap();
-            let mut bytes = whole.clone();
-            let at = at % bytes.len();
-            bytes[at] ^= 1 << bit;
-            prop_assert!(authenticator.open(&bytes).is_err());
-            prop_assert!(authenticator.open(&whole[..whole.len() - 1 - cut % (whole.len() - 1)]).is_err());
-            let mut longer = whole;
-            longer.push(bit);
-            prop_assert!(authenticator.open(&longer).is_err());
-        }
-
-        #[test]
-        fn any_bytes_are_answered_with_a_reason(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-            prop_assert!(Authenticator::new("north", &key(1), None).open(&bytes).is_err());
-        }
-    }
-}
+pub(super) mod tests;
--- a/crates/decisions/src/membership/transport/tests.rs
+++ b/crates/decisions/src/membership/transport/tests.rs
@@ -165,8 +165,8 @@
         assert_eq!(b.open(&datagrams[0].bytes, 9), Err(DropReason::Unproved));
     }
     assert_eq!(
-        (answers, b.transport.challenged.len(), b.transport.sessions.len()),
-        (10_000, MAX_CHALLENGED, 0)
+        (answers, b.transport.session_table.challenge_count(), b.transport.session_table.session_count()),
+        (10_000, session_table::MAX_CHALLENGES, 0)
     );
 }
 
--- /dev/null
+++ b/crates/decisions/src/membership/view/tests.rs
@@ -0,0 +1,62 @@
+use super::*;
+
+fn view(members: &[(&str, u64)]) -> View {
+    View {
+        epoch: 4,
+        members: members.iter().map(|(name, incarnation)| Identity::new(name, *incarnation)).collect(),
+    }
+}
+
+fn change(out: &[(&str, u64)], join: &[(&str, u64)]) -> ViewChange {
+    let all =
+        |of: &[(&str, u64)]| of.iter().map(|(name, incarnation)| Identity::new(name, *incarnation)).collect();
+    ViewChange { evict: all(out), join: all(join) }
+}
+
+#[test]
+fn who_goes_is_gone_and_who_comes_stands_last() {
+    let next = view(&[("a", 1), ("b", 1), ("c", 1)]).next(&change(&[("a", 1)], &[("d", 9)]));
+    assert_eq!(next, Some(View { epoch: 5, ..view(&[("b", 1), ("c", 1), ("d", 9)]) }));
+}
+
+#[test]
+fn a_later_life_replaces_an_earlier_one_and_never_the_other_way_round() {
+    let now = view(&[("a", 3), ("b", 1)]);
+    assert_eq!(
+        now.next(&change(&[], &[("a", 4)])).map(|v| v.members),
+        Some(view(&[("b", 1), ("a", 4)]).members)
+    );
+    assert_eq!(now.next(&change(&[], &[("a", 2)])), None);
+    assert_eq!(now.next(&change(&[], &[("a", 3)])), None);
+}
+
+#[test]
+fn nothing_to_change_is_no_view_and_nobody_left_is_none_either() {
+    let now = view(&[("a", 1)]);
+    assert_eq!(now.next(&ViewChange::default()), None);
+    assert_eq!(now.next(&change(&[("x", 1)], &[])), None);
+    assert_eq!(now.next(&change(&[("a", 1)], &[])), None);
+}
+
+#[test]
+fn the_longest_standing_vote_and_a_majority_of_them_decides() {
+    let names: Vec<String> = (0..20).map(|n| format!("m{n:02}")).collect();
+    let many = View { epoch: 9, members: names.iter().map(|name| Identity::new(name, 1)).collect() };
+    assert_eq!((many.voters().len(), many.quorum()), (7, 4));
+    assert!(many.is_voter(&many.members[6]) && !many.is_voter(&many.members[7]));
+    for (members, quorum) in [(1, 1), (2, 2), (3, 2), (4, 3), (5, 3)] {
+        let few = View { epoch: 1, members: many.members[..members].to_vec() };
+        assert_eq!(few.quorum(), quorum);
+    }
+}
+
+#[test]
+fn before_the_first_view_all_seeds_vote_in_any_life_and_nobody_is_a_member() {
+    let seeds: Vec<Name> = ["a", "b", "c"].map(Name::from).to_vec();
+    let genesis = View::genesis(&seeds);
+    assert_eq!(genesis.quorum(), 3);
+    assert!(genesis.is_voter(&Identity::new("b", 77)) && !genesis.is_voter(&Identity::new("d", 77)));
+    assert!(!genesis.contains(&Identity::new("b", 0)));
+    let first = genesis.next(&change(&[], &[("a", 5), ("b", 6), ("c", 7)]));
+    assert_eq!(first.map(|v| (v.epoch, v.members.len())), Some((1, 3)));
+}
--- a/crates/testbench/src/history.rs
+++ b/crates/testbench/src/history.rs
@@ -74,7 +74,7 @@
                 cause: text("cause")?,
                 lease_until: number("lease_until_us")?,
             },
-            "advice" => What::Advice { who: text("who")?, opinion: text("opinion")? },
+            "advice" => What::Advice { who: text("who")?, opinion: text("suspicion")? },
             "life" => What::Life,
             "twin" => What::Twin,
             "forked" => What::Forked,
--- a/crates/testbench/src/members.rs
+++ b/crates/testbench/src/members.rs
@@ -109,8 +109,13 @@
     pub known: BTreeMap<(u64, usize), i64>,
 }
 
-fn what((epoch, who, cause): MembershipChange, lease_until: i64) -> What {
-    What::Change { epoch, who, cause: format!("{cause:?}"), lease_until }
+fn what(change: MembershipChange, lease_until: i64) -> What {
+    What::Change {
+        epoch: change.epoch,
+        who: change.member,
+        cause: format!("{:?}", change.cause),
+        lease_until,
+    }
 }
 
 impl Fleet {
@@ -232,7 +237,7 @@
         let until = until.map_or(0, |until| self.now + ((until.0 - local.0) as f64 / node.rate) as i64);
         let mut said: Vec<What> = node
             .membership_log
-            .note(local, &me, output)
+            .record(local, &me, output)
             .into_iter()
             .map(|change| what(change, until))
             .collect();
@@ -255,7 +260,7 @@
     fn record_freed(&mut self, n: usize) {
         let Some(node) = self.nodes[n].as_mut() else { return };
         let (local, me) = (Self::local(node, self.now), node.member.me().to_string());
-        let freed = node.membership_log.freed(local, node.member.consensus());
+        let freed = node.membership_log.record_takeovers(local, node.member.consensus());
         let at = self.now;
         let said =
             freed.into_iter().map(|change| Said { at, process: n, me: me.clone(), what: what(change, 0) });
@@ -461,7 +466,7 @@
     /// Also of those that stand still: they act the moment they go on, by what their clock says then.
     fn nobody_acts_for_one_that_acts(&self) {
         let nodes = || self.nodes.iter().flatten();
-        for acts in nodes().filter(|n| !n.member.consensus().fenced(Self::local(n, self.now))) {
+        for acts in nodes().filter(|n| !n.member.consensus().is_fenced(Self::local(n, self.now))) {
             let me = acts.member.me();
             for other in nodes() {
                 let free = other.member.consensus().can_take_over(me, Self::local(other, self.now));
@@ -476,7 +481,7 @@
         let first = self.nodes.iter().flatten().next()?.member.consensus().view();
         let same = |n: &Node| {
             let consensus = n.member.consensus();
-            consensus.view() == first && !consensus.fenced(Self::local(n, self.now))
+            consensus.view() == first && !consensus.is_fenced(Self::local(n, self.now))
         };
         let members: BTreeSet<Identity> = first.members.iter().cloned().collect();
         (members == living && self.nodes.iter().flatten().all(same)).then_some(first)
@@ -498,7 +503,7 @@
 
     /// Members that do not act, of those that run.
     pub fn fenced(&self) -> usize {
-        let fenced = |n: &&Node| n.member.consensus().fenced(Self::local(n, self.now));
+        let fenced = |n: &&Node| n.member.consensus().is_fenced(Self::local(n, self.now));
         self.nodes.iter().flatten().filter(fenced).count()
     }
 
@@ -518,7 +523,7 @@
                 "{} at {} of {members:?}, fenced {}, undecided {}",
                 n.member.me(),
                 a.view().epoch,
-                a.fenced(Self::local(n, self.now)),
+                a.is_fenced(Self::local(n, self.now)),
                 a.has_undecided_proposal()
             )
         };
--- a/crates/testbench/tests/hostile.rs
+++ b/crates/testbench/tests/hostile.rs
@@ -21,7 +21,7 @@
     let target: Name = "p0".into();
     let mut all = Vec::new();
     for (n, (key, fleet)) in [("5e", "lab"), ("5f", "lab"), ("5e", "another")].into_iter().enumerate() {
-        let authenticator = Authenticator::new(fleet, &Key::read(&key.repeat(32)).unwrap(), None);
+        let authenticator = Authenticator::new(fleet, &Key::from_hex(&key.repeat(32)).unwrap(), None);
         let addresses = AddressTable::new([(Name::clone(&target), address)].into());
         let me = Identity::new("p1", 99 + n as u64);
         let mut transport = Transport::new(me.name.clone(), authenticator, addresses, n as u64);
--- a/fuzz/fuzz_targets/peers.rs
+++ b/fuzz/fuzz_targets/peers.rs
@@ -13,7 +13,7 @@
 
 fuzz_target!(|bytes: &[u8]| {
     let me = Identity::new("a", 1);
-    let authenticator = Authenticator::new("fleet", &Key::read(&"5e".repeat(32)).expect("64 digits"), None);
+    let authenticator = Authenticator::new("fleet", &Key::from_hex(&"5e".repeat(32)).expect("64 digits"), None);
     let mut transport = Transport::new(me.name.clone(), authenticator, AddressTable::default(), 7);
     let source: SocketAddr = ([127, 0, 0, 1], 9).into();
     for source in [Some(source), None] {
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -1,7 +1,7 @@
 //! `wheelpier fleet status`: the fleet as one of its proxies knows it, asked of that proxy's console.
 
-use crate::membership::failure_detector::Suspicion;
-use crate::membership::membership_log::{Cause, Changed, Fleet, Links, Row};
+use crate::membership::membership_log::{ChangeStatus, MemberStatus, VoterLinks};
+use crate::membership::{Cause, FleetStatus, Suspicion};
 use bytes::Bytes;
 use clap::{Args, Subcommand};
 use http_body_util::{BodyExt, Empty};
@@ -14,6 +14,13 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
+/// Time within which a console has to answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between two requests with `--watch`.
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
+/// Changes that are printed.
+const MAX_CHANGES_PRINTED: usize = 10;
+
 /// What is asked of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Subcommand)]
 pub(super) enum FleetCommand {
@@ -35,56 +42,56 @@
     watch: bool,
 }
 
-/// A console answers within a second.
-const PATIENCE: Duration = Duration::from_secs(2);
-const WATCHED: Duration = Duration::from_secs(1);
-
-/// Prints what is asked; whether the proxy is a member that may act.
-pub(super) async fn status(asked: Status) -> io::Result<bool> {
+/// Prints the status of a fleet; returns whether the proxy is a member that may act.
+///
+/// # Errors
+/// When the console does not answer, or with something else.
+pub(super) async fn status(options: Status) -> io::Result<bool> {
     loop {
-        let text = get(asked.console, "/admin/fleet").await?;
-        let fleet: Fleet = serde_json::from_str(&text).map_err(io::Error::other)?;
-        if asked.json {
+        let text = get(options.console, "/admin/fleet").await?;
+        let fleet: FleetStatus = serde_json::from_str(&text).map_err(io::Error::other)?;
+        if options.json {
             println!("{}", text.trim_end());
         } else {
-            println!("{}", page(&fleet));
+            println!("{}", format_status(&fleet));
         }
-        if !asked.watch {
+        if !options.watch {
             return Ok(fleet.member && !fleet.fenced);
         }
-        sleep(WATCHED).await;
+        sleep(WATCH_INTERVAL).await;
     }
 }
 
-/// What a proxy's console answers to `GET` of a path.
+/// Returns what a proxy's console answers to `GET` of a path.
 ///
 /// # Errors
 /// When it does not answer within two seconds, or with another status than 200.
 pub async fn get(console: SocketAddr, path: &str) -> io::Result<String> {
-    let whole = async {
-        let stream = TcpStream::connect(console).await?;
-        let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
-        tokio::spawn(connection);
-        let request = Request::get(path).header("host", console.to_string()).body(Empty::<Bytes>::new());
-        let answer =
-            sender.send_request(request.map_err(io::Error::other)?).await.map_err(io::Error::other)?;
-        let status = answer.status();
-        let body = answer.into_body().collect().await.map_err(io::Error::other)?.to_bytes();
-        let body = String::from_utf8_lossy(&body).into_owned();
-        if status == StatusCode::OK {
-            Ok(body)
-        } else {
-            Err(io::Error::other(format!("{status}: {}", body.trim())))
-        }
-    };
-    let answer = timeout(PATIENCE, whole).await;
+    let answer = timeout(REQUEST_TIMEOUT, request(console, path)).await;
     let answer = answer.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
-    answer.map_err(|e| io::Error::new(e.kind(), format!("the console at {console}: {e}")))
+    answer.map_err(|error| io::Error::new(error.kind(), format!("the console at {console}: {error}")))
 }
 
-/// The fleet for people, within 100 columns.
-fn page(fleet: &Fleet) -> String {
+async fn request(console: SocketAddr, path: &str) -> io::Result<String> {
+    let stream = TcpStream::connect(console).await?;
+    let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
+    let (mut sender, connection) = handshake.map_err(io::Error::other)?;
+    tokio::spawn(connection);
+    let request = Request::get(path).header("host", console.to_string()).body(Empty::<Bytes>::new());
+    let request = request.map_err(io::Error::other)?;
+    let response = sender.send_request(request).await.map_err(io::Error::other)?;
+    let status = response.status();
+    let body = response.into_body().collect().await.map_err(io::Error::other)?.to_bytes();
+    let body = String::from_utf8_lossy(&body).into_owned();
+    if status == StatusCode::OK {
+        Ok(body)
+    } else {
+        Err(io::Error::other(format!("{status}: {}", body.trim())))
+    }
+}
+
+/// Formats the status for people, within 100 columns.
+fn format_status(fleet: &FleetStatus) -> String {
     let mut out = String::new();
     let standing = match (fleet.member, fleet.fenced) {
         (true, false) => format!("a member, lease left {} ms", fleet.lease_left_ms),
@@ -94,22 +101,22 @@
     let _ =
         writeln!(out, "fleet {}, view {}, as {} knows it ({standing})", fleet.fleet, fleet.epoch, fleet.me);
     let _ = writeln!(out, "  {:<32} {:<6} {:<8} {:>10}  address", "member", "votes", "advice", "heard");
-    fleet.members.iter().for_each(|row| member(&mut out, row));
+    fleet.members.iter().for_each(|row| write_member(&mut out, row));
     fleet
         .links
         .iter()
-        .filter(|links| links.fenced || !links.deaf_to.is_empty())
-        .for_each(|l| link(&mut out, l));
+        .filter(|links| links.fenced || !links.unheard.is_empty())
+        .for_each(|links| write_links(&mut out, links));
     if !fleet.changes.is_empty() {
         let _ = writeln!(out, "  last changes");
     }
-    fleet.changes.iter().take(10).for_each(|change| changed(&mut out, change));
+    fleet.changes.iter().take(MAX_CHANGES_PRINTED).for_each(|change| write_change(&mut out, change));
     out
 }
 
-fn member(out: &mut String, row: &Row) {
+fn write_member(out: &mut String, row: &MemberStatus) {
     let votes = if row.votes { "yes" } else { "no" };
-    let advice = match row.advice {
+    let advice = match row.suspicion {
         Some(Suspicion::Alive) => "alive",
         Some(Suspicion::Suspect) => "suspect",
         Some(Suspicion::Gone) => "gone",
@@ -121,16 +128,16 @@
     let _ = writeln!(out, "  {:<32} {votes:<6} {advice:<8} {heard:>10}  {address}", row.member);
 }
 
-fn link(out: &mut String, links: &Links) {
+fn write_links(out: &mut String, links: &VoterLinks) {
     if links.fenced {
         let _ = writeln!(out, "  {} has no lease", links.voter);
     }
-    if !links.deaf_to.is_empty() {
-        let _ = writeln!(out, "  {} does not hear {}", links.voter, links.deaf_to.join(", "));
+    if !links.unheard.is_empty() {
+        let _ = writeln!(out, "  {} does not hear {}", links.voter, links.unheard.join(", "));
     }
 }
 
-fn changed(out: &mut String, change: &Changed) {
+fn write_change(out: &mut String, change: &ChangeStatus) {
     let cause = match change.cause {
         Cause::Founded => "founded the fleet",
         Cause::Joined => "joined",
@@ -143,49 +150,9 @@
         Cause::Stood => "stood still and distrusts what it knew",
         Cause::Free => "out, and knows it by now: may be replaced",
     };
-    let _ = writeln!(out, "    {:>8} ms ago  view {:<4} {} {cause}", change.ms_ago, change.epoch, change.who);
+    let _ =
+        writeln!(out, "    {:>8} ms ago  view {:<4} {} {cause}", change.ms_ago, change.epoch, change.member);
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_page_says_who_is_in_which_links_are_broken_and_what_changed() {
-        let row = |name: &str, advice| Row {
-            member: name.to_owned(),
-            votes: true,
-            advice,
-            heard_ms_ago: Some(12),
-            address: Some("127.0.0.1:7946".to_owned()),
-        };
-        let links = |voter: &str, deaf: &[&str]| Links {
-            voter: voter.into(),
-            deaf_to: deaf.iter().map(ToString::to_string).collect(),
-            fenced: false,
-        };
-        let fleet = Fleet {
-            fleet: "north".to_owned(),
-            me: "a#1".to_owned(),
-            epoch: 3,
-            member: true,
-            fenced: false,
-            lease_left_ms: 2_400,
-            unwell: 0,
-            members: vec![row("a#1", Some(Suspicion::Alive)), row("b#2", Some(Suspicion::Suspect))],
-            links: vec![links("a#1", &["b#2"]), links("b#2", &[])],
-            changes: vec![Changed { ms_ago: 900, epoch: 3, who: "c#1".to_owned(), cause: Cause::Gone }],
-        };
-        let page = page(&fleet);
-        for words in [
-            "view 3, as a#1 knows it (a member, lease left 2400 ms)",
-            "b#2                              yes    suspect       12 ms  127.0.0.1:7946",
-            "a#1 does not hear b#2",
-            "900 ms ago  view 3    c#1 out: answered nobody",
-        ] {
-            assert!(page.contains(words), "{words} in\n{page}");
-        }
-        assert!(!page.contains("b#2 does not hear"));
-        assert!(page.lines().all(|line| line.len() <= 100));
-    }
-}
+mod tests;
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -282,7 +282,7 @@
 ) -> Result<(Key, Option<Key>), OperatorError> {
     let read = |file: &Spanned<String>| {
         let text = std::fs::read_to_string(&file.value).map_err(|e| e.to_string());
-        let key = text.and_then(|text| Key::read(&text).map_err(|e| e.to_string()));
+        let key = text.and_then(|text| Key::from_hex(&text).map_err(|e| e.to_string()));
         key.map_err(|e| fault.at(file.referenced, "peers.key_files", format!("{}: {e}", file.value)))
     };
     match &files.value[..] {
--- a/src/peer_metrics.rs
+++ b/src/peer_metrics.rs
@@ -1,6 +1,6 @@
 //! What is counted of the fleet's messages.
 
-use crate::membership::transport::{DropReason, ALL_DROP_REASONS};
+use crate::membership::DropReason;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 
@@ -9,7 +9,7 @@
 pub struct PeerMetrics {
     sent: [AtomicU64; 2],
     received: [AtomicU64; 2],
-    dropped: [AtomicU64; ALL_DROP_REASONS.len()],
+    dropped: [AtomicU64; DropReason::ALL.len()],
     unsent: AtomicU64,
     crowded: AtomicU64,
     epoch: AtomicU64,
@@ -68,7 +68,7 @@
         line("received_bytes", get(&self.received[1]));
         line("unsent", get(&self.unsent));
         line("crowded", get(&self.crowded));
-        for (reason, counter) in ALL_DROP_REASONS.iter().zip(&self.dropped) {
+        for (reason, counter) in DropReason::ALL.iter().zip(&self.dropped) {
             line(&format!("dropped.{reason}"), get(counter));
         }
     }
--- a/tests/sockets/fleet.rs
+++ b/tests/sockets/fleet.rs
@@ -54,7 +54,7 @@
 #[test]
 fn with_peers_one_port_is_opened_and_a_fleet_of_one_is_founded() {
     let program = Program::start_with(&config(true), "127.0.0.1:0", "127.0.0.1:9", Some(&peers()));
-    program.log("looks for its peers");
+    program.log("joining the fleet");
     assert_eq!(open(program.id()), (1, 2));
     program.log("change n0# LeaseHeld");
 }
