--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -6,16 +6,15 @@
 #![warn(missing_docs)]
 
 pub mod budget;
-pub mod check;
 pub mod drain;
 pub mod interface;
 pub mod load;
 pub mod membership;
 pub mod pipeline;
-mod policy;
+mod routing;
 pub mod settings;
 pub mod state;
 pub mod time;
 
 pub use interface::*;
-pub use policy::Router;
+pub use routing::Router;
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -147,7 +147,7 @@
         // One byte more than allowed shows that a datagram is too long.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         while !self.has_left {
-            let due = self.clock.moment(self.member.next_timeout());
+            let due = self.clock.instant(self.member.next_timeout());
             tokio::select! {
                 received = datagrams.recv_from(&mut buffer) => match received {
                     Ok((length, source)) => self.receive(&buffer[..length], Some(source)),
