--- a/crates/decisions/src/membership/discovery_retry.rs
+++ b/crates/decisions/src/membership/discovery_retry.rs
@@ -1,135 +1,168 @@
-//! When a proxy asks discovery, as one of many that ask the same.
+//! When a proxy polls discovery, as one of many that poll the same service.
 //!
-//! Two bounds pull against each other. A change counts as known a fixed time after discovery had it and could be
-//! reached, whatever failed before: that bounds the time between two calls ([`WITHIN`]). Where the list must be asked
-//! for, discovery is one service that answers one call after the other: a fleet that asks in one moment, or that gives up
-//! while its calls still queue, keeps it busy for nothing. So calls are spread over what the first bound leaves, and one
-//! that queues is kept while the next is placed beside it. The sockets and the calls themselves are left to the caller.
+//! Two bounds conflict. A change has to be known within a fixed time after discovery had it and could be reached, which
+//! bounds the time between two calls ([`FRESHNESS_BOUND`]). If lists are polled, discovery is one service that answers
+//! calls one after the other: a fleet that calls at one moment, or gives calls up while they still queue, keeps it busy
+//! for nothing. So calls are spread over what the first bound leaves, and the next call is placed beside one that queues.
+//! Sockets and the calls themselves are left to the caller.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// A change counts as known so long after discovery had it and could be reached.
-const WITHIN: Duration = Duration::from_secs(6);
-/// And so long after discovery has moved to another address.
-const MOVED_WITHIN: Duration = Duration::from_secs(4);
-/// What of [`WITHIN`] a call may need where calls queue, the rest is what a fleet's calls are spread over.
-const CALL: Duration = Duration::from_secs(2);
-/// The first wait after a failure, and the longest of a single proxy.
-const BACK_OFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
-/// The longest wait where the list is pushed: an agent on the own machine is free, and what it gets when discovery
-/// returns counts as told at once. The shortest grace after a drain that was seen is 0.5 s.
-const PUSHED_BACK_OFF: Duration = Duration::from_millis(100);
-/// An agent answers at once or is silent. What has not been answered after the first span is asked once more beside the
-/// first call, which may be answered yet, and so many calls wait at the most.
-const PUSHED: (Duration, usize) = (Duration::from_millis(250), 4);
-/// The same where calls queue: discovery itself fails what has waited too long, after 2 s at an installation that was
-/// seen, and answers the rest. One that is given up before has cost the others a turn and has brought nothing.
-const QUEUED: (Duration, usize) = (Duration::from_millis(2_250), 2);
-/// A call that fails sooner did not reach discovery, or found it down: what that has is had later.
-const UNREACHED: Duration = Duration::from_millis(500);
-/// What one call may take of discovery: a fleet that asks together leaves this much for each of its proxies, up to what
-/// [`WITHIN`] leaves. Measured discoveries served 21 calls a second of 100 proxies (`docs/measurements/003-large-fleet.md`)
-/// and 12 of 60.
-const SLOT: Duration = Duration::from_millis(100);
-/// A call that has queued in vain is worked off all the same: when that happens the whole fleet asks more seldom, each time
-/// twice as seldom, so that discovery catches up. Otherwise it would answer nobody any more.
-const OVERBOOKED: (u32, Duration) = (2, Duration::from_secs(10));
-
-/// Draws the moments at which one proxy asks discovery.
+/// A change has to be known within this time after discovery had it and could be reached.
+const FRESHNESS_BOUND: Duration = Duration::from_secs(6);
+/// The same after the address of discovery has changed.
+const MOVED_FRESHNESS_BOUND: Duration = Duration::from_secs(4);
+/// Part of the bounds that a call may need where calls queue; the calls of a fleet are spread over the rest.
+const CALL_ALLOWANCE: Duration = Duration::from_secs(2);
+/// Backoff after the first failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest backoff of a single proxy where lists are polled.
+const MAX_POLLED_BACKOFF: Duration = Duration::from_secs(1);
+/// The longest backoff where lists are pushed: an agent on the same machine costs nothing to call.
+const MAX_PUSHED_BACKOFF: Duration = Duration::from_millis(100);
+/// A call that fails sooner did not reach discovery, or found it down.
+const UNREACHED_BOUND: Duration = Duration::from_millis(500);
+/// Time that one call takes of discovery; a fleet that calls together leaves this much for each of its proxies.
+const CALL_SLOT: Duration = Duration::from_millis(100);
+/// How often the spread over which the fleet calls is doubled after calls that queued in vain.
+const MAX_OVERLOAD_DOUBLINGS: u32 = 2;
+/// The longest spread of the fleet's calls while discovery is overloaded.
+const MAX_OVERLOADED_SPREAD: Duration = Duration::from_secs(10);
+/// Doublings of the backoff that are computed; more would exceed its bound in any case.
+const MAX_BACKOFF_FACTOR: u32 = 1 << 10;
+
+/// How many calls wait for an answer beside each other.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct CallPolicy {
+    /// How long a call goes unanswered before another one is placed beside it.
+    timeout: Duration,
+    /// Bound on the calls that wait at a time.
+    max_concurrent: usize,
+}
+
+/// An agent on the same machine answers at once or not at all.
+const PUSHED_CALLS: CallPolicy = CallPolicy { timeout: Duration::from_millis(250), max_concurrent: 4 };
+/// Discovery fails calls that have queued for 2 s and answers the rest: to give one up before would cost the others a turn.
+const POLLED_CALLS: CallPolicy = CallPolicy { timeout: Duration::from_millis(2_250), max_concurrent: 2 };
+
+/// Decides when one proxy calls discovery.
 #[derive(Debug)]
 pub struct DiscoveryRetry {
-    queues: bool,
-    /// What the whole fleet's calls may take.
-    fleet: Duration,
-    failures: u32,
-    /// Calls in a row that have queued in vain.
-    overbooked: u32,
-    /// How long discovery may have had a change, and been in reach, without this proxy knowing.
+    is_polled: bool,
+    /// Spread of the calls of the whole fleet.
+    fleet_spread: Duration,
+    consecutive_failures: u32,
+    /// Consecutive calls that queued in vain.
+    consecutive_overloads: u32,
+    /// How long discovery may have had a change and been reachable without this proxy knowing of it.
     behind: Duration,
     random: ChaCha8Rng,
 }
 
 impl DiscoveryRetry {
-    /// How many calls wait beside each other at the most, however lists come.
-    pub const MOST_CALLS: usize = if PUSHED.1 > QUEUED.1 { PUSHED.1 } else { QUEUED.1 };
+    /// Bound on the calls that wait at a time, whether lists are polled or pushed.
+    pub const MAX_CONCURRENT_CALLS: usize = if PUSHED_CALLS.max_concurrent > POLLED_CALLS.max_concurrent {
+        PUSHED_CALLS.max_concurrent
+    } else {
+        POLLED_CALLS.max_concurrent
+    };
 
-    /// The asking of one among `routers` proxies. Where the list is pushed (`on_request` is false) calls cost
-    /// nothing, and the number of proxies does not matter.
-    pub fn new(routers: u32, on_request: bool, seed: u64) -> Self {
-        let others = if on_request { routers.saturating_sub(1) } else { 0 };
+    /// Creates the schedule of one of `routers` proxies. If lists are pushed (`is_polled` is false) calls cost nothing and
+    /// the number of proxies does not matter. `seed` decides the random part of the delays.
+    pub fn new(routers: u32, is_polled: bool, seed: u64) -> Self {
+        let others = if is_polled { routers.saturating_sub(1) } else { 0 };
         Self {
-            queues: on_request,
-            fleet: SLOT * others,
-            failures: 0,
-            overbooked: 0,
+            is_polled,
+            fleet_spread: CALL_SLOT * others,
+            consecutive_failures: 0,
+            consecutive_overloads: 0,
             behind: Duration::ZERO,
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// How long to wait before the first call: many start together.
-    pub fn first(&mut self) -> Duration {
-        self.fleet.min(WITHIN - CALL).mul_f64(self.random.random())
+    /// Returns the delay before the first call: many proxies start together.
+    pub fn initial_delay(&mut self) -> Duration {
+        self.fleet_spread.min(FRESHNESS_BOUND - CALL_ALLOWANCE).mul_f64(self.random.random())
     }
 
-    /// How long a call goes unanswered before another is placed beside it.
-    pub fn patience(&self) -> Duration {
-        self.beside().0
+    /// Returns how long a call goes unanswered before another one is placed beside it.
+    pub fn call_timeout(&self) -> Duration {
+        self.call_policy().timeout
     }
 
-    /// How many calls may wait for an answer beside each other, each a [`Self::patience`] after the one before.
-    pub fn calls(&self) -> usize {
-        self.beside().1
+    /// Returns how many calls may wait at a time, each placed one [`Self::call_timeout`] after the one before.
+    pub fn max_concurrent_calls(&self) -> usize {
+        self.call_policy().max_concurrent
     }
 
-    fn beside(&self) -> (Duration, usize) {
-        if self.queues {
-            QUEUED
+    fn call_policy(&self) -> CallPolicy {
+        if self.is_polled {
+            POLLED_CALLS
         } else {
-            PUSHED
+            PUSHED_CALLS
         }
     }
 
-    /// Whether the failure just counted is worth a word: the first of a row, and then ever more seldom.
-    pub fn notable(&self) -> bool {
-        self.failures == 0 || self.failures.is_power_of_two()
+    /// Returns whether the last failure should be logged: the first one, and then those that a power of two counts.
+    pub fn should_log(&self) -> bool {
+        self.consecutive_failures == 0 || self.consecutive_failures.is_power_of_two()
+    }
+
+    /// Returns the delay before the first call to a new address of discovery. Earlier failures do not count for it. The
+    /// whole fleet moves at once and has less time than after a start.
+    pub fn delay_after_move(&mut self) -> Duration {
+        self.consecutive_failures = 0;
+        self.consecutive_overloads = 0;
+        self.behind = FRESHNESS_BOUND - MOVED_FRESHNESS_BOUND;
+        self.fleet_spread.min(MOVED_FRESHNESS_BOUND - CALL_ALLOWANCE).mul_f64(self.random.random())
     }
 
-    /// How long to wait before the first call to another discovery, as new settings name one: what failed before says
-    /// nothing of that, less time is left, and all of the fleet are sent there together.
-    pub fn anew(&mut self) -> Duration {
-        (self.failures, self.overbooked) = (0, 0);
-        self.behind = WITHIN - MOVED_WITHIN;
-        self.fleet.min(MOVED_WITHIN - CALL).mul_f64(self.random.random())
+    /// Returns the delay after a watch or a call has failed. `was_answered` tells whether it brought something before;
+    /// `lasted` is the time since the call began, or since the watch last received anything.
+    pub fn delay_after_failure(&mut self, was_answered: bool, lasted: Duration) -> Duration {
+        self.record_failure(was_answered, lasted);
+        let spread = self.retry_spread();
+        // Proxies that failed together are spread over the whole span at their first call. Later ones are spread already
+        // and keep about the same distance.
+        let shortest = match self.consecutive_failures {
+            0 => spread.min(INITIAL_BACKOFF) / 2,
+            _ => spread / 2,
+        };
+        let delay = self.random.random_range(shortest..=spread);
+        if !self.behind.is_zero() {
+            self.behind += delay;
+        }
+        delay
     }
 
-    /// How long to wait after a watch or a call has failed. `heard` says that it brought something before; `lasted` is the
-    /// time since the call began, or since the watch's last sign of life.
-    pub fn after_failure(&mut self, heard: bool, lasted: Duration) -> Duration {
-        self.failures = if heard { 0 } else { self.failures + 1 };
-        let reached = lasted >= UNREACHED;
-        self.behind = match reached {
+    fn record_failure(&mut self, was_answered: bool, lasted: Duration) {
+        self.consecutive_failures = if was_answered { 0 } else { self.consecutive_failures + 1 };
+        let was_reached = lasted >= UNREACHED_BOUND;
+        self.behind = match was_reached {
             false => Duration::ZERO,
-            true if heard => lasted,
+            true if was_answered => lasted,
             true => self.behind + lasted,
         };
-        // Discovery has answered, late, that it cannot; one that does not answer at all is another matter.
-        let queued = reached && !heard && lasted < self.patience() * self.calls() as u32;
-        self.overbooked = if queued { self.overbooked + 1 } else { 0 };
-        let alone = BACK_OFF.0 * 2u32.saturating_pow(self.failures).min(1 << 10);
-        let longest = if self.queues { BACK_OFF.1 } else { PUSHED_BACK_OFF };
-        let left = (WITHIN - CALL).saturating_sub(self.behind).max(BACK_OFF.0);
-        let wait = match self.overbooked {
-            0 => alone.min(longest).max(self.fleet).min(left),
-            n => alone.min(longest).max((self.fleet * (1 << (n - 1).min(OVERBOOKED.0))).min(OVERBOOKED.1)),
-        };
-        // Whoever failed together does not ask together: the first call is spread over the whole span. Those after it
-        // are spread already, and keep about the same distance.
-        let least = if self.failures == 0 { wait.min(BACK_OFF.0) } else { wait } / 2;
-        let wait = self.random.random_range(least..=wait);
-        self.behind += if self.behind.is_zero() { Duration::ZERO } else { wait };
-        wait
+        // A late failure means that discovery is overloaded; no answer at all means something else.
+        let answer_bound = self.call_timeout() * self.max_concurrent_calls() as u32;
+        let has_queued = was_reached && !was_answered && lasted < answer_bound;
+        self.consecutive_overloads = if has_queued { self.consecutive_overloads + 1 } else { 0 };
+    }
+
+    /// The longest delay before the next call. While discovery is overloaded the fleet calls less often than the freshness
+    /// bound asks for: discovery works off calls that were given up, too, and would answer nobody any more.
+    fn retry_spread(&self) -> Duration {
+        let max_backoff = if self.is_polled { MAX_POLLED_BACKOFF } else { MAX_PUSHED_BACKOFF };
+        let factor = 2u32.saturating_pow(self.consecutive_failures).min(MAX_BACKOFF_FACTOR);
+        let backoff = (INITIAL_BACKOFF * factor).min(max_backoff);
+        if self.consecutive_overloads == 0 {
+            let left = (FRESHNESS_BOUND - CALL_ALLOWANCE).saturating_sub(self.behind).max(INITIAL_BACKOFF);
+            return backoff.max(self.fleet_spread).min(left);
+        }
+        let doublings = (self.consecutive_overloads - 1).min(MAX_OVERLOAD_DOUBLINGS);
+        backoff.max((self.fleet_spread * (1 << doublings)).min(MAX_OVERLOADED_SPREAD))
     }
 }
--- a/crates/decisions/tests/discovery/mod.rs
+++ b/crates/decisions/tests/discovery/mod.rs
@@ -39,7 +39,7 @@
     pub routers: u32,
     /// So many of them ask.
     pub asks: u32,
-    pub on_request: bool,
+    pub is_polled: bool,
     /// What a call takes of it.
     pub serves: Duration,
     pub start: Start,
@@ -89,7 +89,7 @@
 }
 
 struct Proxy {
-    asking: DiscoveryRetry,
+    retry: DiscoveryRetry,
     began: Duration,
     /// Calls placed since then, and those of them that may still be answered.
     placed: usize,
@@ -112,7 +112,7 @@
 /// Plays such a day.
 pub fn play(day: Day, seed: u64) -> Found {
     let proxy = |n: u32| Proxy {
-        asking: DiscoveryRetry::new(day.routers, day.on_request, seed * 1_000 + u64::from(n)),
+        retry: DiscoveryRetry::new(day.routers, day.is_polled, seed * 1_000 + u64::from(n)),
         began: Duration::ZERO,
         placed: 0,
         last: 0,
@@ -131,10 +131,10 @@
     };
     for (n, proxy) in play.proxies.iter_mut().enumerate() {
         let at = match day.start {
-            Start::Reset => proxy.asking.after_failure(true, Duration::ZERO),
-            Start::Silent(noticed) => noticed + proxy.asking.after_failure(true, noticed),
-            Start::Fresh => proxy.asking.first(),
-            Start::Moved => proxy.asking.anew(),
+            Start::Reset => proxy.retry.delay_after_failure(true, Duration::ZERO),
+            Start::Silent(noticed) => noticed + proxy.retry.delay_after_failure(true, noticed),
+            Start::Fresh => proxy.retry.initial_delay(),
+            Start::Moved => proxy.retry.delay_after_move(),
         };
         play.events.push(Reverse((at, Happens::Asks(n))));
     }
@@ -166,7 +166,7 @@
                 if proxy.held.is_some() || proxy.last != last || proxy.open.is_empty() {
                     return;
                 }
-                if proxy.placed < proxy.asking.calls() {
+                if proxy.placed < proxy.retry.max_concurrent_calls() {
                     self.place(n);
                 } else {
                     self.given_up(n);
@@ -200,8 +200,8 @@
         proxy.placed += 1;
         proxy.last = call;
         proxy.open.push(call);
-        let patience = proxy.asking.patience();
-        self.at(self.now + patience, Happens::Impatient(n, call));
+        let call_timeout = proxy.retry.call_timeout();
+        self.at(self.now + call_timeout, Happens::Impatient(n, call));
         if self.now < self.day.until {
             if self.day.outage == Outage::Refuses {
                 self.found.failed += 1;
@@ -227,7 +227,7 @@
     fn given_up(&mut self, n: usize) {
         let proxy = &mut self.proxies[n];
         proxy.open.clear();
-        let wait = proxy.asking.after_failure(false, self.now - proxy.began);
+        let wait = proxy.retry.delay_after_failure(false, self.now - proxy.began);
         self.at(self.now + wait, Happens::Asks(n));
     }
 
--- a/crates/decisions/tests/discovery_retry.rs
+++ b/crates/decisions/tests/discovery_retry.rs
@@ -27,8 +27,8 @@
 }
 
 /// When each proxy was told, if all ask anew from nothing; the last of them. `None`: not all within a minute.
-fn last_told(routers: u32, on_request: bool, first: bool) -> Option<Duration> {
-    let fleet = (0..routers).map(|n| DiscoveryRetry::new(routers, on_request, n.into())).collect();
+fn last_told(routers: u32, is_polled: bool, first: bool) -> Option<Duration> {
+    let fleet = (0..routers).map(|n| DiscoveryRetry::new(routers, is_polled, n.into())).collect();
     last_told_by(FAST, fleet, first)
 }
 
@@ -36,8 +36,8 @@
 fn last_told_by(serves: Duration, mut fleet: Vec<DiscoveryRetry>, first: bool) -> Option<Duration> {
     let most = WAITS.div_duration_f64(serves) as usize;
     let mut due = BinaryHeap::new();
-    for (n, asking) in fleet.iter_mut().enumerate() {
-        let at = if first { asking.first() } else { Duration::ZERO };
+    for (n, retry) in fleet.iter_mut().enumerate() {
+        let at = if first { retry.initial_delay() } else { Duration::ZERO };
         due.push(Reverse((at, n)));
     }
     // Who waits, until when it does, and who was told.
@@ -48,17 +48,17 @@
         now += serves;
         while let Some(Reverse((at, n))) = pop_due(&mut due, now) {
             if queue.len() < most {
-                queue.push_back((n, at + fleet[n].patience()));
+                queue.push_back((n, at + fleet[n].call_timeout()));
             } else {
-                due.push(Reverse((now + fleet[n].after_failure(false, Duration::ZERO), n)));
+                due.push(Reverse((now + fleet[n].delay_after_failure(false, Duration::ZERO), n)));
             }
         }
         let Some((n, until)) = queue.pop_front() else { continue };
         if now <= until {
             told[n] = true;
         } else {
-            let lasted = fleet[n].patience();
-            due.push(Reverse((until.max(now) + fleet[n].after_failure(false, lasted), n)));
+            let lasted = fleet[n].call_timeout();
+            due.push(Reverse((until.max(now) + fleet[n].delay_after_failure(false, lasted), n)));
         }
         if told.iter().all(|told| *told) {
             return Some(now);
@@ -97,30 +97,31 @@
 
 #[test]
 fn a_few_proxies_ask_as_promptly_as_ever() {
-    let mut asking = DiscoveryRetry::new(4, true, 7);
-    assert!(asking.first() <= Duration::from_millis(150));
-    assert!((0..20).all(|_| asking.after_failure(false, Duration::ZERO) <= Duration::from_secs(1)));
+    let mut retry = DiscoveryRetry::new(4, true, 7);
+    assert!(retry.initial_delay() <= Duration::from_millis(150));
+    assert!((0..20).all(|_| retry.delay_after_failure(false, Duration::ZERO) <= Duration::from_secs(1)));
     let mut pushed = DiscoveryRetry::new(100, false, 7);
-    assert_eq!(pushed.first(), Duration::ZERO);
+    assert_eq!(pushed.initial_delay(), Duration::ZERO);
     // What an agent on the own machine gets when discovery returns is read well within the shortest grace, 0.5 s,
     // however long discovery was down.
     for _ in 0..100 {
         assert!(
-            pushed.after_failure(false, Duration::ZERO) + pushed.patience() <= Duration::from_millis(350)
+            pushed.delay_after_failure(false, Duration::ZERO) + pushed.call_timeout()
+                <= Duration::from_millis(350)
         );
     }
-    assert_eq!(pushed.patience() * pushed.calls() as u32, Duration::from_secs(1));
+    assert_eq!(pushed.call_timeout() * pushed.max_concurrent_calls() as u32, Duration::from_secs(1));
 }
 
 /// A watch that is held to be dead, and a first call that hangs: the next one is placed well before 6 s are over.
 #[test]
 fn silence_and_one_call_that_hangs_leave_time_for_another() {
     let fleets = [1, 6].into_iter().flat_map(|routers| [(routers, true), (routers, false)]);
-    for (seed, (routers, on_request)) in (0..100).flat_map(|seed| fleets.clone().map(move |f| (seed, f))) {
-        let mut asking = DiscoveryRetry::new(routers, on_request, seed);
-        let at = SILENCE + asking.after_failure(true, SILENCE) + asking.patience();
-        assert!(asking.calls() > 1);
-        assert!(at <= Duration::from_millis(5_250), "seed {seed}, {routers}, {on_request}: {at:?}");
+    for (seed, (routers, is_polled)) in (0..100).flat_map(|seed| fleets.clone().map(move |f| (seed, f))) {
+        let mut retry = DiscoveryRetry::new(routers, is_polled, seed);
+        let at = SILENCE + retry.delay_after_failure(true, SILENCE) + retry.call_timeout();
+        assert!(retry.max_concurrent_calls() > 1);
+        assert!(at <= Duration::from_millis(5_250), "seed {seed}, {routers}, {is_polled}: {at:?}");
     }
 }
 
@@ -128,8 +129,8 @@
 #[test]
 fn after_silence_many_leave_time_for_a_call_that_queues() {
     for (seed, routers) in (0..100).flat_map(|seed| [30, 300].map(move |routers| (seed, routers))) {
-        let mut asking = DiscoveryRetry::new(routers, true, seed);
-        let at = SILENCE + asking.after_failure(true, SILENCE);
+        let mut retry = DiscoveryRetry::new(routers, true, seed);
+        let at = SILENCE + retry.delay_after_failure(true, SILENCE);
         assert!(at <= Duration::from_secs(4), "seed {seed}, {routers}: {at:?}");
     }
 }
@@ -142,7 +143,7 @@
         let serves = Duration::from_millis(82);
         let (outage, until) = (Outage::Refuses, Duration::from_secs(8));
         let day =
-            Day { routers: 100, asks: 100, on_request: true, serves, start: Start::Reset, outage, until };
+            Day { routers: 100, asks: 100, is_polled: true, serves, start: Start::Reset, outage, until };
         let found = discovery::play(day, seed);
         assert!(found.worst() < Duration::from_secs(45), "seed {seed}: {:?}", found.worst());
     }
@@ -157,7 +158,7 @@
     (routers, 0.05..2.5, start, outage, 0u64..30_000).prop_map(|(routers, takes, start, outage, until)| Day {
         routers,
         asks: routers,
-        on_request: true,
+        is_polled: true,
         serves: Duration::from_secs_f64(f64::min(takes / f64::from(routers), 1.0)),
         start,
         outage,
@@ -184,7 +185,7 @@
     /// An agent on the own machine: at once, and well within the shortest grace of 0.5 s.
     #[test]
     fn and_at_once_where_lists_are_pushed(day in days(), seed in 0u64..1_000) {
-        let day = Day { routers: 1, asks: 1, on_request: false, serves: Duration::from_millis(1), ..day };
+        let day = Day { routers: 1, asks: 1, is_polled: false, serves: Duration::from_millis(1), ..day };
         // A watch that fell silent is noticed first: the clock of silence is another.
         let noticed = if let Start::Silent(noticed) = day.start { noticed } else { Duration::ZERO };
         let found = discovery::play(Day { until: day.until.max(noticed), ..day }, seed);
@@ -205,7 +206,7 @@
         ] {
             let serves = Duration::from_secs_f64(takes / f64::from(routers));
             let until = Duration::from_secs(until);
-            let day = Day { routers, asks: routers, on_request: true, serves, start, outage, until };
+            let day = Day { routers, asks: routers, is_polled: true, serves, start, outage, until };
             let all: Vec<_> = (0..20).map(|seed| discovery::play(day, seed)).collect();
             let mean = all.iter().map(|found| found.mean()).sum::<Duration>() / 20;
             let worst = all.iter().map(|found| found.worst()).max().unwrap_or_default();
@@ -229,7 +230,7 @@
     let day = Day {
         routers: 300,
         asks,
-        on_request: true,
+        is_polled: true,
         serves,
         start: Start::Fresh,
         outage,
@@ -243,8 +244,8 @@
 #[test]
 fn whoever_failed_together_does_not_ask_together() {
     let waits = |n| {
-        let mut asking = DiscoveryRetry::new(100, true, n);
-        (asking.after_failure(true, Duration::ZERO), asking.after_failure(false, Duration::ZERO))
+        let mut retry = DiscoveryRetry::new(100, true, n);
+        (retry.delay_after_failure(true, Duration::ZERO), retry.delay_after_failure(false, Duration::ZERO))
     };
     let (mut first, mut second): (Vec<_>, Vec<_>) = (0..100).map(waits).unzip();
     for waits in [&mut first, &mut second] {
@@ -256,9 +257,9 @@
 
 #[test]
 fn failures_elsewhere_do_not_slow_a_new_address() {
-    let mut asking = DiscoveryRetry::new(2, true, 7);
-    (0..10).for_each(|_| _ = asking.after_failure(false, Duration::ZERO));
-    assert!(asking.after_failure(false, Duration::ZERO) >= Duration::from_millis(500));
-    asking.anew();
-    assert!(asking.after_failure(false, Duration::ZERO) <= Duration::from_millis(100));
+    let mut retry = DiscoveryRetry::new(2, true, 7);
+    (0..10).for_each(|_| _ = retry.delay_after_failure(false, Duration::ZERO));
+    assert!(retry.delay_after_failure(false, Duration::ZERO) >= Duration::from_millis(500));
+    retry.delay_after_move();
+    assert!(retry.delay_after_failure(false, Duration::ZERO) <= Duration::from_millis(100));
 }
--- a/src/config/descriptors.rs
+++ b/src/config/descriptors.rs
@@ -13,7 +13,7 @@
 /// What is open within one turn only: a connection that is accepted and closed at once, or the file read at SIGHUP.
 const TRANSIENT: usize = 1;
 /// Calls to discovery, and the watch before them that is about to close.
-const DISCOVERY: usize = DiscoveryRetry::MOST_CALLS + 1;
+const DISCOVERY: usize = DiscoveryRetry::MAX_CONCURRENT_CALLS + 1;
 /// Client connections above their limit that are answered instead of being closed unread.
 pub const OVERFLOW: usize = 8;
 /// Callers of the console served at once where descriptors are few.
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -49,7 +49,7 @@
 impl Discovery {
     /// Follows the lists at whatever address discovery has at the time, until the core actor has ended.
     pub async fn follow(mut self, mut addresses: watch_channel::Receiver<SocketAddr>) {
-        let mut wait = self.retry.first();
+        let mut wait = self.retry.initial_delay();
         loop {
             let address = *addresses.borrow_and_update();
             tokio::select! {
@@ -59,7 +59,7 @@
                 },
                 // A new address goes before whatever happens at the old one, silence included: the new address has less
                 // time to be heard.
-                Ok(()) = addresses.changed() => wait = self.retry.anew().max(CLOSE_DELAY),
+                Ok(()) = addresses.changed() => wait = self.retry.delay_after_move().max(CLOSE_DELAY),
             }
         }
     }
@@ -71,8 +71,8 @@
         sleep(wait).await;
         let failure = self.read_watch(address).await?;
         let made_progress = self.version != version || failure.was_stable;
-        let next_wait = self.retry.after_failure(made_progress, failure.unheard);
-        if self.retry.notable() {
+        let next_wait = self.retry.delay_after_failure(made_progress, failure.unheard);
+        if self.retry.should_log() {
             tracing::warn!(%address, error = %failure.error, "discovery failed");
         }
         Some(next_wait)
@@ -97,9 +97,9 @@
     /// Opens a watch. Where a call is not answered in time another is made beside it, up to a limit; the first answer counts.
     async fn open(&self, address: SocketAddr) -> Result<Watch, DiscoveryError> {
         let mut calls = JoinSet::new();
-        for _ in 0..self.retry.calls() {
+        for _ in 0..self.retry.max_concurrent_calls() {
             calls.spawn(Watch::open(address, self.version));
-            let give_up_at = Instant::now() + self.retry.patience();
+            let give_up_at = Instant::now() + self.retry.call_timeout();
             while let Ok(Some(answered)) = timeout_at(give_up_at, calls.join_next()).await {
                 match answered {
                     Ok(Ok(watch)) => return Ok(watch),
