--- /dev/null
+++ b/crates/decisions/src/membership/failure_detector/mod.rs
@@ -0,0 +1,253 @@
+//! Failure detector: suspects members quickly and sometimes wrongly.
+//!
+//! SWIM with the additions of Lifeguard: members are probed in random order, directly and through others; a suspected member
+//! can refute; a prober with health problems of its own waits longer, independent confirmations shorten a suspicion,
+//! and the accused is told first.
+//!
+//! A [`Suspicion`] is not safe to act on. It can only cause a proposal in [`crate::membership::consensus`].
+
+mod config;
+mod gossip;
+mod message;
+mod probing;
+
+pub use config::FailureDetectorConfig;
+pub use message::{GossipUpdate, Message, Output, Suspicion};
+
+use super::view::{Identity, Name};
+use crate::interface::Timestamp;
+use gossip::QueuedUpdate;
+use probing::{CurrentProbe, IndirectProbe};
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Members that are told directly when this one leaves.
+const LEAVE_ANNOUNCEMENTS: usize = 6;
+/// Upper bound of the health penalty. A penalty of n makes probe intervals and timeouts n + 1 times as long.
+const MAX_HEALTH_PENALTY: u32 = 8;
+/// For each full group of this many members the interval between exchanges of state grows by the configured one: their
+/// size grows with the fleet, and so the traffic of each member stays the same.
+const MEMBERS_PER_SYNC_INTERVAL: i64 = 32;
+
+/// The state of another member.
+#[derive(Clone, Debug)]
+struct MemberState {
+    suspicion: Suspicion,
+    refutations: u32,
+    since: Timestamp,
+    /// When a message last came from the member itself.
+    last_heard_at: Option<Timestamp>,
+    /// The members that suspect it.
+    accusers: BTreeSet<Name>,
+    /// When the suspicion, if there is one, expires.
+    suspicion_expires_at: Timestamp,
+}
+
+/// What one member believes about the liveness of the others.
+pub struct FailureDetector {
+    me: Identity,
+    config: FailureDetectorConfig,
+    random: ChaCha8Rng,
+    members: BTreeMap<Identity, MemberState>,
+    /// Members to be probed next, the last one first.
+    probe_order: Vec<Identity>,
+    current_probe: Option<CurrentProbe>,
+    /// Probes sent for other members, by the sequence number used here.
+    indirect_probes: BTreeMap<u32, IndirectProbe>,
+    sequence: u32,
+    refutations: u32,
+    health_penalty: u32,
+    queued_updates: Vec<QueuedUpdate>,
+    next_probe_at: Timestamp,
+    next_sync_at: Timestamp,
+    leaving: bool,
+}
+
+impl FailureDetector {
+    /// Creates the failure detector of a member that knows no other one yet. `seed` decides its random choices.
+    pub fn new(me: Identity, config: FailureDetectorConfig, seed: u64, now: Timestamp) -> Self {
+        let mut random = ChaCha8Rng::seed_from_u64(seed);
+        let first =
+            |span_us: i64, random: &mut ChaCha8Rng| Timestamp(now.0 + random.random_range(0..span_us.max(1)));
+        let next_probe_at = first(config.probe_interval_us, &mut random);
+        let next_sync_at = first(config.sync_interval_us, &mut random);
+        Self {
+            me,
+            config,
+            random,
+            members: BTreeMap::new(),
+            probe_order: Vec::new(),
+            current_probe: None,
+            indirect_probes: BTreeMap::new(),
+            sequence: 0,
+            refutations: 0,
+            health_penalty: 0,
+            queued_updates: Vec::new(),
+            next_probe_at,
+            next_sync_at,
+            leaving: false,
+        }
+    }
+
+    /// Returns the state of a member, or `None` for one that was never heard of.
+    pub fn suspicion(&self, member: &Identity) -> Option<Suspicion> {
+        self.members.get(member).map(|state| state.suspicion)
+    }
+
+    /// Returns all known members with their states.
+    pub fn suspicions(&self) -> impl Iterator<Item = (&Identity, Suspicion)> + '_ {
+        self.members.iter().map(|(member, state)| (member, state.suspicion))
+    }
+
+    /// Returns when a message last came from a member itself, not through others.
+    pub fn last_heard_at(&self, member: &Identity) -> Option<Timestamp> {
+        self.members.get(member).and_then(|state| state.last_heard_at)
+    }
+
+    /// Returns how far this process distrusts its own health: 0 is healthy, 8 the worst.
+    pub fn health_penalty(&self) -> u32 {
+        self.health_penalty
+    }
+
+    /// Counts the members that are alive or suspected, this one included.
+    fn live_members(&self) -> usize {
+        1 + self.members.values().filter(|state| state.suspicion.is_live()).count()
+    }
+
+    /// Adds a member that is known to exist. Has no effect on one that is known already.
+    pub fn add_member(&mut self, now: Timestamp, member: &Identity, out: &mut Vec<Output>) {
+        let update = GossipUpdate {
+            subject: member.clone(),
+            suspicion: Suspicion::Alive,
+            refutations: 0,
+            reporter: self.me.name.clone(),
+        };
+        self.apply_update(now, update, out);
+    }
+
+    /// Records that a message of any kind came from a member itself.
+    pub fn record_contact(&mut self, now: Timestamp, from: &Identity, out: &mut Vec<Output>) {
+        self.add_member(now, from, out);
+        if let Some(state) = self.members.get_mut(from) {
+            state.last_heard_at = Some(now);
+        }
+    }
+
+    /// Handles a message from the failure detector of another member.
+    pub fn handle_message(
+        &mut self,
+        now: Timestamp,
+        from: &Identity,
+        message: Message,
+        out: &mut Vec<Output>,
+    ) {
+        self.record_contact(now, from, out);
+        match message {
+            Message::Probe { sequence, updates } => {
+                self.apply_updates(now, updates, out);
+                let updates = self.take_updates(Some(from));
+                out.push(Output::Send(from.clone(), Message::Ack { sequence, updates }));
+            }
+            Message::Ack { sequence, updates } => {
+                self.apply_updates(now, updates, out);
+                self.handle_ack(from, sequence, out);
+            }
+            Message::IndirectProbe { sequence, target, updates } => {
+                self.apply_updates(now, updates, out);
+                self.probe_for(now, from, sequence, target, out);
+            }
+            Message::Nack { sequence } => self.handle_nack(sequence),
+            Message::StateSync { known, wanted } => {
+                self.apply_updates(now, known, out);
+                if wanted {
+                    let state = Message::StateSync { known: self.full_state(), wanted: false };
+                    out.push(Output::Send(from.clone(), state));
+                }
+            }
+        }
+    }
+
+    /// Returns when [`Self::handle_timeout`] has to be called at the latest.
+    pub fn next_timeout(&self) -> Timestamp {
+        let help = self.current_probe.as_ref().and_then(|probe| probe.help_at);
+        let indirect = self.indirect_probes.values().map(|probe| probe.expires_at).min();
+        let suspicion = self
+            .members
+            .values()
+            .filter(|state| state.suspicion == Suspicion::Suspect)
+            .map(|state| state.suspicion_expires_at)
+            .min();
+        let optional = [help, indirect, suspicion].into_iter().flatten();
+        optional.fold(self.next_probe_at.min(self.next_sync_at), Timestamp::min)
+    }
+
+    /// Does what is due at this time.
+    pub fn handle_timeout(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        let late_us = now.0 - self.next_timeout().0;
+        if late_us > self.config.stall_threshold_us {
+            self.recover_from_stall(now, late_us, out);
+        }
+        self.expire_indirect_probes(now, out);
+        if self.current_probe.as_ref().and_then(|probe| probe.help_at).is_some_and(|at| now >= at) {
+            self.request_indirect_probes(out);
+        }
+        self.expire_suspicions(now, out);
+        if now >= self.next_probe_at {
+            self.finish_probe(now, out);
+            self.start_probe(now, out);
+        }
+        if now >= self.next_sync_at {
+            self.sync_state(now, out);
+        }
+    }
+
+    /// Announces to some members, which spread it, that this one leaves.
+    pub fn leave(&mut self, out: &mut Vec<Output>) {
+        self.leaving = true;
+        let update = self.own_update(Suspicion::Left);
+        for to in self.random_members(LEAVE_ANNOUNCEMENTS, None) {
+            self.sequence += 1;
+            let updates = vec![update.clone()];
+            out.push(Output::Send(to, Message::Probe { sequence: self.sequence, updates }));
+        }
+    }
+
+    /// Forgets what was observed before the process was stopped: answers may still be waiting in its sockets, so nobody
+    /// is accused of not having answered.
+    fn recover_from_stall(&mut self, now: Timestamp, span_us: i64, out: &mut Vec<Output>) {
+        self.current_probe = None;
+        self.indirect_probes.clear();
+        self.health_penalty = MAX_HEALTH_PENALTY;
+        for state in self.members.values_mut() {
+            state.suspicion_expires_at = Timestamp(state.suspicion_expires_at.0 + span_us);
+            state.last_heard_at = state.last_heard_at.map(|_| now);
+        }
+        // Others may have suspected this process meanwhile: a higher count supersedes their suspicion.
+        self.refutations += 1;
+        let update = self.own_update(Suspicion::Alive);
+        self.enqueue_update(update);
+        out.push(Output::Stalled(span_us));
+    }
+
+    fn increase_health_penalty(&mut self) {
+        self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
+    }
+
+    /// Returns up to `count` live members other than `except`, in random order.
+    fn random_members(&mut self, count: usize, except: Option<&Identity>) -> Vec<Identity> {
+        let mut candidates: Vec<Identity> = self
+            .members
+            .iter()
+            .filter(|(member, state)| state.suspicion.is_live() && Some(*member) != except)
+            .map(|(member, _)| member.clone())
+            .collect();
+        let count = count.min(candidates.len());
+        for n in 0..count {
+            let other = self.random.random_range(n..candidates.len());
+            candidates.swap(n, other);
+        }
+        candidates.truncate(count);
+        candidates
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/membership/member/mod.rs
@@ -0,0 +1,266 @@
+//! One member of the fleet as a state machine: its failure detector, its part in the consensus, and the policy between
+//! them. Events and a time go in, [`Output`]s come out; sockets, addresses and keys are left to the caller.
+
+mod admission;
+mod message;
+mod reconfigure;
+
+pub use message::{FleetConfig, MemberMessage, Output};
+
+use super::consensus::{self, Consensus, DurableState, Event};
+use super::failure_detector::{self, FailureDetector, Suspicion};
+use super::reconfiguration::{FlapDamping, ReachabilityRow};
+use super::view::Identity;
+use crate::interface::Timestamp;
+use admission::JoinProgress;
+use reconfigure::QuorumHistory;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A report of a voter and when it came.
+#[derive(Clone, Debug)]
+struct ReceivedRow {
+    row: ReachabilityRow,
+    received_at: Timestamp,
+}
+
+/// One member of the fleet.
+pub struct Member {
+    me: Identity,
+    config: FleetConfig,
+    consensus: Consensus,
+    failure_detector: FailureDetector,
+    random_seed: u64,
+    /// The latest report of each voter, about the present view.
+    rows: BTreeMap<Identity, ReceivedRow>,
+    /// Members that no quorum hears, and since when.
+    unheard_since: BTreeMap<Identity, Timestamp>,
+    /// Processes that asked to be admitted, and when they last did.
+    joining: BTreeMap<Identity, Timestamp>,
+    /// Members that reported to have no lease, and when they last did.
+    lease_starved: BTreeMap<Identity, Timestamp>,
+    /// Members that are leaving.
+    leaving_members: BTreeSet<Identity>,
+    flap_damping: FlapDamping,
+    quorum_history: QuorumHistory,
+    /// When the view is next checked for changes to propose.
+    next_check_at: Timestamp,
+    /// Since when this process has no lease.
+    fenced_since: Option<Timestamp>,
+    /// Since when this process has accepted a proposal whose outcome it does not know.
+    undecided_since: Option<Timestamp>,
+    /// When this process was admitted.
+    joined_at: Timestamp,
+    join: JoinProgress,
+    leaving: bool,
+}
+
+impl Member {
+    /// Starts a process as an incarnation, with the state that it had stored. `random_seed` decides its random choices.
+    pub fn new(
+        me: Identity,
+        config: FleetConfig,
+        durable: DurableState,
+        random_seed: u64,
+        now: Timestamp,
+    ) -> Self {
+        let consensus = Consensus::new(me.clone(), config.terms, &config.seeds, durable, now);
+        let failure_detector = FailureDetector::new(me.clone(), config.failure_detector, random_seed, now);
+        let join = JoinProgress::new(Timestamp(now.0 + config.terms.ballot_timeout_us));
+        Self {
+            me,
+            config,
+            consensus,
+            failure_detector,
+            random_seed,
+            rows: BTreeMap::new(),
+            unheard_since: BTreeMap::new(),
+            joining: BTreeMap::new(),
+            lease_starved: BTreeMap::new(),
+            leaving_members: BTreeSet::new(),
+            flap_damping: FlapDamping::default(),
+            quorum_history: QuorumHistory::new(now),
+            next_check_at: now,
+            fenced_since: Some(now),
+            undecided_since: None,
+            joined_at: Timestamp(i64::MIN / 2),
+            join,
+            leaving: false,
+        }
+    }
+
+    /// Returns the present incarnation.
+    pub fn me(&self) -> &Identity {
+        &self.me
+    }
+
+    /// Returns the consensus, which may be relied on.
+    pub fn consensus(&self) -> &Consensus {
+        &self.consensus
+    }
+
+    /// Returns the failure detector, which may be wrong.
+    pub fn failure_detector(&self) -> &FailureDetector {
+        &self.failure_detector
+    }
+
+    /// Returns the reports of the voters, if this process is one.
+    pub fn rows(&self) -> impl Iterator<Item = (&Identity, &ReachabilityRow)> + '_ {
+        self.rows.iter().map(|(voter, received)| (voter, &received.row))
+    }
+
+    /// Returns whether this process is leaving the fleet.
+    pub fn is_leaving(&self) -> bool {
+        self.leaving
+    }
+
+    /// Returns when [`Self::handle_timeout`] has to be called at the latest.
+    pub fn next_timeout(&self) -> Timestamp {
+        let next = self.failure_detector.next_timeout().min(self.next_check_at);
+        self.consensus.next_timeout().map_or(next, |at| at.min(next))
+    }
+
+    /// Does what is due at this time.
+    pub fn handle_timeout(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        self.with_failure_detector(now, out, |detector, now, outputs| {
+            if detector.next_timeout() <= now {
+                detector.handle_timeout(now, outputs);
+            }
+        });
+        self.with_consensus(now, out, |consensus, outputs| consensus.handle_timeout(now, outputs));
+        if now >= self.next_check_at {
+            self.next_check_at = Timestamp(now.0 + self.check_interval_us());
+            self.check(now, out);
+        }
+    }
+
+    /// Handles a message. One from another process of this name, or an earlier incarnation of this one, is ignored.
+    pub fn handle_message(
+        &mut self,
+        now: Timestamp,
+        from: &Identity,
+        message: MemberMessage,
+        out: &mut Vec<Output>,
+    ) {
+        if from.name == self.me.name && *from != self.me {
+            return;
+        }
+        self.with_failure_detector(now, out, |detector, now, outputs| {
+            detector.record_contact(now, from, outputs);
+        });
+        match message {
+            MemberMessage::FailureDetector(message) => {
+                self.with_failure_detector(now, out, |detector, now, outputs| {
+                    detector.handle_message(now, from, message, outputs);
+                });
+            }
+            MemberMessage::Consensus(message) => {
+                self.note_founding(&message);
+                self.with_consensus(now, out, |consensus, outputs| {
+                    consensus.handle_message(now, from, message, outputs);
+                });
+            }
+            MemberMessage::Reachability(row) => self.handle_reachability(now, from, row, out),
+            MemberMessage::JoinRequest => self.handle_join_request(now, from, out),
+            MemberMessage::JoinRejected(namesake) => self.handle_join_rejected(now, namesake, out),
+            MemberMessage::LeaseStarved => _ = self.lease_starved.insert(from.clone(), now),
+            MemberMessage::Leaving => self.record_leave(from, out),
+        }
+    }
+
+    /// Starts to leave the fleet; [`Output::Left`] follows once a view without this process is decided.
+    pub fn leave(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        self.leaving = true;
+        let me = self.me.clone();
+        self.record_leave(&me, out);
+        self.with_failure_detector(now, out, |detector, _, outputs| detector.leave(outputs));
+        self.next_check_at = now;
+    }
+
+    /// Runs an action of the failure detector and applies its outputs.
+    fn with_failure_detector(
+        &mut self,
+        now: Timestamp,
+        out: &mut Vec<Output>,
+        action: impl FnOnce(&mut FailureDetector, Timestamp, &mut Vec<failure_detector::Output>),
+    ) {
+        let mut outputs = Vec::new();
+        action(&mut self.failure_detector, now, &mut outputs);
+        for output in outputs {
+            match output {
+                failure_detector::Output::Send(to, message) => {
+                    out.push(Output::Send(to, MemberMessage::FailureDetector(message)));
+                }
+                failure_detector::Output::Changed(member, suspicion) => {
+                    if suspicion == Suspicion::Gone {
+                        self.next_check_at = now;
+                    }
+                    out.push(Output::SuspicionChanged(member, suspicion));
+                }
+                failure_detector::Output::Stalled(span_us) => {
+                    self.forget_observations();
+                    out.push(Output::Stalled(span_us));
+                }
+            }
+        }
+    }
+
+    /// Forgets what voters and members reported: it is old after a stall, and about another view after a new one.
+    fn forget_observations(&mut self) {
+        self.rows.clear();
+        self.unheard_since.clear();
+        self.lease_starved.clear();
+    }
+
+    /// Runs an action of the consensus and applies its outputs.
+    fn with_consensus(
+        &mut self,
+        now: Timestamp,
+        out: &mut Vec<Output>,
+        action: impl FnOnce(&mut Consensus, &mut Vec<consensus::Output>),
+    ) {
+        let epoch = self.consensus.view().epoch;
+        let mut outputs = Vec::new();
+        action(&mut self.consensus, &mut outputs);
+        for output in outputs {
+            match output {
+                consensus::Output::Send(to, message) => {
+                    out.push(Output::Send(to, MemberMessage::Consensus(message)));
+                }
+                consensus::Output::Persist(durable) => out.push(Output::Persist(self.me.clone(), durable)),
+                consensus::Output::Event(event) => self.handle_consensus_event(now, event, out),
+            }
+        }
+        if self.consensus.view().epoch > epoch {
+            self.view_changed(now, out);
+        }
+    }
+
+    fn handle_consensus_event(&mut self, now: Timestamp, event: Event, out: &mut Vec<Output>) {
+        match event {
+            Event::Fenced => self.fenced_since = Some(now),
+            Event::Unfenced => self.fenced_since = None,
+            Event::View(_) | Event::ConflictingView(_) => {}
+        }
+        out.push(Output::Consensus(event));
+    }
+
+    fn view_changed(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        let (old, view) = (self.consensus.previous_view().clone(), self.consensus.view().clone());
+        let has_left = |member: &Identity| {
+            self.leaving_members.contains(member)
+                || self.failure_detector.suspicion(member) == Some(Suspicion::Left)
+        };
+        self.flap_damping.record_view_change(now, &old, &view, has_left);
+        self.forget_observations();
+        self.leaving_members.retain(|member| view.contains(member));
+        self.joining.retain(|member, _| !view.contains(member));
+        let me = self.me.clone();
+        for member in view.members.iter().filter(|member| **member != me) {
+            self.with_failure_detector(now, out, |detector, now, outputs| {
+                detector.add_member(now, member, outputs);
+            });
+        }
+        self.update_own_membership(now, &old, &view, out);
+        self.next_check_at = now;
+    }
+}
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -3,7 +3,7 @@
 
 use crate::budget::plan::Override;
 use crate::budget::{Purpose, PURPOSES};
-use crate::membership::post::Key;
+use crate::membership::transport::Key;
 use crate::membership::Name;
 use crate::protocol::Protocol;
 use bytesize::ByteSize;
@@ -282,7 +282,7 @@
 ) -> Result<(Key, Option<Key>), OperatorError> {
     let read = |file: &Spanned<String>| {
         let text = std::fs::read_to_string(&file.value).map_err(|e| e.to_string());
-        let key = text.and_then(|text| Key::read(&text).map_err(|e| e.to_string()));
+        let key = text.and_then(|text| Key::from_hex(&text).map_err(|e| e.to_string()));
         key.map_err(|e| fault.at(file.referenced, "peers.key_files", format!("{}: {e}", file.value)))
     };
     match &files.value[..] {
