--- a/src/net/core/request_table.rs
+++ b/src/net/core/request_table.rs
@@ -20,7 +20,7 @@
     pub deadline: Instant,
     /// Where the answer goes; none once it is answered.
     pub client: Option<mpsc::Sender<ClientMessage>>,
-    /// Tells whether the client's connection is still open.
+    /// Whether the client's connection is still open.
     pub client_liveness: PeerLiveness,
     /// None once it is answered.
     pub final_reply_timer: Option<FinalReplyTimer>,
--- a/src/net/core/requests.rs
+++ b/src/net/core/requests.rs
@@ -82,7 +82,7 @@
         send_answer(&arrival.client, arrival.id, Answer::Rejected { retry_after });
     }
 
-    /// Takes an admitted request into the table. Returns what the router is told of it.
+    /// Takes an admitted request into the table. Returns it as the router gets it.
     fn insert_request(&mut self, arrival: Arrival, memory_reservation: Reservation) -> interface::Request {
         let Arrival { id, request, arrived_at, reply_due, client, client_liveness } = arrival;
         let deadline = request_deadline(arrived_at, request.timeout);
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -199,7 +199,7 @@
     pub reply_due: Instant,
     /// Mailbox of the client's actor.
     pub client: mpsc::Sender<ClientMessage>,
-    /// Tells whether the client's connection is still open.
+    /// Whether the client's connection is still open.
     pub client_liveness: PeerLiveness,
 }
 
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -302,7 +302,7 @@
 
 /// Gives each reloaded configuration to the core and then to the acceptor: a request of a new class must find the class
 /// there. Runs as a task of its own, so that a full mailbox of the core delays no shutdown. The schedule of a shutdown that
-/// has begun stays: whoever began it counts by the settings of that time.
+/// has begun stays: the process that began it waits by the settings of that time.
 async fn forward_reloads(
     mut reloads: watch::Receiver<Option<Config>>,
     events: mpsc::Sender<CoreEvent>,
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -31,13 +31,13 @@
         Ok(Self(Arc::new(stream)))
     }
 
-    /// Returns a handle that tells whether the other side is still there, without keeping the connection open.
+    /// Returns a handle on whether the other side is still there, which does not keep the connection open.
     pub fn liveness(&self) -> PeerLiveness {
         PeerLiveness(Arc::downgrade(&self.0))
     }
 }
 
-/// Tells whether the other side of a connection is still there. Does not keep the connection open.
+/// Whether the other side of a connection is still there. Does not keep the connection open.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerLiveness(Weak<TcpStream>);
 
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -104,7 +104,7 @@
 
 impl AttemptWork {
     fn new(attempt: Attempt, connector: Connector) -> Self {
-        // A write's answer tells the commit's position behind the row, and the session's next read needs that position.
+        // A write's answer reports the commit's position behind the row, and the session's next read needs that position.
         let may_stream = connector.context.may_stream && attempt.statement.value_range.is_none();
         Self { attempt, connector, connection: None, exchange: Exchange::new(may_stream), slot: None }
     }
--- a/src/net/upstream/dialect.rs
+++ b/src/net/upstream/dialect.rs
@@ -11,7 +11,7 @@
 /// A query to a host.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Query<'a> {
-    /// A client's statement, with the timeout that the host is told.
+    /// A client's statement, with the timeout that the host gets.
     Statement(&'a Statement, Duration),
     /// The host's load report.
     LoadReport,
--- a/src/net/upstream/idle.rs
+++ b/src/net/upstream/idle.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a connection rests after an answer before it is used again. Whatever a host wrote beyond that answer has
+/// How long a connection stays idle after an answer before it is used again. Whatever a host wrote beyond that answer has
 /// arrived by then and shows that the connection is unusable; it would be read as the next query's answer otherwise.
 const REUSE_DELAY: Duration = Duration::from_millis(3);
 
@@ -27,12 +27,12 @@
         self.connections.push_back(IdleConnection { connection, since: Instant::now() });
     }
 
-    /// Takes a connection that is still open; none if there is none that has rested for [`REUSE_DELAY`]. Closes those that
+    /// Takes a connection that is still open; none if there is none that has been idle for [`REUSE_DELAY`]. Closes those that
     /// are found unusable.
     pub fn take(&mut self) -> Option<Connection> {
-        let rested_since = Instant::now() - REUSE_DELAY;
-        let rested = self.connections.partition_point(|idle| idle.since <= rested_since);
-        for index in (0..rested).rev() {
+        let idle_since = Instant::now() - REUSE_DELAY;
+        let reusable = self.connections.partition_point(|idle| idle.since <= idle_since);
+        for index in (0..reusable).rev() {
             let idle = self.connections.remove(index)?;
             if idle.connection.is_open_and_silent() {
                 return Some(idle.connection);
