--- a/src/net/frontend/client/state.rs
+++ b/src/net/frontend/client/state.rs
@@ -91,3 +91,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/frontend/client/statements.rs
+++ b/src/net/frontend/client/statements.rs
@@ -93,7 +93,7 @@
 
     fn handle_statement(&mut self, text: Bytes) {
         let settings = Arc::clone(&self.context.settings.borrow());
-        match request::read(text, &settings.names) {
+        match request::parse(text, &settings.names) {
             Ok(request) => self.queue_request(request),
             Err(fault) => self.reject_statement(fault),
         }
--- a/src/net/frontend/fault.rs
+++ b/src/net/frontend/fault.rs
@@ -52,6 +52,25 @@
     WrongProtocol(ForeignProtocol),
 }
 
+/// What a fault means for the connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Severity {
+    /// The connection stays open.
+    Error,
+    /// The connection ends.
+    Fatal,
+}
+
+impl Severity {
+    /// Returns its name in PostgreSQL's protocol.
+    fn name(self) -> &'static str {
+        match self {
+            Self::Error => "ERROR",
+            Self::Fatal => "FATAL",
+        }
+    }
+}
+
 /// A protocol that a client speaks on the wrong port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ForeignProtocol {
@@ -163,15 +182,15 @@
     }
 
     /// Encodes it as an ErrorResponse of PostgreSQL's protocol.
-    pub fn put_postgres(&self, severity: &str, out: &mut BytesMut) {
+    pub fn put_postgres(&self, severity: Severity, out: &mut BytesMut) {
         let retry_after = self.retry_after_ms().map(|ms| ms.to_string());
-        pgwire::error(out, severity, self.sqlstate(), &self.text(), retry_after.as_deref());
+        pgwire::error(out, severity.name(), self.sqlstate(), &self.text(), retry_after.as_deref());
     }
 
     /// Encodes it as the tokens ERROR and DONE of TDS.
-    pub fn put_tds(&self, kind: DoneKind, fatal: bool, out: &mut BytesMut) {
+    pub fn put_tds(&self, kind: DoneKind, severity: Severity, out: &mut BytesMut) {
         let class = match self {
-            _ if fatal => FATAL_ERROR_CLASS,
+            _ if severity == Severity::Fatal => FATAL_ERROR_CLASS,
             Self::Encoding | Self::Statement(_) | Self::Syntax(_) => SYNTAX_ERROR_CLASS,
             _ => USER_ERROR_CLASS,
         };
@@ -187,10 +206,10 @@
     pub fn put_foreign(&self, foreign: ForeignProtocol, out: &mut BytesMut) {
         match foreign {
             ForeignProtocol::Tls => out.put_slice(&TLS_ALERT),
-            ForeignProtocol::Protocol(Protocol::Postgres, _) => self.put_postgres("FATAL", out),
+            ForeignProtocol::Protocol(Protocol::Postgres, _) => self.put_postgres(Severity::Fatal, out),
             ForeignProtocol::Protocol(Protocol::Tds, _) => {
                 let mut payload = BytesMut::new();
-                self.put_tds(DoneKind::Batch, true, &mut payload);
+                self.put_tds(DoneKind::Batch, Severity::Fatal, &mut payload);
                 put_message(out, PacketType::Result, Status::default(), &payload, PACKET_SIZE);
             }
         }
--- a/src/net/frontend/postgres.rs
+++ b/src/net/frontend/postgres.rs
@@ -2,7 +2,7 @@
 
 use super::cancel::CancelKey;
 use super::conversation::{ClientEvent, Conversation};
-use super::fault::{Fault, ForeignProtocol};
+use super::fault::{Fault, ForeignProtocol, Severity};
 use crate::net::messages::Value;
 use crate::pgwire::{self, FrontendMessage, Startup};
 use crate::protocol::Protocol;
@@ -82,7 +82,8 @@
             }
             FrontendMessage::Extended if !self.is_skipping => {
                 self.is_skipping = true;
-                Fault::Unsupported("only simple queries are served".to_owned()).put_postgres("ERROR", out);
+                Fault::Unsupported("only simple queries are served".to_owned())
+                    .put_postgres(Severity::Error, out);
                 None
             }
             FrontendMessage::Sync => {
@@ -143,14 +144,14 @@
     }
 
     fn write_fault(&mut self, fault: &Fault, out: &mut BytesMut) {
-        fault.put_postgres("ERROR", out);
+        fault.put_postgres(Severity::Error, out);
         pgwire::ready(out);
     }
 
     fn write_fatal(&mut self, fault: &Fault, out: &mut BytesMut) {
         match fault {
             Fault::WrongProtocol(foreign) => fault.put_foreign(*foreign, out),
-            _ => fault.put_postgres("FATAL", out),
+            _ => fault.put_postgres(Severity::Fatal, out),
         }
     }
 }
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -16,18 +16,18 @@
 /// # Errors
 /// When it has another form, names an unknown class or one that it doesn't fit, or lacks what this installation requires:
 /// a tenant if the settings have tenants, an idempotency key if its class needs one.
-pub(super) fn read(text: Bytes, names: &Names) -> Result<Request, Fault> {
-    let words = std::str::from_utf8(&text).map_err(|_| Fault::Encoding)?;
-    let KvStatement { write, key, value_at, comment } =
-        KvStatement::parse(words).map_err(Fault::Statement)?;
-    let class = names.classes.iter().position(|class| class.open && class.name == comment.class);
-    let class = class.ok_or_else(|| Fault::Invalid(InvalidRequest::UnknownClass(comment.class.clone())))?;
-    let form = &names.classes[class];
-    if form.write != write {
-        let does = if form.write { "writes" } else { "reads" };
-        return Err(Fault::Invalid(InvalidRequest::ClassMismatch { class: form.name.clone(), does }));
+pub(super) fn parse(text: Bytes, names: &Names) -> Result<Request, Fault> {
+    let statement = std::str::from_utf8(&text).map_err(|_| Fault::Encoding)?;
+    let KvStatement { write: is_write, key, value_at, comment } =
+        KvStatement::parse(statement).map_err(Fault::Statement)?;
+    let index = names.classes.iter().position(|class| class.open && class.name == comment.class);
+    let index = index.ok_or_else(|| Fault::Invalid(InvalidRequest::UnknownClass(comment.class.clone())))?;
+    let class = &names.classes[index];
+    if class.write != is_write {
+        let does = if class.write { "writes" } else { "reads" };
+        return Err(Fault::Invalid(InvalidRequest::ClassMismatch { class: class.name.clone(), does }));
     }
-    if form.keyed && comment.key.is_none() {
+    if class.keyed && comment.key.is_none() {
         return Err(Fault::Statement(StatementError::Lacks("k")));
     }
     if comment.tenant.is_none() && names.has_tenants() {
@@ -35,18 +35,17 @@
     }
     // A tenant that the settings do not name has no quota: the router gives it full weight.
     let tenant = comment.tenant.as_deref().and_then(|name| names.tenant(name));
-    let last_write = comment.after_ms.filter(|ms| *ms > 0.0).map(|ms| Timestamp((ms * 1e3) as i64));
-    let session = Some(SessionId::of(key));
+    let last_write_at = comment.after_ms.filter(|ms| *ms > 0.0).map(|ms| Timestamp((ms * 1e3) as i64));
+    let timeout = Duration::try_from_secs_f64(comment.wait_ms / 1e3);
     Ok(Request {
-        class,
+        class: index,
         tenant: tenant.unwrap_or(names.tenants.len()),
         group: comment.group,
-        is_write: write,
-        session,
+        is_write,
+        session: Some(SessionId::of(key)),
         is_client_retry: comment.again,
-        last_write_at: last_write,
-        timeout: Duration::try_from_secs_f64(comment.wait_ms / 1e3)
-            .map_or(MAX_TIMEOUT, |d| d.min(MAX_TIMEOUT)),
+        last_write_at,
+        timeout: timeout.map_or(MAX_TIMEOUT, |timeout| timeout.min(MAX_TIMEOUT)),
         name: comment.id,
         statement: Statement { timeout_range: comment.wait_at, value_range: value_at, text },
     })
--- a/src/net/frontend/tds/mod.rs
+++ b/src/net/frontend/tds/mod.rs
@@ -5,7 +5,7 @@
 mod startup;
 
 use super::conversation::{ClientEvent, Conversation};
-use super::fault::{Fault, ForeignProtocol};
+use super::fault::{Fault, ForeignProtocol, Severity};
 use crate::net::messages::Value;
 use crate::protocol::Protocol;
 use bytes::BytesMut;
@@ -270,7 +270,7 @@
     fn write_fault(&mut self, fault: &Fault, out: &mut BytesMut) {
         let kind = if self.open.is_call { DoneKind::Proc } else { DoneKind::Batch };
         let mut payload = self.begin();
-        fault.put_tds(kind, false, &mut payload);
+        fault.put_tds(kind, Severity::Error, &mut payload);
         self.put(&payload, out);
     }
 
@@ -279,7 +279,7 @@
             Fault::WrongProtocol(foreign) => fault.put_foreign(*foreign, out),
             _ => {
                 let mut payload = BytesMut::new();
-                fault.put_tds(DoneKind::Batch, true, &mut payload);
+                fault.put_tds(DoneKind::Batch, Severity::Fatal, &mut payload);
                 self.put(&payload, out);
             }
         }
