--- a/adapter/src/wire/events.rs
+++ b/adapter/src/wire/events.rs
@@ -6,7 +6,7 @@
 use super::ListEntry;
 use base64::{engine::general_purpose::STANDARD, Engine};
 use std::collections::BTreeMap;
-use wheelpier_decisions::settings::micros;
+use wheelpier_decisions::settings::micros_from_seconds;
 use wheelpier_decisions::{
     AttemptResult, EndpointEntry, EndpointUpdate, Event, Outcome, Request, Role, SessionId, TimeDelta,
 };
@@ -150,7 +150,7 @@
 
 fn latency(fields: &mut Fields) -> Result<TimeDelta, WireError> {
     let seconds = fields.optional_number("lag")?.unwrap_or(0.0);
-    Ok(TimeDelta(micros(seconds)))
+    Ok(TimeDelta(micros_from_seconds(seconds)))
 }
 
 fn outcome(fields: &mut Fields) -> Result<Outcome, WireError> {
--- a/adapter/src/wire/mod.rs
+++ b/adapter/src/wire/mod.rs
@@ -15,7 +15,7 @@
 use instance::Instance;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
-use wheelpier_decisions::settings::{self, micros};
+use wheelpier_decisions::settings::{self, micros_from_seconds};
 use wheelpier_decisions::{Action, EndpointEntry, Event, HostId, HostState, RequestId, Router, Timestamp};
 
 /// Endpoint lists are numbered from 0 up to one less than this.
@@ -164,10 +164,10 @@
         let name = fields.text("router")?.to_owned();
         let seed = fields.u64("randomSeed")?;
         let invalid = |fields: &Fields, problem: String| fields.invalid("params", problem);
-        let (settings, reading) =
+        let (settings, report_format) =
             settings::read(fields.last("params")?).map_err(|error| invalid(fields, error.to_string()))?;
         let router = Router::new(settings, seed).map_err(|error| invalid(fields, error.to_string()))?;
-        self.instances.insert(name, Instance::new(router, reading));
+        self.instances.insert(name, Instance::new(router, report_format));
         Ok(())
     }
 
@@ -211,7 +211,7 @@
 fn read_list_entry(fields: &mut Fields) -> Result<ListEntry, WireError> {
     let weight = fields.optional_number("nominal")?.unwrap_or(1.0);
     let started = fields.optional_number("onlineSince")?.filter(|seconds| *seconds > 0.0);
-    let started_at = started.map(|seconds| Timestamp(micros(seconds)));
+    let started_at = started.map(|seconds| Timestamp(micros_from_seconds(seconds)));
     let _kind = fields.optional_text("kind")?;
     let zone = fields.count("regionPart")?;
     let listed_as_primary = fields.optional_number("leader")?.is_some_and(|value| value >= 0.5);
