--- a/src/net/frontend/connection_registry.rs
+++ b/src/net/frontend/connection_registry.rs
@@ -59,7 +59,7 @@
 
 /// One open connection, as its actor last described it.
 #[derive(Debug)]
-pub(crate) struct Status {
+pub(crate) struct ConnectionStatus {
     id: u64,
     protocol: Protocol,
     peer: Option<SocketAddr>,
@@ -73,7 +73,8 @@
     read_ms: AtomicU64,
 }
 
-impl Status {
+impl ConnectionStatus {
+    /// Returns what the actor was doing when it last said so.
     fn activity(&self) -> Activity {
         ACTIVITIES.get(usize::from(self.activity.load(Relaxed))).copied().unwrap_or(Activity::Startup)
     }
@@ -84,7 +85,7 @@
     }
 
     /// Returns how long ago bytes were last read, in milliseconds.
-    fn last_read_ms(&self) -> u64 {
+    fn last_read_ago_ms(&self) -> u64 {
         self.open_ms().saturating_sub(self.read_ms.load(Relaxed))
     }
 }
@@ -98,7 +99,7 @@
             peer = $status.peer.map(tracing::field::display),
             activity = %$status.activity(),
             open_ms = $status.open_ms(),
-            last_read_ms = $status.last_read_ms(),
+            last_read_ago_ms = $status.last_read_ago_ms(),
             open_requests = $status.open_requests.load(Relaxed),
             buffered_bytes = $status.buffered_bytes.load(Relaxed),
             $($fields)*
@@ -106,25 +107,26 @@
     };
 }
 
+/// The registry's state.
 #[derive(Debug, Default)]
-struct State {
+struct OpenConnections {
     /// The number of the latest connection.
     last_id: u64,
     /// The open connections by number, and so by age.
-    open: BTreeMap<u64, Arc<Status>>,
+    open: BTreeMap<u64, Arc<ConnectionStatus>>,
 }
 
 /// All open client connections of this process; copies share them.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ConnectionRegistry(Arc<Mutex<State>>);
+pub(crate) struct ConnectionRegistry(Arc<Mutex<OpenConnections>>);
 
 impl ConnectionRegistry {
     /// Adds a connection that was just accepted, until its entry is dropped.
     pub fn enter(&self, protocol: Protocol, peer: Option<SocketAddr>) -> ConnectionEntry {
-        let mut state = self.state();
-        state.last_id += 1;
-        let status = Arc::new(Status {
-            id: state.last_id,
+        let mut connections = self.connections();
+        connections.last_id += 1;
+        let status = Arc::new(ConnectionStatus {
+            id: connections.last_id,
             protocol,
             peer,
             accepted_at: Instant::now(),
@@ -133,13 +135,13 @@
             buffered_bytes: AtomicUsize::new(0),
             read_ms: AtomicU64::new(0),
         });
-        state.open.insert(status.id, Arc::clone(&status));
+        connections.open.insert(status.id, Arc::clone(&status));
         ConnectionEntry { status, registry: self.clone() }
     }
 
     /// Logs which connections are still open since a drain of this kind began. Returns whether there are any.
     pub(super) fn log_open(&self, kind: &str, started_at: Instant) -> bool {
-        let open: Vec<Arc<Status>> = self.state().open.values().cloned().collect();
+        let open: Vec<Arc<ConnectionStatus>> = self.connections().open.values().cloned().collect();
         let mut counts: BTreeMap<Activity, usize> = BTreeMap::new();
         for status in &open {
             *counts.entry(status.activity()).or_default() += 1;
@@ -160,7 +162,7 @@
         !open.is_empty()
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn connections(&self) -> MutexGuard<'_, OpenConnections> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -168,19 +170,14 @@
 /// A connection's entry in the registry, removed on drop.
 #[derive(Debug)]
 pub(crate) struct ConnectionEntry {
-    status: Arc<Status>,
+    status: Arc<ConnectionStatus>,
     registry: ConnectionRegistry,
 }
 
 impl ConnectionEntry {
-    /// Records what the actor does now.
-    pub fn set(&self, activity: Activity) {
-        self.status.activity.store(activity as u8, Relaxed);
-    }
-
     /// Records what the actor does now and what it holds.
     pub fn update(&self, activity: Activity, open_requests: usize, buffered_bytes: usize, read_at: Instant) {
-        self.set(activity);
+        self.status.activity.store(activity as u8, Relaxed);
         self.status.open_requests.store(open_requests, Relaxed);
         self.status.buffered_bytes.store(buffered_bytes, Relaxed);
         let read = read_at.saturating_duration_since(self.status.accepted_at);
@@ -200,6 +197,6 @@
 
 impl Drop for ConnectionEntry {
     fn drop(&mut self) {
-        self.registry.state().open.remove(&self.status.id);
+        self.registry.connections().open.remove(&self.status.id);
     }
 }
--- a/src/net/frontend/drain_report.rs
+++ b/src/net/frontend/drain_report.rs
@@ -25,7 +25,7 @@
 
     /// Returns what a report is about: the shutdown, or else the quiesce call.
     fn reported(self) -> Option<(&'static str, Instant)> {
-        let shutdown = self.terminated_at.map(|started_at| ("drain", started_at));
+        let shutdown = self.terminated_at.map(|started_at| ("shutdown", started_at));
         shutdown.or(self.quiesced_at.map(|started_at| ("quiesce", started_at)))
     }
 }
