--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -105,15 +105,15 @@
     let memory = Memory::new(budget, config.plan.clone(), clock);
     let rejections = Rejections::new(Arc::clone(&counters), clock);
     let shared = Shared { clock, events, counters: Arc::clone(&counters), rejections, memory };
-    let context = shared.client_context(&config, &admin, current_settings, reclaimed);
+    let clients = shared.client_context(&config, &admin, current_settings, reclaimed);
     let core = shared.core(&config, ready)?;
     let console =
         console.map(|listener| tokio::spawn(console::serve(listener, admin.clone(), config.limits.callers)));
     let background = BackgroundChannels { discovery_addresses, reloads, settings, reclaims };
-    let mut background = background.spawn(&config, shared, &admin, context.connections.clone());
+    let mut background = background.spawn(&config, shared, &admin, clients.connections.clone());
     background.extend(console);
     Ok(Server {
-        acceptor: tokio::spawn(frontend::Acceptor::new(listeners, context).run()),
+        acceptor: tokio::spawn(frontend::Acceptor::new(listeners, clients).run()),
         core: tokio::spawn(core.run(mailbox)),
         channels: Channels { discovery, reloaded, draining, drain_changes },
         config,
