--- /dev/null
+++ b/crates/decisions/src/load/circuit_breaker.rs
@@ -0,0 +1,56 @@
+//! Ejection of a host that fails: for longer with each further failure, until its next response.
+
+use crate::interface::{TimeDelta, Timestamp};
+
+#[cfg(test)]
+mod tests;
+
+/// The ejection time is doubled at most so many times.
+const MAX_DOUBLINGS: u32 = 6;
+/// Failures in a row from which on the host itself is at fault; fewer may be faults of single connections.
+const REPEATED_FAILURES: u32 = 3;
+
+/// The circuit breaker of one host: open while the host is ejected.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct CircuitBreaker {
+    consecutive_failures: u32,
+    open_until: Timestamp,
+}
+
+impl CircuitBreaker {
+    /// Returns whether the host has failed since its last response.
+    pub fn is_failing(&self) -> bool {
+        self.consecutive_failures > 0
+    }
+
+    /// Returns whether the host has failed at least three times since its last response.
+    pub fn is_failing_repeatedly(&self) -> bool {
+        self.consecutive_failures >= REPEATED_FAILURES
+    }
+
+    /// Returns whether the host is ejected at `now`.
+    pub fn is_open(&self, now: Timestamp) -> bool {
+        self.is_failing() && now < self.open_until
+    }
+
+    /// Closes the breaker: the host has responded.
+    pub fn record_response(&mut self) {
+        self.consecutive_failures = 0;
+    }
+
+    /// Opens the breaker for `base`, doubled with each failure since the last response, and for `longest` at most.
+    /// An ejection that already lasts longer stands.
+    pub fn record_failure(&mut self, now: Timestamp, base: TimeDelta, longest: TimeDelta) {
+        self.consecutive_failures += 1;
+        let doublings = (self.consecutive_failures - 1).min(MAX_DOUBLINGS);
+        let ejection = TimeDelta(base.0 << doublings).min(longest);
+        self.open_until = self.open_until.max(now + ejection);
+    }
+
+    /// Records that an attempt starts. A failing host gets one at a time, so its breaker is open for `span` anew.
+    pub fn probe_started(&mut self, now: Timestamp, span: TimeDelta) {
+        if self.is_failing() {
+            self.open_until = now + span;
+        }
+    }
+}
