--- a/crates/decisions/src/routing/mod.rs
+++ b/crates/decisions/src/routing/mod.rs
@@ -10,7 +10,7 @@
 use crate::interface::*;
 use crate::load::{CircuitBreaker, DecayingAverage, GroupLatency, GroupTraffic, LatencyEstimate};
 use crate::settings::validate;
-use crate::state::host_clock::AHEAD_US;
+use crate::state::host_clock::MAX_POSITION_LEAD;
 use crate::state::session_positions::SessionPositions;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -323,7 +323,7 @@
         let token = match class.freshness {
             Freshness::Fresh => LogPosition(self.now.0),
             Freshness::Session if self.s.write_positions_tracked => {
-                self.sessions.need(r.session, r.group, self.now)
+                self.sessions.required_position(r.session, r.group, self.now)
             }
             Freshness::Session => match r.time_since_write {
                 Some(ago) if ago.0 > 0 => LogPosition(self.now.0 - ago.0 + ROUNDING_US),
@@ -374,10 +374,10 @@
         );
         if let Some((key, group)) = attempt.writes {
             // No commit is ahead of the clock, but a session must not lose its token for such a one either.
-            let commit = r.position.map(|commit| commit.min(LogPosition(self.now.0 + AHEAD_US)));
+            let commit = r.position.map(|commit| commit.min(LogPosition(self.now.0 + MAX_POSITION_LEAD.0)));
             let later = Timestamp(self.now.0 + self.s.classes[attempt.class].deadline.0);
             let commit = commit.filter(|_| r.outcome == Outcome::Ok);
-            self.sessions.ended(key, group, commit, (!unrun).then_some(later));
+            self.sessions.write_ended(key, group, commit, (!unrun).then_some(later));
         }
         if let Some(open) = self.open.get_mut(&r.id) {
             open.out -= 1;
@@ -452,7 +452,7 @@
     /// Takes what an answer says. A position is a lower bound that only rises; of roles the newest wins.
     fn learn(&mut self, id: HostId, position: Option<LogPosition>, role: Option<Role>, at: Timestamp) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
-        if let Some(position) = position.filter(|p| p.0 <= self.now.0 + AHEAD_US) {
+        if let Some(position) = position.filter(|p| p.0 <= self.now.0 + MAX_POSITION_LEAD.0) {
             (host.heard, host.known) = (Some(self.now), host.known.max(position));
         }
         let group = host.group;
@@ -471,7 +471,7 @@
     /// A report is as old as the position in it.
     fn learn_report(&mut self, id: HostId, report: LoadReport) {
         let at = Timestamp(report.position.map_or(i64::MIN, |position| position.0));
-        if at.0 > self.now.0 + AHEAD_US {
+        if at.0 > self.now.0 + MAX_POSITION_LEAD.0 {
             return;
         }
         self.learn(id, report.position, report.role, at);
@@ -759,7 +759,7 @@
             self.s.write_positions_tracked && self.s.classes[open.class].freshness == Freshness::Write;
         let writes = open.session.filter(|_| write).map(|key| (key, open.group));
         if let Some((key, group)) = writes.filter(|_| !checks) {
-            self.sessions.sent(key, group, self.now);
+            self.sessions.write_sent(key, group, self.now);
         }
         let attempt = Attempt { host: host_id, class: open.class, sent: self.now, dropped: false, writes };
         self.out.insert((id, number), attempt);
--- a/crates/decisions/src/routing/rebase.rs
+++ b/crates/decisions/src/routing/rebase.rs
@@ -1,7 +1,7 @@
 //! What the router knows in the hosts' time, when the difference between that and its own is set anew.
 
 use super::Router;
-use crate::interface::{LogPosition, Timestamp};
+use crate::interface::{LogPosition, TimeDelta, Timestamp};
 
 impl Router {
     /// The hosts' clock turned out to be further ahead by `shift_us` than was held: what was derived from it moves. Whatever
@@ -21,7 +21,7 @@
         }
         if shift_us < 0 {
             // Commits that were kept look older now than they are.
-            self.sessions.shift(-shift_us);
+            self.sessions.shift(TimeDelta(-shift_us));
             for open in self.open.values_mut().filter(|open| open.token.0 != i64::MIN) {
                 open.token = open.token.max(LogPosition(now.0));
             }
--- a/crates/decisions/src/state/background.rs
+++ b/crates/decisions/src/state/background.rs
@@ -1,130 +1,142 @@
-//! Background work: what can wait, done a little at a time, so that it delays no request.
+//! A scheduler for background jobs: work that can wait, done in small steps so that it delays no request.
 //!
-//! Jobs are told how long they may take and say whether they are done. Each turn has a budget; the priorities share it
-//! by their weights (deficit round robin, Shreedhar, Varghese 1995), so that the least urgent work goes on too. The clock
-//! is the caller's.
+//! A job is told how long its step may take and returns whether it is finished. Each run has a time budget that the
+//! priorities share by weight (deficit round robin, Shreedhar, Varghese 1995), so that the least urgent jobs make progress
+//! too. The caller supplies the clock.
 
-use crate::interface::Timestamp;
+use crate::interface::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
 
 /// How urgent a job is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Room is lacking: evictions.
+    /// Memory is lacking: evictions.
     Urgent,
-    /// Trimming, retiring hosts.
+    /// Trimming tables and retiring hosts.
     Normal,
-    /// Reports, flushing logs.
+    /// Reports and flushing of logs.
     Idle,
 }
 
 const PRIORITIES: usize = 3;
-/// Parts of a turn for each priority, where all have work.
+/// Weight of each priority among those that have jobs.
 const WEIGHTS: [i64; PRIORITIES] = [8, 3, 1];
-/// Unused time is saved up to so many turns' worth.
-const SAVED: i64 = 4;
+/// A priority saves up unused time for this many runs.
+const MAX_SAVED_RUNS: i64 = 4;
 
-/// What a job says after a step.
+/// What a job returns after a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// There is nothing left to do.
+    /// The job is finished.
     Done,
-    /// It goes on at its next turn.
+    /// The job needs further steps.
     More,
 }
 
-/// A piece of work. It is told how long it may take and does about so much.
-pub type Job<C> = Box<dyn FnMut(&mut C, Timestamp) -> Step + Send>;
+/// A job over a state `C`. Each call does a step of about the given time.
+pub type Job<C> = Box<dyn FnMut(&mut C, TimeDelta) -> Step + Send>;
 
+/// The jobs of one priority.
 struct Queue<C> {
     jobs: VecDeque<Job<C>>,
-    /// Microseconds that it may use.
+    /// Microseconds that the jobs may use; negative after a step that took too long.
     credit: i64,
 }
 
-/// Jobs over some state `C`.
+impl<C> Queue<C> {
+    fn new() -> Self {
+        Self { jobs: VecDeque::new(), credit: 0 }
+    }
+
+    fn add_credit(&mut self, share: i64) {
+        if self.jobs.is_empty() {
+            self.credit = 0;
+            return;
+        }
+        self.credit = (self.credit + share).min(MAX_SAVED_RUNS * share.max(1));
+    }
+}
+
+/// Schedules jobs over a state `C`.
 pub struct Background<C> {
     queues: [Queue<C>; PRIORITIES],
-    most: usize,
+    max_jobs: usize,
 }
 
-/// What a turn came to.
+/// What a run did.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Turn {
+pub struct RunSummary {
     /// Steps taken.
     pub steps: u32,
-    /// Timestamp used.
-    pub used: Timestamp,
-    /// Jobs that are left.
-    pub left: usize,
+    /// Time used.
+    pub used: TimeDelta,
+    /// Unfinished jobs.
+    pub remaining_jobs: usize,
 }
 
 impl<C> Background<C> {
-    /// Holds so many jobs at most.
-    pub fn new(most: usize) -> Self {
-        let queue = || Queue { jobs: VecDeque::new(), credit: 0 };
-        Self { queues: [queue(), queue(), queue()], most }
+    /// Returns a scheduler that holds up to `max_jobs` jobs.
+    pub fn new(max_jobs: usize) -> Self {
+        Self { queues: [Queue::new(), Queue::new(), Queue::new()], max_jobs }
     }
 
     /// Adds a job.
     ///
     /// # Errors
-    /// When there are too many; the job comes back.
+    /// Returns the job if there are too many.
     pub fn add(&mut self, priority: Priority, job: Job<C>) -> Result<(), Job<C>> {
-        if self.len() >= self.most {
+        if self.len() >= self.max_jobs {
             return Err(job);
         }
         self.queues[priority as usize].jobs.push_back(job);
         Ok(())
     }
 
-    /// Jobs that wait.
+    /// Returns the number of unfinished jobs.
     pub fn len(&self) -> usize {
         self.queues.iter().map(|queue| queue.jobs.len()).sum()
     }
 
-    /// Whether none does.
+    /// Returns whether there is no job.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Works for about `budget`; `clock` tells the time. The most urgent work comes first, but each priority that has
-    /// work saves up its part of every turn until it can take a step.
-    pub fn turn(&mut self, state: &mut C, budget: Timestamp, mut clock: impl FnMut() -> Timestamp) -> Turn {
+    /// Runs jobs for about `budget`, the most urgent first. Each priority with jobs saves up its share of every run until
+    /// it can take a step.
+    pub fn run(
+        &mut self,
+        state: &mut C,
+        budget: TimeDelta,
+        mut clock: impl FnMut() -> Timestamp,
+    ) -> RunSummary {
         let start = clock();
-        let mut turn = Turn::default();
-        let busy: i64 = self.weights().sum();
-        for (queue, weight) in self.queues.iter_mut().zip(WEIGHTS) {
-            match queue.jobs.is_empty() {
-                true => queue.credit = 0,
-                false => {
-                    let part = budget.0 * weight / busy.max(1);
-                    queue.credit = (queue.credit + part).min(SAVED * part.max(1));
-                }
-            }
-        }
+        self.distribute(budget);
+        let mut steps = 0;
         for queue in &mut self.queues {
             while queue.credit > 0 {
                 let Some(mut job) = queue.jobs.pop_front() else { break };
-                let before = clock();
-                let step = job(state, Timestamp(queue.credit));
-                let took = (clock().0 - before.0).max(1);
-                queue.credit -= took;
-                turn.steps += 1;
+                let step_start = clock();
+                let step = job(state, TimeDelta(queue.credit));
+                queue.credit -= (clock() - step_start).0.max(1);
+                steps += 1;
                 if step == Step::More {
                     queue.jobs.push_back(job);
                 }
-                if clock().0 - start.0 >= budget.0 {
+                if clock() - start >= budget {
                     break;
                 }
             }
         }
-        turn.used = Timestamp(clock().0 - start.0);
-        turn.left = self.len();
-        turn
+        RunSummary { steps, used: clock() - start, remaining_jobs: self.len() }
     }
 
-    fn weights(&self) -> impl Iterator<Item = i64> + '_ {
-        self.queues.iter().zip(WEIGHTS).filter(|(queue, _)| !queue.jobs.is_empty()).map(|(_, weight)| weight)
+    /// Gives each priority with jobs its share of a run's budget.
+    fn distribute(&mut self, budget: TimeDelta) {
+        let weighted = self.queues.iter().zip(WEIGHTS).filter(|(queue, _)| !queue.jobs.is_empty());
+        let total_weight: i64 = weighted.map(|(_, weight)| weight).sum();
+        for (queue, weight) in self.queues.iter_mut().zip(WEIGHTS) {
+            queue.add_credit(budget.0 * weight / total_weight.max(1));
+        }
     }
 }
--- a/crates/decisions/src/state/heavy_hitters.rs
+++ b/crates/decisions/src/state/heavy_hitters.rs
@@ -1,73 +1,82 @@
-//! Who holds most: a Space-Saving sketch (Metwally, Agrawal, El Abbadi 2005) over holders and their bytes.
+//! The largest holders of a resource: a Space-Saving sketch (Metwally, Agrawal, El Abbadi 2005).
 //!
-//! It keeps so many counters, whatever the number of holders. A holder that weighs more than the total divided by the
-//! number of counters is always among them; a count is too high by at most its error, and never too low.
+//! The number of counters is fixed, whatever the number of holders. A holder with more than the total divided by the
+//! number of counters always has one; a count is too high by at most its error, and never too low.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// A holder, and what it holds at the most and at the least.
+/// A holder, with the bounds of what it holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeavyHitter<T> {
-    /// Who.
+    /// The holder.
     pub holder: T,
-    /// At the most.
+    /// Upper bound of what it holds.
     pub count: u64,
-    /// By so much it may be less.
+    /// Difference between the upper and the lower bound.
     pub error: u64,
 }
 
-/// The sketch.
+/// Counts what holders take, exactly for the largest and approximately for the rest.
 #[derive(Clone, Debug)]
 pub struct HeavyHitters<T> {
     counters: Vec<HeavyHitter<T>>,
-    places: HashMap<T, usize>,
-    most: usize,
+    counter_indices: HashMap<T, usize>,
+    capacity: usize,
     total: u64,
 }
 
 impl<T: Copy + Eq + Hash> HeavyHitters<T> {
-    /// With so many counters.
+    /// Returns an empty sketch with this many counters; at least 1.
     pub fn new(counters: usize) -> Self {
-        let most = counters.max(1);
-        Self { counters: Vec::with_capacity(most), places: HashMap::with_capacity(most), most, total: 0 }
+        let capacity = counters.max(1);
+        Self {
+            counters: Vec::with_capacity(capacity),
+            counter_indices: HashMap::with_capacity(capacity),
+            capacity,
+            total: 0,
+        }
     }
 
-    /// A holder has taken so much more.
+    /// Adds an amount to what a holder has taken.
     pub fn add(&mut self, holder: T, amount: u64) {
         self.total += amount;
-        if let Some(at) = self.places.get(&holder) {
-            self.counters[*at].count += amount;
+        if let Some(index) = self.counter_indices.get(&holder) {
+            self.counters[*index].count += amount;
             return;
         }
-        if self.counters.len() < self.most {
-            self.places.insert(holder, self.counters.len());
+        if self.counters.len() < self.capacity {
+            self.counter_indices.insert(holder, self.counters.len());
             self.counters.push(HeavyHitter { holder, count: amount, error: 0 });
             return;
         }
-        // The least counter goes to the newcomer, with all that it had counted.
-        let least = (0..self.counters.len()).min_by_key(|at| self.counters[*at].count).unwrap_or(0);
-        let counter = &mut self.counters[least];
-        self.places.remove(&counter.holder);
+        self.replace_smallest(holder, amount);
+    }
+
+    /// Gives the smallest counter, with its count, to a holder that has none.
+    fn replace_smallest(&mut self, holder: T, amount: u64) {
+        let smallest = (0..self.counters.len()).min_by_key(|index| self.counters[*index].count).unwrap_or(0);
+        let counter = &mut self.counters[smallest];
+        self.counter_indices.remove(&counter.holder);
         *counter = HeavyHitter { holder, count: counter.count + amount, error: counter.count };
-        self.places.insert(holder, least);
+        self.counter_indices.insert(holder, smallest);
     }
 
-    /// All that was ever taken.
+    /// Returns the sum of all amounts.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// The heaviest, first those that hold most.
-    pub fn heaviest(&self, most: usize) -> Vec<HeavyHitter<T>> {
-        let mut all = self.counters.clone();
-        all.sort_by_key(|counter| std::cmp::Reverse(counter.count));
-        all.truncate(most);
-        all
+    /// Returns up to `limit` of the largest holders, the largest first.
+    pub fn heaviest(&self, limit: usize) -> Vec<HeavyHitter<T>> {
+        let mut counters = self.counters.clone();
+        counters.sort_by_key(|counter| std::cmp::Reverse(counter.count));
+        counters.truncate(limit);
+        counters
     }
 
-    /// Halves all counts, so that what was long ago weighs less.
-    pub fn fade(&mut self) {
+    /// Halves all counts, so that older amounts weigh less.
+    pub fn halve(&mut self) {
         self.total /= 2;
         for counter in &mut self.counters {
             counter.count /= 2;
--- a/crates/decisions/src/state/host_clock.rs
+++ b/crates/decisions/src/state/host_clock.rs
@@ -1,178 +1,198 @@
-//! How far the hosts' clock is ahead of this machine's, as their answers show it. Positions, starts and the times of
-//! writes that clients tell are moments of the hosts' clock; everything else here runs on this machine's. No decision may
-//! rest on the two being set alike: the wall clock of a machine may be an hour off when its process starts.
+//! The offset of the hosts' clock from this machine's, estimated from answers.
 //!
-//! Until the hosts show otherwise the clocks are held to agree. A primary stands at the present, so its answer to a request
-//! bounds the difference from above (by the moment of the send) and any position from below (by the moment of the receipt).
-//! The difference is only set anew when more hosts contradict it than support it, each over several answers that agree with
-//! one another, one of them a primary: a single host whose positions are wrong moves nothing.
+//! Positions, start times and the times of writes that clients give are points in time of the hosts' clock; everything
+//! else here is on this machine's. No decision may assume that the two agree: a machine's wall clock may be an hour off
+//! when its process starts.
 //!
-//! The difference is chosen from above. If it is too large, positions look older than they are, and reads go to the
-//! primary; if it were too small, replicas would look fresher than they are.
+//! The offset is zero until answers contradict it. A primary's position is current, so its answer bounds the offset from
+//! above, by the time of the send; any position bounds it from below, by the time of the receipt. The offset changes only
+//! when more hosts contradict it than support it, each with several consistent answers and one of them a primary: a
+//! single host with wrong positions changes nothing.
+//!
+//! The offset is the largest that the bounds allow. One that is too large makes positions look older than they are, and
+//! reads go to the primary; one that is too small would make replicas look fresher than they are.
 
-use crate::interface::{HostId, LogPosition, Role, Timestamp};
+use crate::interface::{HostId, LogPosition, Role, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// A position may be ahead of the clock by so much: the clocks' own steps, and rounding.
-pub const AHEAD_US: i64 = 10_000;
-/// A primary whose answer is older than its request by so much contradicts the difference as it is held.
-const BEHIND_US: i64 = 100_000;
-/// Samples of one host agree if their differences do within this.
-const AGREEMENT_US: i64 = 250_000;
-/// A host contradicts from this many samples in a row on.
-const SAMPLES_EACH: u32 = 2;
-/// And all of them together from this many on.
-const SAMPLES: u32 = 3;
-/// What was heard longer ago than this counts no more.
-const WINDOW_US: i64 = 10_000_000;
-
-/// What an answer tells of its host's clock. The position is the host's, the two moments are this machine's.
+/// How far a position may be ahead of the clock: rounding, and the clock's own steps.
+pub const MAX_POSITION_LEAD: TimeDelta = TimeDelta::from_millis(10);
+/// A primary whose position is older than its request by more than this contradicts the offset.
+const MAX_PRIMARY_LAG: TimeDelta = TimeDelta::from_millis(100);
+/// Samples of one host are consistent if their lower bounds differ by no more than this.
+const MAX_SAMPLE_SPREAD: TimeDelta = TimeDelta::from_millis(250);
+/// Consistent samples in a row from which on a host contradicts the offset.
+const MIN_SAMPLES_PER_HOST: u32 = 2;
+/// Samples of all contradicting hosts together that a change of the offset takes.
+const MIN_SAMPLES: u32 = 3;
+/// Age beyond which evidence is dropped.
+const MAX_EVIDENCE_AGE: TimeDelta = TimeDelta::from_secs(10);
+
+/// What an answer says about its host's clock. The position is on the hosts' clock, the times are on this machine's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sample {
-    /// The position.
+    /// The position that the answer carries.
     pub position: LogPosition,
-    /// Who the host says it is.
+    /// The host's role, if the answer carries it.
     pub role: Option<Role>,
-    /// When the last byte of the request was written; none for a report, which may be older than its request.
+    /// When the last byte of the request was written; `None` for a load report, which may be older than its request.
     pub sent: Option<Timestamp>,
-    /// When the answer was taken.
+    /// When the answer was received.
     pub received: Timestamp,
 }
 
 impl Sample {
-    /// The least difference that allows for it.
-    fn low(&self) -> i64 {
+    /// Returns the smallest offset that is consistent with the sample, in microseconds.
+    fn lower_bound(&self) -> i64 {
         self.position.0.saturating_sub(self.received.0)
     }
 
-    /// The greatest difference that allows for it, if it tells one.
-    fn high(&self) -> Option<i64> {
+    /// Returns the largest offset that is consistent with the sample, in microseconds, if it bounds the offset from
+    /// above.
+    fn upper_bound(&self) -> Option<i64> {
         let sent = self.sent.filter(|_| self.role == Some(Role::Primary))?;
         Some(self.position.0.saturating_sub(sent.0))
     }
 }
 
-/// What a sample says about the difference as it is held.
+/// How a sample relates to the current offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Opinion {
-    /// The hosts' clock is further ahead.
-    Ahead,
-    /// It is less far ahead.
-    Behind,
-    /// It is where it is held to be.
+enum Verdict {
+    /// The offset is too small.
+    TooSmall,
+    /// The offset is too large.
+    TooLarge,
+    /// The offset is consistent with the sample.
     Supports,
-    /// A position in the past tells nothing: its host may lag.
-    Silent,
+    /// The position is old, which says nothing: its host may lag.
+    Inconclusive,
 }
 
+/// The last consistent samples of one host.
 #[derive(Clone, Copy, Debug)]
 struct Evidence {
-    at: Timestamp,
-    opinion: Opinion,
-    low: i64,
-    high: Option<i64>,
-    /// Samples in a row that said so and agree.
+    received: Timestamp,
+    verdict: Verdict,
+    /// The highest of the samples' lower bounds, in microseconds.
+    lower_bound: i64,
+    /// The lowest of the samples' upper bounds, in microseconds.
+    upper_bound: Option<i64>,
     samples: u32,
 }
 
-/// The difference between the clocks. As large as there are hosts that were heard lately.
+impl Evidence {
+    fn new(sample: &Sample, verdict: Verdict) -> Self {
+        Self {
+            received: sample.received,
+            verdict,
+            lower_bound: sample.lower_bound(),
+            upper_bound: sample.upper_bound(),
+            samples: 1,
+        }
+    }
+
+    fn is_expired(&self, now: Timestamp) -> bool {
+        now.0.saturating_sub(self.received.0) > MAX_EVIDENCE_AGE.0
+    }
+
+    fn is_consistent_with(&self, new: &Self) -> bool {
+        self.verdict == new.verdict
+            && (self.lower_bound - new.lower_bound).abs() <= MAX_SAMPLE_SPREAD.0
+            && !self.is_expired(new.received)
+    }
+
+    fn merge(self, new: &Self) -> Self {
+        Self {
+            lower_bound: self.lower_bound.max(new.lower_bound),
+            upper_bound: self.upper_bound.into_iter().chain(new.upper_bound).min(),
+            samples: self.samples.saturating_add(1),
+            ..*new
+        }
+    }
+
+    fn contradicts(&self) -> bool {
+        matches!(self.verdict, Verdict::TooSmall | Verdict::TooLarge) && self.samples >= MIN_SAMPLES_PER_HOST
+    }
+}
+
+/// The estimated offset, with the recent evidence of each host.
 #[derive(Clone, Debug, Default)]
 pub struct HostClock {
-    offset_us: i64,
-    hosts: BTreeMap<HostId, Evidence>,
+    offset: TimeDelta,
+    evidence: BTreeMap<HostId, Evidence>,
 }
 
 impl HostClock {
-    /// A moment of the hosts' clock in this machine's.
-    pub fn local(&self, moment: Timestamp) -> Timestamp {
-        Timestamp(moment.0.saturating_sub(self.offset_us))
+    /// Converts a point in time of the hosts' clock to this machine's.
+    pub fn to_local(&self, time: Timestamp) -> Timestamp {
+        Timestamp(time.0.saturating_sub(self.offset.0))
     }
 
-    /// A position in this machine's time.
-    pub fn local_position(&self, position: LogPosition) -> LogPosition {
-        LogPosition(position.0.saturating_sub(self.offset_us))
+    /// Converts a position to this machine's clock.
+    pub fn to_local_position(&self, position: LogPosition) -> LogPosition {
+        LogPosition(position.0.saturating_sub(self.offset.0))
     }
 
-    /// How far the hosts' clock is held to be ahead, in microseconds.
-    pub fn offset_us(&self) -> i64 {
-        self.offset_us
+    /// Returns how far the hosts' clock is ahead of this machine's.
+    pub fn offset(&self) -> TimeDelta {
+        self.offset
     }
 
-    /// Whether a host's positions have contradicted the difference several times, so that they tell nothing for now.
-    pub fn is_in_doubt(&self, host: HostId) -> bool {
-        self.hosts
-            .get(&host)
-            .is_some_and(|evidence| evidence.opinion == Opinion::Ahead && evidence.samples >= SAMPLES_EACH)
+    /// Returns whether several samples of a host were ahead of the clock, so that its positions prove nothing for now.
+    pub fn distrusts(&self, host: HostId) -> bool {
+        let evidence = self.evidence.get(&host);
+        evidence.is_some_and(|evidence| evidence.verdict == Verdict::TooSmall && evidence.contradicts())
     }
 
-    /// Takes what an answer tells. If it sets the difference anew: by how much, in microseconds.
-    pub fn note(&mut self, host: HostId, sample: Sample) -> Option<i64> {
-        let opinion = self.opinion(&sample);
-        if opinion == Opinion::Silent {
+    /// Records what an answer of a host says. Returns by how much the offset grew if that changed it.
+    pub fn record(&mut self, host: HostId, sample: Sample) -> Option<TimeDelta> {
+        let verdict = self.verdict(&sample);
+        if verdict == Verdict::Inconclusive {
             return None;
         }
-        let last = self.hosts.get(&host).copied();
-        let (low, high) = (sample.low(), sample.high());
-        let agrees = |last: &Evidence| {
-            last.opinion == opinion
-                && (last.low - low).abs() <= AGREEMENT_US
-                && !is_old(last, sample.received)
-        };
-        let evidence = match last.filter(agrees) {
-            None => Evidence { at: sample.received, opinion, low, high, samples: 1 },
-            Some(last) => Evidence {
-                at: sample.received,
-                opinion,
-                low: last.low.max(low),
-                // The quickest answer tells most.
-                high: last.high.into_iter().chain(high).min(),
-                samples: last.samples.saturating_add(1),
-            },
-        };
-        self.hosts.insert(host, evidence);
-        if opinion == Opinion::Supports {
+        let new = Evidence::new(&sample, verdict);
+        let previous = self.evidence.get(&host).filter(|previous| previous.is_consistent_with(&new));
+        let evidence = previous.map_or(new, |previous| previous.merge(&new));
+        self.evidence.insert(host, evidence);
+        if verdict == Verdict::Supports {
             return None;
         }
-        self.hosts.retain(|_, evidence| !is_old(evidence, sample.received));
-        self.set_anew(opinion)
+        self.evidence.retain(|_, evidence| !evidence.is_expired(sample.received));
+        self.change_offset(verdict)
     }
 
-    fn opinion(&self, sample: &Sample) -> Opinion {
-        let behind = self.offset_us - BEHIND_US;
-        if sample.low() > self.offset_us + AHEAD_US {
-            Opinion::Ahead
-        } else if sample.high().is_some_and(|high| high < behind) {
-            Opinion::Behind
-        } else if sample.low() >= behind {
-            Opinion::Supports
+    fn verdict(&self, sample: &Sample) -> Verdict {
+        let lowest = self.offset.0 - MAX_PRIMARY_LAG.0;
+        if sample.lower_bound() > self.offset.0 + MAX_POSITION_LEAD.0 {
+            Verdict::TooSmall
+        } else if sample.upper_bound().is_some_and(|bound| bound < lowest) {
+            Verdict::TooLarge
+        } else if sample.lower_bound() >= lowest {
+            Verdict::Supports
         } else {
-            Opinion::Silent
+            Verdict::Inconclusive
         }
     }
 
-    /// Sets the difference anew if the hosts that say so are the most, and agree.
-    fn set_anew(&mut self, opinion: Opinion) -> Option<i64> {
-        let count =
-            |wanted: Opinion| self.hosts.values().filter(|evidence| evidence.opinion == wanted).count();
-        let contradicting =
-            || self.hosts.values().filter(|e| e.opinion == opinion && e.samples >= SAMPLES_EACH);
-        let samples: u32 = contradicting().map(|evidence| evidence.samples).sum();
-        let mut highs: Vec<i64> = contradicting().filter_map(|evidence| evidence.high).collect();
-        highs.sort_unstable();
-        let middle = *highs.get(highs.len() / 2)?;
-        // Whoever is ahead even of that is contradicted by the primaries.
-        let agreeing = contradicting().filter(|evidence| evidence.low <= middle + AHEAD_US).count();
-        let others = self.hosts.len() - agreeing - count(Opinion::Silent);
-        if samples < SAMPLES || agreeing <= others {
+    /// Changes the offset to the median upper bound if the hosts with this verdict are the majority and agree on it.
+    fn change_offset(&mut self, verdict: Verdict) -> Option<TimeDelta> {
+        let of_verdict = self.evidence.values().filter(|evidence| evidence.verdict == verdict);
+        let contradicting: Vec<&Evidence> = of_verdict.filter(|evidence| evidence.contradicts()).collect();
+        let samples: u32 = contradicting.iter().map(|evidence| evidence.samples).sum();
+        let mut upper_bounds: Vec<i64> =
+            contradicting.iter().filter_map(|evidence| evidence.upper_bound).collect();
+        upper_bounds.sort_unstable();
+        let median = *upper_bounds.get(upper_bounds.len() / 2)?;
+        // A host that is ahead even of the median is contradicted by the primaries.
+        let agrees = |evidence: &&&Evidence| evidence.lower_bound <= median + MAX_POSITION_LEAD.0;
+        let agreeing = contradicting.iter().filter(agrees).count();
+        let others = self.evidence.len() - agreeing;
+        if samples < MIN_SAMPLES || agreeing <= others {
             return None;
         }
-        let shift = middle - self.offset_us;
-        self.offset_us = middle;
-        self.hosts.clear();
-        Some(shift)
+        let change = TimeDelta(median - self.offset.0);
+        self.offset = TimeDelta(median);
+        self.evidence.clear();
+        Some(change)
     }
 }
-
-fn is_old(evidence: &Evidence, now: Timestamp) -> bool {
-    now.0.saturating_sub(evidence.at.0) > WINDOW_US
-}
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -1,4 +1,6 @@
-//! State made for the job: what it holds is bounded, and forgetting never makes a decision wrong.
+//! Data structures with bounded memory.
+//!
+//! Evicting what they hold never makes a decision wrong, only more cautious.
 
 pub mod background;
 pub mod heavy_hitters;
--- a/crates/decisions/src/state/session_positions.rs
+++ b/crates/decisions/src/state/session_positions.rs
@@ -1,20 +1,21 @@
-//! The last write of each session, in bounded memory.
+//! The position of each session's last write, in bounded memory.
 //!
-//! Generations of open-addressing tables: 16 bytes a slot, no allocation for an entry. When the newest is full the
-//! oldest is forgotten whole, and the floor of each set rises to the latest commit forgotten there: a session that is
-//! not known is held to have written then. So a read is never sent to a replica that lacks its session's write; at
-//! worst it waits for, or goes to, one that has more than it needs.
+//! Generations of open-addressing tables with 16 bytes a slot; an entry needs no allocation. When the newest generation is
+//! full, the oldest is evicted as a whole, and the floor of each replication group rises to the latest commit evicted
+//! there: an unknown session counts as having written at the floor.
+//!
+//! Invariant: the position returned for a session is never below its last write. Eviction can only raise it.
 
 use super::unconfirmed_writes::UnconfirmedWrites;
-use crate::interface::{LogPosition, SessionId, Timestamp};
+use crate::interface::{LogPosition, SessionId, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// Generations that are kept. More forget more exactly, and make a look-up longer.
-const GENERATIONS: usize = 4;
-/// Slots for each entry, in eighths: tables are at most five eighths full.
-const SLOTS_PER_ENTRY: (usize, usize) = (8, 5);
-/// No commit stands at this position: a slot that has it is empty.
-const NOWHERE: i64 = i64::MIN;
+/// Generations that are kept. With more of them an eviction loses less, and a look-up takes longer.
+const MAX_GENERATIONS: usize = 4;
+/// Entries that a table of eight slots holds at most.
+const MAX_ENTRIES_PER_8_SLOTS: usize = 5;
+/// The position of an empty slot; no commit has it.
+const NO_POSITION: i64 = i64::MIN;
 
 #[derive(Clone, Copy, Debug)]
 struct Slot {
@@ -22,176 +23,196 @@
     position: i64,
 }
 
-const EMPTY: Slot = Slot { session: 0, position: NOWHERE };
+impl Slot {
+    const EMPTY: Self = Self { session: 0, position: NO_POSITION };
+
+    fn is_empty(&self) -> bool {
+        self.position == NO_POSITION
+    }
+}
 
 #[derive(Clone, Debug)]
 struct Generation {
+    /// A power of two of them.
     slots: Box<[Slot]>,
     entries: usize,
-    /// The latest commit of each set among its entries.
-    latest: BTreeMap<u32, i64>,
+    /// The latest commit of each replication group among the entries.
+    latest_commits: BTreeMap<u32, i64>,
 }
 
 impl Generation {
     fn new(slots: usize) -> Self {
-        Self { slots: vec![EMPTY; slots].into(), entries: 0, latest: BTreeMap::new() }
+        Self { slots: vec![Slot::EMPTY; slots].into(), entries: 0, latest_commits: BTreeMap::new() }
     }
 
-    /// Where a session stands, or where it would.
-    fn place(&self, session: u64) -> usize {
+    fn clear(&mut self) {
+        self.slots.fill(Slot::EMPTY);
+        self.entries = 0;
+        self.latest_commits = BTreeMap::new();
+    }
+
+    /// Returns the index of a session's slot, or of the empty one that it would take.
+    fn slot_index(&self, session: u64) -> usize {
         let mask = self.slots.len() - 1;
         // Sessions are hashes already; the upper half is mixed in for the small tables.
-        let mut at = (session ^ (session >> 32)) as usize & mask;
-        while self.slots[at].position != NOWHERE && self.slots[at].session != session {
-            at = (at + 1) & mask;
+        let mut index = (session ^ (session >> 32)) as usize & mask;
+        while !self.slots[index].is_empty() && self.slots[index].session != session {
+            index = (index + 1) & mask;
         }
-        at
+        index
     }
 
     fn get(&self, session: u64) -> Option<i64> {
-        let slot = self.slots[self.place(session)];
-        (slot.position != NOWHERE).then_some(slot.position)
+        let slot = self.slots[self.slot_index(session)];
+        (!slot.is_empty()).then_some(slot.position)
     }
 
-    fn set(&mut self, session: u64, set: u32, position: i64) {
-        let at = self.place(session);
-        let slot = &mut self.slots[at];
-        if slot.position == NOWHERE {
+    fn raise(&mut self, session: u64, group: u32, position: i64) {
+        let index = self.slot_index(session);
+        let slot = &mut self.slots[index];
+        if slot.is_empty() {
             *slot = Slot { session, position };
             self.entries += 1;
         }
         slot.position = slot.position.max(position);
-        let latest = self.latest.entry(set).or_insert(position);
+        let latest = self.latest_commits.entry(group).or_insert(position);
         *latest = (*latest).max(position);
     }
+
+    fn shift(&mut self, delta: TimeDelta) {
+        for slot in self.slots.iter_mut().filter(|slot| !slot.is_empty()) {
+            slot.position = slot.position.saturating_add(delta.0);
+        }
+        for position in self.latest_commits.values_mut() {
+            *position = position.saturating_add(delta.0);
+        }
+    }
 }
 
-/// The sessions' last writes.
+/// The sessions' last writes, those in flight included.
 #[derive(Clone, Debug)]
 pub struct SessionPositions {
-    /// The newest first; at most [`GENERATIONS`].
+    /// The newest first; at least one, at most [`MAX_GENERATIONS`].
     generations: Vec<Generation>,
-    /// Entries that a generation takes.
-    each: usize,
-    /// Sets' floors: the latest commit forgotten there.
+    entries_per_generation: usize,
+    /// The latest evicted commit of each replication group.
     floors: BTreeMap<u32, i64>,
-    unsure: UnconfirmedWrites,
+    unconfirmed_writes: UnconfirmedWrites,
 }
 
 impl SessionPositions {
-    /// Remembers at least three quarters of so many sessions, and never more than all of them.
-    pub fn new(entries: usize) -> Self {
-        let each = (entries / GENERATIONS).max(1);
-        let slots = (each * SLOTS_PER_ENTRY.0 / SLOTS_PER_ENTRY.1 + 1).next_power_of_two();
-        let generations = vec![Generation::new(slots)];
-        Self { generations, each, floors: BTreeMap::new(), unsure: UnconfirmedWrites::default() }
-    }
-
-    /// A session's write has been committed in a set.
-    pub fn remember(&mut self, session: SessionId, set: u32, position: LogPosition) {
-        let key = session.0;
-        let mut position = position.0.max(NOWHERE + 1);
-        if self.generations[0].get(key).is_none() {
-            // Answers may come out of turn: an earlier write must not take the place of a later one.
-            position = position.max(self.token(session, set).0);
-            if self.generations[0].entries >= self.each {
-                self.begin();
+    /// Returns an empty table that holds up to `capacity` sessions, and after evictions at least three quarters of it.
+    pub fn new(capacity: usize) -> Self {
+        let entries_per_generation = (capacity / MAX_GENERATIONS).max(1);
+        let slots = (entries_per_generation * 8 / MAX_ENTRIES_PER_8_SLOTS + 1).next_power_of_two();
+        Self {
+            generations: vec![Generation::new(slots)],
+            entries_per_generation,
+            floors: BTreeMap::new(),
+            unconfirmed_writes: UnconfirmedWrites::default(),
+        }
+    }
+
+    /// Records that a session's write was committed in a group.
+    pub fn record_commit(&mut self, session: SessionId, group: u32, position: LogPosition) {
+        let mut position = position.0.max(NO_POSITION + 1);
+        if self.generations[0].get(session.0).is_none() {
+            // Answers may arrive out of order: an earlier write must not replace a later one.
+            position = position.max(self.last_commit(session, group).0);
+            if self.generations[0].entries >= self.entries_per_generation {
+                self.start_generation();
             }
         }
-        self.generations[0].set(key, set, position);
+        self.generations[0].raise(session.0, group, position);
     }
 
-    fn begin(&mut self) {
+    /// Puts an empty generation in front. It takes the memory of the one that is evicted, if any.
+    fn start_generation(&mut self) {
         let slots = self.generations[0].slots.len();
-        // The table that is forgotten is the one that begins anew: nothing is allocated in the long run.
-        let mut next = if self.generations.len() == GENERATIONS { self.forget() } else { None }
-            .unwrap_or_else(|| Generation::new(slots));
-        next.slots.fill(EMPTY);
-        (next.entries, next.latest) = (0, BTreeMap::new());
-        self.generations.insert(0, next);
+        let is_full = self.generations.len() == MAX_GENERATIONS;
+        let evicted = if is_full { self.evict_generation() } else { None };
+        let mut generation = evicted.unwrap_or_else(|| Generation::new(slots));
+        generation.clear();
+        self.generations.insert(0, generation);
     }
 
-    fn forget(&mut self) -> Option<Generation> {
+    fn evict_generation(&mut self) -> Option<Generation> {
         let oldest = self.generations.pop()?;
-        for (set, position) in &oldest.latest {
-            let floor = self.floors.entry(*set).or_insert(*position);
+        for (group, position) in &oldest.latest_commits {
+            let floor = self.floors.entry(*group).or_insert(*position);
             *floor = (*floor).max(*position);
         }
         Some(oldest)
     }
 
-    /// Forgets the oldest entries, to make room elsewhere; how many. The newest generation stays.
-    pub fn shrink(&mut self) -> usize {
+    /// Evicts the oldest generation and frees its memory; returns how many entries that removed. The newest stays.
+    pub fn evict_oldest(&mut self) -> usize {
         if self.generations.len() < 2 {
             return 0;
         }
-        self.forget().map_or(0, |generation| generation.entries)
+        self.evict_generation().map_or(0, |generation| generation.entries)
     }
 
-    /// What a read of a session in a set must see.
-    pub fn token(&self, session: SessionId, set: u32) -> LogPosition {
+    /// Returns the position of a session's last known commit; the group's floor for an unknown session.
+    pub fn last_commit(&self, session: SessionId, group: u32) -> LogPosition {
         let known = self.generations.iter().find_map(|generation| generation.get(session.0));
-        match known {
-            Some(position) => LogPosition(position),
-            None => self.floor(set),
-        }
+        known.map_or_else(|| self.floor(group), LogPosition)
     }
 
-    /// A session's write is sent to a set: until it has ended its reads must see all there is.
-    pub fn sent(&mut self, session: SessionId, set: u32, now: Timestamp) {
-        self.unsure.sent(session, set, now);
+    /// Records that an attempt of a session's write is sent to a group.
+    pub fn write_sent(&mut self, session: SessionId, group: u32, now: Timestamp) {
+        self.unconfirmed_writes.write_sent(session, group, now);
     }
 
-    /// It has ended: with a commit that is known, or without one, and may come to count until `later` if it is not known
-    /// that it never ran.
-    pub fn ended(
+    /// Records that such an attempt ended: with the position of its commit, or without an answer. In the latter case it
+    /// may commit until `may_commit_until`; `None` stands for one that was never executed.
+    pub fn write_ended(
         &mut self,
         session: SessionId,
-        set: u32,
+        group: u32,
         commit: Option<LogPosition>,
-        later: Option<Timestamp>,
+        may_commit_until: Option<Timestamp>,
     ) {
-        commit.into_iter().for_each(|commit| self.remember(session, set, commit));
-        self.unsure.ended(session, set, later.filter(|_| commit.is_none()));
+        if let Some(commit) = commit {
+            self.record_commit(session, group, commit);
+        }
+        let may_commit_until = may_commit_until.filter(|_| commit.is_none());
+        self.unconfirmed_writes.write_ended(session, group, may_commit_until);
     }
 
-    /// What a read that comes now must see: all there is where a write of its session may have been committed unheard.
-    pub fn need(&self, session: Option<SessionId>, set: u32, now: Timestamp) -> LogPosition {
-        match session {
-            Some(session) if self.unsure.is_in_doubt(session, set, now) => LogPosition(now.0),
-            Some(session) => self.token(session, set),
-            None => self.floor(set),
+    /// Returns the position that a read arriving at `now` has to see: all commits up to `now` if a write of its session
+    /// is unconfirmed.
+    pub fn required_position(&self, session: Option<SessionId>, group: u32, now: Timestamp) -> LogPosition {
+        let Some(session) = session else { return self.floor(group) };
+        if self.unconfirmed_writes.is_unconfirmed(session, group, now) {
+            return LogPosition(now.0);
         }
+        self.last_commit(session, group)
     }
 
-    /// Positions turn out to be later than they were taken to be, by so many microseconds.
-    pub fn shift(&mut self, later_us: i64) {
-        let later = |position: &mut i64| *position = position.saturating_add(later_us);
-        for generation in &mut self.generations {
-            let taken = generation.slots.iter_mut().filter(|slot| slot.position != NOWHERE);
-            taken.for_each(|slot| later(&mut slot.position));
-            generation.latest.values_mut().for_each(later);
-        }
-        self.floors.values_mut().for_each(later);
+    /// Adds a span to all positions, after the clock that they are measured by was set anew.
+    pub fn shift(&mut self, delta: TimeDelta) {
+        self.generations.iter_mut().for_each(|generation| generation.shift(delta));
+        self.floors.values_mut().for_each(|floor| *floor = floor.saturating_add(delta.0));
     }
 
-    /// What a session that is not known is held to have written in a set.
-    pub fn floor(&self, set: u32) -> LogPosition {
-        LogPosition(self.floors.get(&set).copied().unwrap_or(i64::MIN))
+    /// Returns the latest evicted commit of a group: the lowest position if nothing was evicted.
+    pub fn floor(&self, group: u32) -> LogPosition {
+        LogPosition(self.floors.get(&group).copied().unwrap_or(NO_POSITION))
     }
 
-    /// Sessions remembered.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.generations.iter().map(|generation| generation.entries).sum()
     }
 
-    /// Whether none is.
+    /// Returns whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes that the tables take.
-    pub fn bytes(&self) -> usize {
+    /// Returns the size of the tables in bytes.
+    pub fn size_in_bytes(&self) -> usize {
         self.generations.iter().map(|generation| generation.slots.len() * size_of::<Slot>()).sum()
     }
 }
--- a/crates/decisions/src/state/timer_wheel.rs
+++ b/crates/decisions/src/state/timer_wheel.rs
@@ -1,203 +1,219 @@
-//! A hierarchical timing wheel (Varghese, Lauck 1987) for waits of which most are cancelled: those of open requests.
+//! A hierarchical timing wheel (Varghese, Lauck 1987) for timers of which most are cancelled, as those of requests are.
 //!
-//! Six levels of 64 slots, each 64 times as coarse as the one below; entries in a slab, linked in both directions, so
-//! that setting and cancelling take the same time whatever the number of waits. Timestamp is an argument.
+//! Six levels of 64 slots, each level 64 times as coarse as the one below. Entries are in a slab and linked in both
+//! directions, so that setting and cancelling a timer take the same time whatever the number of timers.
 
-use crate::interface::Timestamp;
+use crate::interface::{TimeDelta, Timestamp};
 
-const BITS: u32 = 6;
-const SLOTS: usize = 1 << BITS;
+/// Binary logarithm of the slots of a level.
+const SLOT_BITS: u32 = 6;
+const SLOTS: usize = 1 << SLOT_BITS;
 const LEVELS: usize = 6;
-const NONE: u32 = u32::MAX;
+/// The end of a linked list.
+const NIL: u32 = u32::MAX;
 
-/// A wait that has been set; good for one cancelling.
+/// A timer that has been set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerKey {
     entry: u32,
-    /// Tells a slab entry's successive uses apart.
-    epoch: u32,
+    /// Which use of the slab entry the key stands for.
+    generation: u32,
 }
 
 #[derive(Clone, Debug)]
 struct Entry<T> {
-    /// None while the entry is free.
+    /// `None` while the entry is free.
     value: Option<T>,
-    at: u64,
+    expiry_tick: u64,
     slot: u16,
-    epoch: u32,
-    before: u32,
-    /// The next one of the slot, or of the free entries.
-    after: u32,
+    generation: u32,
+    previous: u32,
+    /// The next entry of the slot, or of the free entries.
+    next: u32,
 }
 
-/// The wheel.
+/// Timers that each hold a value until they expire or are cancelled.
 #[derive(Clone, Debug)]
 pub struct TimerWheel<T> {
     entries: Vec<Entry<T>>,
-    free: u32,
+    first_free: u32,
     /// The first entry of each slot, level by level.
     slots: Box<[u32]>,
-    /// Which slots of a level hold anything.
-    held: [u64; LEVELS],
-    /// Length of a tick in microseconds.
+    /// A bit for each slot of a level that has entries.
+    occupied: [u64; LEVELS],
+    /// Microseconds of a tick.
     tick: i64,
-    /// Ticks that have passed.
-    now: u64,
+    /// The tick up to which timers have expired.
+    current_tick: u64,
     length: usize,
 }
 
 impl<T> TimerWheel<T> {
-    /// An empty wheel whose waits are exact to a tick of so many microseconds: they end late by up to one, never early.
-    pub fn new(tick: Timestamp, start: Timestamp) -> Self {
+    /// Returns an empty wheel. Its timers expire late by up to one tick and never early.
+    pub fn new(tick: TimeDelta, start: Timestamp) -> Self {
         let tick = tick.0.max(1);
         Self {
             entries: Vec::new(),
-            free: NONE,
-            slots: vec![NONE; SLOTS * LEVELS].into(),
-            held: [0; LEVELS],
+            first_free: NIL,
+            slots: vec![NIL; SLOTS * LEVELS].into(),
+            occupied: [0; LEVELS],
             tick,
-            now: (start.0 / tick).max(0) as u64,
+            current_tick: (start.0 / tick).max(0) as u64,
             length: 0,
         }
     }
 
-    /// Waits that are set.
+    /// Returns the number of timers that are set.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether none is.
+    /// Returns whether no timer is set.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Sets a wait that ends then.
-    pub fn set(&mut self, at: Timestamp, value: T) -> TimerKey {
-        let at = (at.0.max(0) as u64).div_ceil(self.tick as u64).max(self.now + 1);
-        let entry = match self.free {
-            NONE => {
-                self.entries.push(Entry { value: None, at, slot: 0, epoch: 0, before: NONE, after: NONE });
-                (self.entries.len() - 1) as u32
-            }
-            free => {
-                self.free = self.entries[free as usize].after;
-                free
-            }
-        };
-        let one = &mut self.entries[entry as usize];
-        (one.value, one.at) = (Some(value), at);
-        let epoch = one.epoch;
-        self.link(entry);
+    /// Sets a timer that expires at `expiry`, or at the next tick if that is past.
+    pub fn set(&mut self, expiry: Timestamp, value: T) -> TimerKey {
+        let expiry_tick = (expiry.0.max(0) as u64).div_ceil(self.tick as u64).max(self.current_tick + 1);
+        let index = self.allocate();
+        let entry = &mut self.entries[index as usize];
+        entry.value = Some(value);
+        entry.expiry_tick = expiry_tick;
+        let generation = entry.generation;
+        self.link(index);
         self.length += 1;
-        TimerKey { entry, epoch }
+        TimerKey { entry: index, generation }
     }
 
-    /// Cancels a wait; its value, unless it has ended.
+    /// Cancels a timer; returns its value, or `None` if it has expired or been cancelled before.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let entry = self.entries.get(key.entry as usize)?;
-        if entry.epoch != key.epoch || entry.value.is_none() {
+        if entry.generation != key.generation || entry.value.is_none() {
             return None;
         }
         self.unlink(key.entry);
-        self.release(key.entry)
+        self.free(key.entry)
     }
 
-    fn release(&mut self, entry: u32) -> Option<T> {
-        let free = self.free;
-        let one = &mut self.entries[entry as usize];
-        one.epoch = one.epoch.wrapping_add(1);
-        one.after = free;
-        self.free = entry;
+    fn allocate(&mut self) -> u32 {
+        if self.first_free != NIL {
+            let index = self.first_free;
+            self.first_free = self.entries[index as usize].next;
+            return index;
+        }
+        self.entries.push(Entry {
+            value: None,
+            expiry_tick: 0,
+            slot: 0,
+            generation: 0,
+            previous: NIL,
+            next: NIL,
+        });
+        (self.entries.len() - 1) as u32
+    }
+
+    fn free(&mut self, index: u32) -> Option<T> {
+        let entry = &mut self.entries[index as usize];
+        entry.generation = entry.generation.wrapping_add(1);
+        entry.next = std::mem::replace(&mut self.first_free, index);
         self.length -= 1;
-        one.value.take()
+        entry.value.take()
     }
 
-    /// The slot of a tick: on the lowest level whose turn, counted from now, reaches it.
-    fn slot(&self, at: u64) -> usize {
-        let differs = at ^ self.now;
-        let level = (63 - (differs | 1).leading_zeros()) / BITS;
+    /// Returns the slot of a tick: on the lowest level whose current turn reaches it.
+    fn slot_of(&self, tick: u64) -> usize {
+        let differing_bits = tick ^ self.current_tick;
+        let level = (63 - (differing_bits | 1).leading_zeros()) / SLOT_BITS;
         let level = (level as usize).min(LEVELS - 1);
-        let shift = BITS * level as u32;
-        // What lies beyond the last level waits in its farthest slot, and is set again from there.
-        let reach = self.now.saturating_add((SLOTS as u64 - 1) << shift);
-        let at = if level == LEVELS - 1 { at.min(reach) } else { at };
-        level * SLOTS + (at >> shift) as usize % SLOTS
+        let shift = SLOT_BITS * level as u32;
+        // A tick beyond the last level goes to its farthest slot, and is linked anew from there.
+        let farthest = self.current_tick.saturating_add((SLOTS as u64 - 1) << shift);
+        let tick = if level == LEVELS - 1 { tick.min(farthest) } else { tick };
+        level * SLOTS + (tick >> shift) as usize % SLOTS
     }
 
-    fn link(&mut self, entry: u32) {
-        let slot = self.slot(self.entries[entry as usize].at);
-        let first = std::mem::replace(&mut self.slots[slot], entry);
-        let one = &mut self.entries[entry as usize];
-        (one.slot, one.before, one.after) = (slot as u16, NONE, first);
-        if first != NONE {
-            self.entries[first as usize].before = entry;
+    fn link(&mut self, index: u32) {
+        let slot = self.slot_of(self.entries[index as usize].expiry_tick);
+        let first = std::mem::replace(&mut self.slots[slot], index);
+        let entry = &mut self.entries[index as usize];
+        entry.slot = slot as u16;
+        entry.previous = NIL;
+        entry.next = first;
+        if first != NIL {
+            self.entries[first as usize].previous = index;
         }
-        self.held[slot / SLOTS] |= 1 << (slot % SLOTS);
+        self.occupied[slot / SLOTS] |= 1 << (slot % SLOTS);
     }
 
-    fn unlink(&mut self, entry: u32) {
-        let Entry { slot, before, after, .. } = self.entries[entry as usize];
-        if after != NONE {
-            self.entries[after as usize].before = before;
+    fn unlink(&mut self, index: u32) {
+        let Entry { slot, previous, next, .. } = self.entries[index as usize];
+        let slot = usize::from(slot);
+        if next != NIL {
+            self.entries[next as usize].previous = previous;
         }
-        match before {
-            NONE => self.slots[usize::from(slot)] = after,
-            before => self.entries[before as usize].after = after,
+        match previous {
+            NIL => self.slots[slot] = next,
+            previous => self.entries[previous as usize].next = next,
         }
-        if self.slots[usize::from(slot)] == NONE {
-            self.held[usize::from(slot) / SLOTS] &= !(1 << (slot as usize % SLOTS));
+        if self.slots[slot] == NIL {
+            self.occupied[slot / SLOTS] &= !(1 << (slot % SLOTS));
         }
     }
 
-    /// A moment by which nothing ends before; none if nothing is set. It may be earlier than the first end: at that
-    /// moment waits come nearer.
-    pub fn next(&self) -> Option<Timestamp> {
-        let nearest = (0..LEVELS).filter_map(|level| self.turn(level)).min()?;
-        Some(Timestamp(nearest as i64 * self.tick))
+    /// Returns a point in time before which no timer expires, or `None` if none is set. It may be earlier than the first
+    /// expiry: timers move to a finer level then.
+    pub fn next_expiry(&self) -> Option<Timestamp> {
+        self.next_turn().map(|tick| Timestamp(tick as i64 * self.tick))
+    }
+
+    /// Returns the tick at which the next occupied slot of any level begins.
+    fn next_turn(&self) -> Option<u64> {
+        (0..LEVELS).filter_map(|level| self.next_turn_of(level)).min()
     }
 
-    /// The tick at which a level's next slot with anything in it begins.
-    fn turn(&self, level: usize) -> Option<u64> {
-        let held = self.held[level];
-        if held == 0 {
+    /// Returns the tick at which a level's next occupied slot begins.
+    fn next_turn_of(&self, level: usize) -> Option<u64> {
+        let occupied = self.occupied[level];
+        if occupied == 0 {
             return None;
         }
-        let shift = BITS * level as u32;
-        let here = self.now >> shift;
-        // The slots in the order in which they come: the one behind the present first.
-        let ahead = held.rotate_right(((here + 1) % SLOTS as u64) as u32).trailing_zeros();
-        Some((here + 1 + u64::from(ahead)) << shift)
+        let shift = SLOT_BITS * level as u32;
+        let current_slot = self.current_tick >> shift;
+        // The slot after the current one comes first.
+        let first = ((current_slot + 1) % SLOTS as u64) as u32;
+        let distance = occupied.rotate_right(first).trailing_zeros();
+        Some((current_slot + 1 + u64::from(distance)) << shift)
     }
 
-    /// Ends the waits up to a moment, in the order of their ticks.
-    pub fn advance(&mut self, to: Timestamp, ended: &mut Vec<T>) {
-        let to = (to.0 / self.tick).max(0) as u64;
-        while let Some(turn) =
-            (0..LEVELS).filter_map(|level| self.turn(level)).min().filter(|turn| *turn <= to)
-        {
-            self.now = turn;
-            // The coarse levels first: what comes down from them may be due now.
+    /// Moves the wheel to `now` and appends the values of the timers that expire, in the order of their ticks.
+    pub fn advance(&mut self, now: Timestamp, expired: &mut Vec<T>) {
+        let target = (now.0 / self.tick).max(0) as u64;
+        while let Some(turn) = self.next_turn().filter(|turn| *turn <= target) {
+            self.current_tick = turn;
+            // The coarse levels first: timers that move down from them may expire now.
             for level in (0..LEVELS).rev() {
-                let shift = BITS * level as u32;
+                let shift = SLOT_BITS * level as u32;
                 if turn & ((1 << shift) - 1) == 0 {
-                    self.empty(level * SLOTS + (turn >> shift) as usize % SLOTS, ended);
+                    self.empty_slot(level * SLOTS + (turn >> shift) as usize % SLOTS, expired);
                 }
             }
         }
-        self.now = self.now.max(to);
+        self.current_tick = self.current_tick.max(target);
     }
 
-    fn empty(&mut self, slot: usize, ended: &mut Vec<T>) {
-        let mut entry = std::mem::replace(&mut self.slots[slot], NONE);
-        self.held[slot / SLOTS] &= !(1 << (slot % SLOTS));
-        while entry != NONE {
-            let Entry { at, after, .. } = self.entries[entry as usize];
-            if at <= self.now {
-                ended.extend(self.release(entry));
+    /// Expires the timers of a slot that are due and links the others anew.
+    fn empty_slot(&mut self, slot: usize, expired: &mut Vec<T>) {
+        let mut index = std::mem::replace(&mut self.slots[slot], NIL);
+        self.occupied[slot / SLOTS] &= !(1 << (slot % SLOTS));
+        while index != NIL {
+            let Entry { expiry_tick, next, .. } = self.entries[index as usize];
+            if expiry_tick <= self.current_tick {
+                expired.extend(self.free(index));
             } else {
-                self.link(entry);
+                self.link(index);
             }
-            entry = after;
+            index = next;
         }
     }
 }
--- a/crates/decisions/tests/host_clock.rs
+++ b/crates/decisions/tests/host_clock.rs
@@ -1,8 +1,8 @@
-//! The difference between this machine's clock and the hosts': found whatever it is, and moved by no host alone.
+//! The offset of the hosts' clock: found whatever it is, and changed by no host alone.
 
 use proptest::prelude::*;
 use wheelpier_decisions::interface::{HostId, LogPosition, Role, Timestamp};
-use wheelpier_decisions::state::host_clock::{HostClock, Sample, AHEAD_US};
+use wheelpier_decisions::state::host_clock::{HostClock, Sample, MAX_POSITION_LEAD};
 
 const SECOND: i64 = 1_000_000;
 const START: i64 = 1_700_000_000 * SECOND;
@@ -22,53 +22,53 @@
 }
 
 #[test]
-fn clocks_that_agree_are_left_alone() {
+fn the_offset_of_equal_clocks_stays_zero() {
     let mut clock = HostClock::default();
     for n in 0..1_000 {
         let at = START + n * SECOND / 10;
-        assert_eq!(clock.note(HostId(0), answer(Role::Primary, at, 0, 0, n * 100)), None);
-        assert_eq!(clock.note(HostId(1), answer(Role::Replica, at, 0, n * 10_000, 400)), None);
+        assert_eq!(clock.record(HostId(0), answer(Role::Primary, at, 0, 0, n * 100)), None);
+        assert_eq!(clock.record(HostId(1), answer(Role::Replica, at, 0, n * 10_000, 400)), None);
     }
-    assert_eq!(clock.offset_us(), 0);
+    assert_eq!(clock.offset().0, 0);
 }
 
 #[test]
-fn a_single_host_that_answers_consistently_is_believed_after_three_answers() {
+fn three_consistent_answers_of_the_only_host_set_the_offset() {
     for ahead in [3_600 * SECOND, -3_600 * SECOND, 2 * SECOND, -2 * SECOND] {
         let mut clock = HostClock::default();
-        assert_eq!(clock.note(HostId(0), primary(START, ahead)), None);
-        assert_eq!(clock.note(HostId(0), primary(START + SECOND, ahead)), None);
-        let shift = clock.note(HostId(0), primary(START + 2 * SECOND, ahead)).expect("set anew");
-        assert!((shift - ahead).abs() < AHEAD_US, "{shift} of {ahead}");
+        assert_eq!(clock.record(HostId(0), primary(START, ahead)), None);
+        assert_eq!(clock.record(HostId(0), primary(START + SECOND, ahead)), None);
+        let shift = clock.record(HostId(0), primary(START + 2 * SECOND, ahead)).expect("the offset changes");
+        assert!((shift.0 - ahead).abs() < MAX_POSITION_LEAD.0, "{shift:?} of {ahead}");
     }
 }
 
 #[test]
-fn positions_that_are_wrong_at_random_move_nothing() {
+fn random_positions_change_nothing() {
     let mut clock = HostClock::default();
     for n in 0..100 {
         let wild = (n * 7_919 % 100) * 60 * SECOND;
-        assert_eq!(clock.note(HostId(0), primary(START + n * SECOND / 10, wild)), None);
+        assert_eq!(clock.record(HostId(0), primary(START + n * SECOND / 10, wild)), None);
     }
 }
 
 /// A host that says it is primary and stands still, as one that was cut off does.
 #[test]
-fn a_frozen_primary_moves_nothing() {
+fn a_frozen_primary_changes_nothing() {
     let mut clock = HostClock::default();
     for n in 0..200 {
         let at = START + n * SECOND / 10;
-        clock.note(HostId(1), answer(Role::Replica, at, 0, SECOND / 50, 400));
-        clock.note(HostId(2), answer(Role::Replica, at, 0, SECOND / 40, 400));
+        clock.record(HostId(1), answer(Role::Replica, at, 0, SECOND / 50, 400));
+        clock.record(HostId(2), answer(Role::Replica, at, 0, SECOND / 40, 400));
         let frozen = answer(Role::Primary, at, -n * SECOND / 10, 0, 400);
-        assert_eq!(clock.note(HostId(0), frozen), None);
+        assert_eq!(clock.record(HostId(0), frozen), None);
     }
 }
 
 proptest! {
-    /// Whatever the difference, it is found, and never taken too small: replicas do not look fresher than they are.
+    /// Whatever the offset, it is found, and never too small: replicas do not look fresher than they are.
     #[test]
-    fn any_difference_is_found_from_above(
+    fn any_offset_is_found_and_never_too_small(
         ahead in -5_000 * SECOND..5_000 * SECOND,
         latencies in proptest::collection::vec((0..20_000i64, 0..20_000i64), 12),
         lag in 0..SECOND,
@@ -82,25 +82,25 @@
                 sent: Some(Timestamp(at)),
                 received: Timestamp(at + there + back),
             };
-            clock.note(HostId(0), taken);
-            clock.note(HostId(1), answer(Role::Replica, at, ahead, lag, 500));
+            clock.record(HostId(0), taken);
+            clock.record(HostId(1), answer(Role::Replica, at, ahead, lag, 500));
         }
         if ahead.abs() > 200_000 {
-            prop_assert!((clock.offset_us() - ahead).abs() <= 20_000, "{} of {}", clock.offset_us(), ahead);
-            prop_assert!(clock.offset_us() >= ahead);
+            prop_assert!((clock.offset().0 - ahead).abs() <= 20_000, "{} of {}", clock.offset().0, ahead);
+            prop_assert!(clock.offset().0 >= ahead);
         }
     }
 
     /// One host of three that is wrong, however consistently, is outvoted.
     #[test]
-    fn one_host_of_three_moves_nothing(wrong in prop_oneof![-5_000 * SECOND..-SECOND, SECOND..5_000 * SECOND]) {
+    fn one_host_of_three_changes_nothing(wrong in prop_oneof![-5_000 * SECOND..-SECOND, SECOND..5_000 * SECOND]) {
         let mut clock = HostClock::default();
         for n in 0..100 {
             let at = START + n * SECOND / 10;
-            clock.note(HostId(1), answer(Role::Replica, at, 0, SECOND / 50, 400));
-            clock.note(HostId(2), primary(at, 0));
-            clock.note(HostId(0), primary(at, wrong));
+            clock.record(HostId(1), answer(Role::Replica, at, 0, SECOND / 50, 400));
+            clock.record(HostId(2), primary(at, 0));
+            clock.record(HostId(0), primary(at, wrong));
         }
-        prop_assert_eq!(clock.offset_us(), 0);
+        prop_assert_eq!(clock.offset().0, 0);
     }
 }
--- a/crates/testbench/benches/state.rs
+++ b/crates/testbench/benches/state.rs
@@ -14,7 +14,7 @@
 use wheelpier_decisions::state::heavy_hitters::HeavyHitters;
 use wheelpier_decisions::state::session_positions::SessionPositions;
 use wheelpier_decisions::state::timer_wheel::TimerWheel;
-use wheelpier_decisions::{LogPosition, SessionId, Timestamp};
+use wheelpier_decisions::{LogPosition, SessionId, TimeDelta, Timestamp};
 
 const SIZES: [usize; 3] = [1_000, 100_000, 1_000_000];
 /// Operations in one measured round.
@@ -32,13 +32,13 @@
         let ids = numbers(size);
         // Reads of known sessions, and writes of new ones that push old ones out.
         let mut table = SessionPositions::new(size);
-        ids.iter().for_each(|id| table.remember(SessionId(*id), (*id % 8) as u32, LogPosition(1)));
+        ids.iter().for_each(|id| table.record_commit(SessionId(*id), (*id % 8) as u32, LogPosition(1)));
         let mut next = 0;
         group.bench_function(BenchmarkId::new("generations/read", size), |b| {
             b.iter(|| {
                 for _ in 0..ROUND {
                     next = (next + 7919) % size;
-                    black_box(table.token(SessionId(ids[next]), 0));
+                    black_box(table.last_commit(SessionId(ids[next]), 0));
                 }
             });
         });
@@ -47,7 +47,7 @@
             b.iter(|| {
                 for _ in 0..ROUND {
                     fresh = fresh.wrapping_add(0x9e37_79b9_7f4a_7c15);
-                    table.remember(SessionId(fresh), (fresh % 8) as u32, LogPosition(2));
+                    table.record_commit(SessionId(fresh), (fresh % 8) as u32, LogPosition(2));
                 }
             });
         });
@@ -85,7 +85,7 @@
     for size in SIZES {
         let spans: Vec<i64> = numbers(size + ROUND).iter().map(|n| (n % 5_000_000) as i64 + 10_000).collect();
         group.bench_function(BenchmarkId::new("wheel/set+cancel", size), |b| {
-            let mut wheel = TimerWheel::new(Timestamp(1_000), Timestamp(0));
+            let mut wheel = TimerWheel::new(TimeDelta(1_000), Timestamp(0));
             spans[..size].iter().for_each(|span| _ = wheel.set(Timestamp(*span), 0u64));
             b.iter(|| {
                 for span in &spans[size..] {
@@ -124,7 +124,7 @@
             );
         });
         group.bench_function(BenchmarkId::new("wheel/end", size), |b| {
-            let mut full = TimerWheel::new(Timestamp(1_000), Timestamp(0));
+            let mut full = TimerWheel::new(TimeDelta(1_000), Timestamp(0));
             spans[..size].iter().for_each(|span| _ = full.set(Timestamp(*span), 0u64));
             b.iter_batched(
                 || full.clone(),
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -256,7 +256,7 @@
         } = request;
         // One that stands ahead of the clock was made just now.
         let since_write = last_write
-            .map(|at| TimeDelta((self.clock.timestamp(arrived).0 - self.host_clock.local(at).0).max(1)));
+            .map(|at| TimeDelta((self.clock.timestamp(arrived).0 - self.host_clock.to_local(at).0).max(1)));
         let write = self.config.settings.classes[class].freshness == Freshness::Write;
         let held = Held {
             name,
@@ -384,7 +384,7 @@
             let sent = written.map(|at| self.clock.timestamp(at));
             self.note_clock(host, position, role, sent);
         }
-        let position = position.map(|position| self.host_clock.local_position(position));
+        let position = position.map(|position| self.host_clock.to_local_position(position));
         let reply = AttemptResult {
             id,
             attempt,
@@ -410,8 +410,8 @@
     fn in_local_time(&mut self, host: HostId, report: LoadReport) -> LoadReport {
         let Some(position) = report.position else { return report };
         self.note_clock(host, position, report.role, None);
-        let position = Some(self.host_clock.local_position(position));
-        LoadReport { position: position.filter(|_| !self.host_clock.is_in_doubt(host)), ..report }
+        let position = Some(self.host_clock.to_local_position(position));
+        LoadReport { position: position.filter(|_| !self.host_clock.distrusts(host)), ..report }
     }
 
     /// Looks at what a position tells of the hosts' clock, and moves what is known by it if it has to be set anew.
@@ -423,18 +423,18 @@
         sent: Option<Timestamp>,
     ) {
         let received = self.clock.now();
-        let Some(shift) = self.host_clock.note(host, Sample { position, role, sent, received }) else {
+        let Some(shift) = self.host_clock.record(host, Sample { position, role, sent, received }) else {
             return;
         };
         tracing::warn!(
             "the hosts' clock is {} ms ahead of this machine's as it was read at the start; positions are taken in theirs",
-            self.host_clock.offset_us() / 1000
+            self.host_clock.offset().0 / 1000
         );
         for member in self.members.values_mut() {
             let since = &mut member.entry.started_at;
-            *since = since.map(|since| Timestamp(since.0.saturating_sub(shift)));
+            *since = since.map(|since| Timestamp(since.0.saturating_sub(shift.0)));
         }
-        self.router.rebase(received, shift);
+        self.router.rebase(received, shift.0);
     }
 
     /// Whether an answer is too old for its request, where hosts leave that to us. The bound runs from the last byte of
@@ -443,7 +443,7 @@
         let checked = self.config.settings.responses_verified && end.outcome == Outcome::Ok;
         let held = self.table.get(&end.id).filter(|held| checked && !held.write);
         let Some((held, written)) = held.zip(end.written_at) else { return false };
-        let told = end.position.map(|stamp| self.host_clock.local_position(stamp.rounded(false)));
+        let told = end.position.map(|stamp| self.host_clock.to_local_position(stamp.rounded(false)));
         end.role != Some(Role::Primary) && !held.recent.is_met_by(told, self.clock.timestamp(written))
     }
 
@@ -463,7 +463,7 @@
             named.insert(host);
             self.groups.insert(listed.group);
             let ListedEndpoint { group, zone, weight, state, since, .. } = listed;
-            let since = since.map(|since| self.host_clock.local(since));
+            let since = since.map(|since| self.host_clock.to_local(since));
             let entry = EndpointEntry {
                 host,
                 group,
--- a/src/net/memory.rs
+++ b/src/net/memory.rs
@@ -4,7 +4,7 @@
 use super::clock::Clock;
 use crate::budget::plan::{Plan, ONLY_ACCOUNT};
 use crate::budget::{AccountId, Budget, BudgetExceeded, PendingRecall, Purpose, Reservation, PURPOSES};
-use crate::interface::Timestamp;
+use crate::interface::{TimeDelta, Timestamp};
 use crate::pgwire;
 use crate::state::rate_limited_log::RateLimitedLog;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -22,7 +22,7 @@
 /// Between two reclaims, while what was reclaimed is still overdue.
 const RECLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Rejections for one purpose are logged at most once in this time; each line counts those since the last.
-const LOG_INTERVAL: Timestamp = Timestamp(1_000_000);
+const LOG_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
 
 /// Client buffers of an account that have to be released: clients claim parts of it until nothing is left.
 #[derive(Debug)]
@@ -209,7 +209,7 @@
         for purpose in PURPOSES {
             let total = budget.refusals(purpose);
             let noted = std::mem::replace(&mut self.noted[purpose as usize], total);
-            let Some(rejected) = self.rate_limit.note(now, purpose, total - noted) else { continue };
+            let Some(rejected) = self.rate_limit.record(now, purpose, total - noted) else { continue };
             let used_bytes = budget.used(purpose);
             tracing::warn!(%purpose, rejected, used_bytes, "memory reservations rejected");
         }
--- a/src/net/rejections.rs
+++ b/src/net/rejections.rs
@@ -3,14 +3,14 @@
 
 use super::clock::Clock;
 use crate::counters::Counters;
-use crate::interface::Timestamp;
+use crate::interface::TimeDelta;
 use crate::rejection_reason::RejectionReason;
 use crate::state::rate_limited_log::RateLimitedLog;
 use std::fmt::Display;
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// A reason is logged at most once in this time; each line counts the rejections since the last.
-const LOG_INTERVAL: Timestamp = Timestamp(1_000_000);
+const LOG_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
 
 /// Records rejections. Copies share the counters and the log's rate limit.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     pub fn record(&self, reason: RejectionReason, cause: impl Display) {
         self.counters.rejected(reason);
         let mut rate_limit = self.rate_limit.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(count) = rate_limit.note(self.clock.now(), reason, 1) {
+        if let Some(count) = rate_limit.record(self.clock.now(), reason, 1) {
             tracing::warn!(%reason, %cause, count, "request or connection rejected");
         }
     }
