--- a/crates/decisions/src/budget/mod.rs
+++ b/crates/decisions/src/budget/mod.rs
@@ -1,162 +1,74 @@
-//! Memory by purpose: who may take how much, who has to give back, and who comes again later. No I/O and no clock;
-//! what is measured in bytes is the caller's account of them.
-
-mod fair;
+//! Memory budget: who may use how many bytes for which purpose, who has to release some, and who may retry when.
+//!
+//! A [`Budget`] divides all accounted memory between [`Purpose`]s, and each purpose's [`Pool`] divides it between accounts.
+//! Unused memory may be borrowed, except for reserves; what was borrowed is reclaimed when an account entitled to it
+//! needs it. No I/O and no clock; the caller measures the bytes.
+
+mod error;
+mod fair_share;
 pub mod plan;
 mod pool;
+mod purpose;
+mod reservation;
 
-pub use fair::{allocate, Claim};
-pub use pool::{AccountId, AccountLimits, Pool, PoolError, PoolRejection, Reason, Recall, RECALL};
+pub use error::{BudgetError, BudgetExceeded, ExceededLimit, PoolError, PoolRejection, PoolRejectionReason};
+pub use fair_share::{allocate, Claim};
+pub use pool::{AccountId, AccountLimits, Pool, Reclaim, RECLAIM_NOTICE};
+pub use purpose::{Purpose, PURPOSES};
+pub use reservation::Reservation;
 
 use crate::interface::Timestamp;
-use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What memory is for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Purpose {
-    /// Client connections: actors and sockets.
-    Connections,
-    /// What clients have sent and not been answered, or been sent and not taken.
-    ClientBuffers,
-    /// The request table.
-    Requests,
-    /// Requests and answers on their way to and from ledger hosts.
-    UpstreamBuffers,
-    /// Sessions, hosts, the module's own tables.
-    Routing,
-    /// Attempts beyond a request's first one.
-    Copies,
-    /// Log lines and series that are kept.
-    Logs,
-}
-
-/// All purposes, in their order.
-pub const PURPOSES: [Purpose; 7] = [
-    Purpose::Connections,
-    Purpose::ClientBuffers,
-    Purpose::Requests,
-    Purpose::UpstreamBuffers,
-    Purpose::Routing,
-    Purpose::Copies,
-    Purpose::Logs,
-];
-
-impl fmt::Display for Purpose {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Self::Connections => "connections",
-            Self::ClientBuffers => "client-buffers",
-            Self::Requests => "requests",
-            Self::UpstreamBuffers => "upstream-buffers",
-            Self::Routing => "routing",
-            Self::Copies => "copies",
-            Self::Logs => "logs",
-        })
-    }
-}
-
-/// What a purpose is given.
+/// What a purpose may use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PurposeLimits {
-    /// The most that it may use, in bytes.
+    /// Bytes that it may use at most.
     pub cap: u64,
     /// Bytes that the other purposes never borrow.
     pub reserve: u64,
-    /// Its part of what is left beyond the reserves.
+    /// Its weight in the division of what is left beyond the reserves.
     pub weight: u32,
     /// The accounts that share it.
     pub accounts: Vec<AccountLimits>,
 }
 
-/// Settings of a budget that cannot work.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BudgetError {
-    /// The purposes' reserves are more than the whole.
-    #[error("all purposes: {0}")]
-    Whole(PoolError),
-    /// The accounts' reserves are more than their purpose's cap.
-    #[error("{0}: {1}")]
-    Purpose(Purpose, PoolError),
-}
-
-/// A reservation that is refused: where room is lacking, why, and when to come again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no room for {purpose}")]
-pub struct BudgetExceeded {
-    /// What for.
-    pub purpose: Purpose,
-    /// Whether the purpose itself has room, and the whole has none.
-    pub whole: bool,
-    /// Why, and when to come again.
-    pub rejection: PoolRejection,
-}
-
-/// Something to give back.
+/// Memory that has to be released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PendingRecall {
-    /// Of which purpose.
+pub struct PendingReclaim {
+    /// The purpose that uses it.
     pub purpose: Purpose,
-    /// Of which of its accounts; none where any of the purpose's will do.
+    /// The account of the purpose that uses it; `None` where any account of the purpose will do.
     pub account: Option<AccountId>,
-    /// Bytes.
+    /// Bytes to release.
     pub bytes: u64,
-    /// By when.
-    pub by: Timestamp,
-}
-
-#[derive(Debug)]
-struct Tree {
-    /// The purposes as accounts of the whole.
-    whole: Pool,
-    pools: Vec<Pool>,
-    refusals: [u64; PURPOSES.len()],
-    peak: u64,
+    /// When they are due; from then on they may be taken.
+    pub due: Timestamp,
 }
 
-/// The budget; copies share it.
+/// The memory budget of the process. Clones share it.
 #[derive(Clone, Debug)]
-pub struct Budget(Arc<Mutex<Tree>>);
-
-/// Reserved bytes, given back when this is dropped.
-#[derive(Debug)]
-pub struct Reservation {
-    budget: Budget,
-    purpose: Purpose,
-    account: AccountId,
-    bytes: u64,
-}
-
-fn account(purpose: Purpose) -> AccountId {
-    AccountId(purpose as usize)
-}
+pub struct Budget(Arc<Mutex<Pools>>);
 
 impl Budget {
-    /// A budget of so many bytes in all, with the terms of each purpose in the order of [`PURPOSES`].
+    /// Returns a budget of `cap` bytes that nobody uses yet, with the limits of each purpose in the order of
+    /// [`PURPOSES`].
     ///
     /// # Errors
-    /// When reserves do not fit into their cap.
-    pub fn new(cap: u64, terms: &[PurposeLimits; PURPOSES.len()]) -> Result<Self, BudgetError> {
-        let top: Vec<AccountLimits> =
-            terms.iter().map(|t| AccountLimits { weight: t.weight, reserve: t.reserve.min(t.cap) }).collect();
-        let whole = Pool::new(cap, &top).map_err(BudgetError::Whole)?;
-        let pools = PURPOSES.iter().zip(terms).map(|(purpose, terms)| {
-            Pool::new(terms.cap, &terms.accounts).map_err(|e| BudgetError::Purpose(*purpose, e))
-        });
-        let pools = pools.collect::<Result<_, _>>()?;
-        let tree = Tree { whole, pools, refusals: [0; PURPOSES.len()], peak: 0 };
-        Ok(Self(Arc::new(Mutex::new(tree))))
+    /// Returns an error if reserves add up to more than their cap.
+    pub fn new(cap: u64, limits: &[PurposeLimits; PURPOSES.len()]) -> Result<Self, BudgetError> {
+        Ok(Self(Arc::new(Mutex::new(Pools::new(cap, limits)?))))
     }
 
-    /// What a thread that has panicked left is still in order: each change is made whole or not at all.
-    fn tree(&self) -> MutexGuard<'_, Tree> {
+    /// Every change under the lock is made completely or not at all, so a panic elsewhere leaves the pools intact.
+    fn pools(&self) -> MutexGuard<'_, Pools> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Reserves bytes of a purpose for one of its accounts.
     ///
     /// # Errors
-    /// When there is no room for them.
+    /// Returns which limit is exceeded, and when to retry.
     pub fn reserve(
         &self,
         purpose: Purpose,
@@ -164,166 +76,145 @@
         bytes: u64,
         now: Timestamp,
     ) -> Result<Reservation, BudgetExceeded> {
-        self.tree().take(purpose, account, bytes, now)?;
-        Ok(Reservation { budget: self.clone(), purpose, account, bytes })
+        self.pools().reserve(purpose, account, bytes, now)?;
+        Ok(Reservation::new(self.clone(), purpose, account, bytes))
     }
 
-    /// Bytes in use for a purpose.
+    /// Returns the bytes in use for a purpose.
     pub fn used(&self, purpose: Purpose) -> u64 {
-        self.tree().pools[purpose as usize].used()
+        self.pools().purpose(purpose).used()
     }
 
-    /// Bytes that an account of a purpose uses.
+    /// Returns the bytes that an account of a purpose uses.
     pub fn used_by(&self, purpose: Purpose, account: AccountId) -> u64 {
-        self.tree().pools[purpose as usize].used_by(account)
+        self.pools().purpose(purpose).used_by(account)
+    }
+
+    /// Returns the bytes in use for all purposes.
+    pub fn total_used(&self) -> u64 {
+        self.pools().total.used()
     }
 
-    /// Bytes in use in all, and the most there ever were.
-    pub fn total(&self) -> (u64, u64) {
-        let tree = self.tree();
-        (tree.whole.used(), tree.peak)
+    /// Returns the most bytes that were ever in use at once.
+    pub fn peak_used(&self) -> u64 {
+        self.pools().peak_used
     }
 
-    /// All bytes that there are.
+    /// Returns the size of the budget in bytes.
     pub fn cap(&self) -> u64 {
-        self.tree().whole.cap()
+        self.pools().total.cap()
     }
 
-    /// When the next recall is overdue.
-    pub fn next_due(&self) -> Option<Timestamp> {
-        let tree = self.tree();
-        tree.pools.iter().chain([&tree.whole]).filter_map(Pool::next_due).min()
+    /// Returns how many reservations of a purpose were rejected.
+    pub fn rejections(&self, purpose: Purpose) -> u64 {
+        self.pools().rejections[purpose as usize]
     }
 
-    /// How many reservations of a purpose have been refused.
-    pub fn refusals(&self, purpose: Purpose) -> u64 {
-        self.tree().refusals[purpose as usize]
+    /// Returns when the next reclaim is due.
+    pub fn next_reclaim_due(&self) -> Option<Timestamp> {
+        let pools = self.pools();
+        pools.by_purpose.iter().chain([&pools.total]).filter_map(Pool::next_reclaim_due).min()
     }
 
-    /// What has to be given back, by whatever time.
-    pub fn recalls(&self) -> Vec<PendingRecall> {
-        self.overdue(Timestamp(i64::MAX))
+    /// Returns all memory that has to be released.
+    pub fn pending_reclaims(&self) -> Vec<PendingReclaim> {
+        self.overdue_reclaims(Timestamp(i64::MAX))
     }
 
-    /// What was to be given back by now and was not: it may be taken.
-    pub fn overdue(&self, now: Timestamp) -> Vec<PendingRecall> {
-        let tree = self.tree();
-        let top = tree.whole.overdue(now).into_iter().map(|recall| {
-            let purpose = PURPOSES[recall.account.0];
-            PendingRecall { purpose, account: None, bytes: recall.bytes, by: recall.by }
+    /// Returns the memory that was due by now and has not been released: it may be taken.
+    pub fn overdue_reclaims(&self, now: Timestamp) -> Vec<PendingReclaim> {
+        let pools = self.pools();
+        let of_purposes = pools.total.overdue_reclaims(now).into_iter().map(|reclaim| {
+            let purpose = PURPOSES[reclaim.account.0];
+            PendingReclaim { purpose, account: None, bytes: reclaim.bytes, due: reclaim.due }
         });
-        let within = PURPOSES.into_iter().zip(&tree.pools).flat_map(|(purpose, pool)| {
-            let due = move |recall: Recall| PendingRecall {
+        let of_accounts = PURPOSES.into_iter().zip(&pools.by_purpose).flat_map(|(purpose, pool)| {
+            let reclaims = pool.overdue_reclaims(now).into_iter();
+            reclaims.map(move |Reclaim { account, bytes, due }| PendingReclaim {
                 purpose,
-                account: Some(recall.account),
-                bytes: recall.bytes,
-                by: recall.by,
-            };
-            pool.overdue(now).into_iter().map(due)
+                account: Some(account),
+                bytes,
+                due,
+            })
         });
-        top.chain(within).collect()
+        of_purposes.chain(of_accounts).collect()
     }
 
-    /// Changes the cap of a purpose, also below what is in use.
+    /// Changes the cap of a purpose, also to less than is in use.
     ///
     /// # Errors
-    /// When its reserves do not fit; the cap then stays.
+    /// Returns an error if its reserves add up to more; the cap is then unchanged.
     pub fn resize(&self, purpose: Purpose, cap: u64, now: Timestamp) -> Result<(), BudgetError> {
-        let mut recalls = Vec::new();
-        let mut tree = self.tree();
-        let resized = tree.pools[purpose as usize].resize(cap, now, &mut recalls);
-        resized.map_err(|e| BudgetError::Purpose(purpose, e))
+        let resized = self.pools().by_purpose[purpose as usize].resize(cap, now, &mut Vec::new());
+        resized.map_err(|error| BudgetError::Purpose(purpose, error))
     }
 }
 
-impl Tree {
-    fn take(
-        &mut self,
-        purpose: Purpose,
-        of: AccountId,
-        bytes: u64,
-        now: Timestamp,
-    ) -> Result<(), BudgetExceeded> {
-        let mut recalls = Vec::new();
-        let pool = &mut self.pools[purpose as usize];
-        if let Err(rejection) = pool.take(of, bytes, now, &mut recalls) {
-            self.refusals[purpose as usize] += 1;
-            return Err(BudgetExceeded { purpose, whole: false, rejection });
-        }
-        if let Err(rejection) = self.whole.take(account(purpose), bytes, now, &mut recalls) {
-            self.pools[purpose as usize].give(of, bytes);
-            self.refusals[purpose as usize] += 1;
-            return Err(BudgetExceeded { purpose, whole: true, rejection });
-        }
-        self.peak = self.peak.max(self.whole.used());
-        Ok(())
-    }
+/// The pools behind a budget. Invariant: what a purpose uses of the total is what its accounts use.
+#[derive(Debug)]
+struct Pools {
+    /// All memory; its accounts are the purposes.
+    total: Pool,
+    /// In the order of [`PURPOSES`].
+    by_purpose: Vec<Pool>,
+    rejections: [u64; PURPOSES.len()],
+    peak_used: u64,
+}
 
-    fn give(&mut self, purpose: Purpose, of: AccountId, bytes: u64) {
-        self.pools[purpose as usize].give(of, bytes);
-        self.whole.give(account(purpose), bytes);
-    }
+/// Returns the account of a purpose in the pool of all memory.
+fn account_of(purpose: Purpose) -> AccountId {
+    AccountId(purpose as usize)
 }
 
-impl Reservation {
-    /// Whose it is.
-    pub fn account(&self) -> AccountId {
-        self.account
+impl Pools {
+    fn new(cap: u64, limits: &[PurposeLimits; PURPOSES.len()]) -> Result<Self, BudgetError> {
+        let account_limits = |limits: &PurposeLimits| AccountLimits {
+            weight: limits.weight,
+            reserve: limits.reserve.min(limits.cap),
+        };
+        let purposes: Vec<AccountLimits> = limits.iter().map(account_limits).collect();
+        let total = Pool::new(cap, &purposes).map_err(BudgetError::AllPurposes)?;
+        let pools = PURPOSES.iter().zip(limits).map(|(purpose, limits)| {
+            Pool::new(limits.cap, &limits.accounts).map_err(|error| BudgetError::Purpose(*purpose, error))
+        });
+        let by_purpose = pools.collect::<Result<_, _>>()?;
+        Ok(Self { total, by_purpose, rejections: [0; PURPOSES.len()], peak_used: 0 })
     }
 
-    /// Bytes that it stands for.
-    pub fn bytes(&self) -> u64 {
-        self.bytes
+    fn purpose(&self, purpose: Purpose) -> &Pool {
+        &self.by_purpose[purpose as usize]
     }
 
-    /// Makes it stand for so many bytes. Less is always granted.
-    ///
-    /// # Errors
-    /// When there is no room for more; it then stays as it is.
-    pub fn resize(&mut self, bytes: u64, now: Timestamp) -> Result<(), BudgetExceeded> {
-        let mut tree = self.budget.tree();
-        match bytes.checked_sub(self.bytes) {
-            Some(more) => tree.take(self.purpose, self.account, more, now)?,
-            None => tree.give(self.purpose, self.account, self.bytes - bytes),
-        }
-        self.bytes = bytes;
-        Ok(())
-    }
-
-    /// Moves it to another account of its purpose, as when a client has said who it is.
-    ///
-    /// # Errors
-    /// When that account has no room for it; it then stays where it is.
-    pub fn assign(&mut self, account: AccountId, now: Timestamp) -> Result<(), BudgetExceeded> {
-        if account == self.account {
-            return Ok(());
+    fn reserve(
+        &mut self,
+        purpose: Purpose,
+        account: AccountId,
+        bytes: u64,
+        now: Timestamp,
+    ) -> Result<(), BudgetExceeded> {
+        let mut reclaims = Vec::new();
+        let pool = &mut self.by_purpose[purpose as usize];
+        if let Err(rejection) = pool.reserve(account, bytes, now, &mut reclaims) {
+            self.rejections[purpose as usize] += 1;
+            return Err(BudgetExceeded { purpose, limit: ExceededLimit::Purpose, rejection });
         }
-        let mut tree = self.budget.tree();
-        tree.give(self.purpose, self.account, self.bytes);
-        match tree.take(self.purpose, account, self.bytes, now) {
-            Ok(()) => {
-                self.account = account;
-                Ok(())
-            }
-            Err(refused) => {
-                // What was given back a moment ago, under the same lock, is still there.
-                tree.put_back(self.purpose, self.account, self.bytes);
-                Err(refused)
-            }
+        if let Err(rejection) = self.total.reserve(account_of(purpose), bytes, now, &mut reclaims) {
+            self.by_purpose[purpose as usize].release(account, bytes);
+            self.rejections[purpose as usize] += 1;
+            return Err(BudgetExceeded { purpose, limit: ExceededLimit::Total, rejection });
         }
+        self.peak_used = self.peak_used.max(self.total.used());
+        Ok(())
     }
-}
 
-impl Tree {
-    /// Takes back what was given back in the same breath, whatever the reserves say by now.
-    fn put_back(&mut self, purpose: Purpose, of: AccountId, bytes: u64) {
-        self.pools[purpose as usize].force(of, bytes);
-        self.whole.force(account(purpose), bytes);
+    fn release(&mut self, purpose: Purpose, account: AccountId, bytes: u64) {
+        self.by_purpose[purpose as usize].release(account, bytes);
+        self.total.release(account_of(purpose), bytes);
     }
-}
 
-impl Drop for Reservation {
-    fn drop(&mut self) {
-        self.budget.tree().give(self.purpose, self.account, self.bytes);
+    /// Undoes a release under the same lock, whatever the reserves allow by now.
+    fn restore(&mut self, purpose: Purpose, account: AccountId, bytes: u64) {
+        self.by_purpose[purpose as usize].restore(account, bytes);
+        self.total.restore(account_of(purpose), bytes);
     }
 }
--- a/crates/decisions/src/budget/pool.rs
+++ b/crates/decisions/src/budget/pool.rs
@@ -1,76 +1,56 @@
-//! One pool: a cap, and the accounts that share it. See the design note 002 for the rules.
+//! A pool: a cap on bytes, and the accounts that share it.
+//!
+//! An account may borrow what others do not use, except for their reserves. When an account is rejected although it is
+//! within its fair share, the bytes that others have borrowed are reclaimed.
 
-use super::fair::{allocate, Claim};
+use super::error::{PoolError, PoolRejection, PoolRejectionReason};
+use super::fair_share::{allocate, Claim};
 use crate::interface::{TimeDelta, Timestamp};
 
-/// An account of a pool, by its number.
+/// How long borrowers have to release reclaimed bytes.
+pub const RECLAIM_NOTICE: TimeDelta = TimeDelta::from_millis(250);
+/// Retry-After of an account that has its fair share.
+const FULL_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(500);
+
+/// An account of a pool, by its index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AccountId(pub usize);
 
 /// What an account is entitled to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AccountLimits {
-    /// Its part of what is left beyond the reserves; at least 1.
+    /// Its weight in the division of what is left beyond the reserves; 0 counts as 1.
     pub weight: u32,
-    /// Bytes that are never lent.
+    /// Bytes that other accounts never borrow.
     pub reserve: u64,
 }
 
-#[derive(Clone, Copy, Debug)]
-struct Account {
-    terms: AccountLimits,
-    used: u64,
-    /// Bytes that it has been told to give back, and by when.
-    recalled: Option<(u64, Timestamp)>,
-}
-
-/// Why a reservation is refused.
+/// Bytes that an account has to release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
-    /// More than the pool can ever hold.
-    TooLarge,
-    /// The account is within its fair share; what others have borrowed has been recalled.
-    Recalled,
-    /// The account has its fair share or more, and there is no room.
-    Full,
-}
-
-/// A reservation that is refused.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PoolRejection {
-    /// Why.
-    pub reason: Reason,
-    /// When to come again, counted from now; none where that is of no use.
-    pub retry_after: Option<TimeDelta>,
-}
-
-/// An account that has to give back.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Recall {
-    /// Who.
+pub struct Reclaim {
+    /// The account.
     pub account: AccountId,
-    /// Bytes.
+    /// Bytes to release.
     pub bytes: u64,
-    /// By when; from then on they may be taken.
-    pub by: Timestamp,
+    /// When they are due; from then on they may be taken.
+    pub due: Timestamp,
 }
 
-/// Settings of a pool that cannot work.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the reserves add up to {reserves} bytes, the cap is {cap}")]
-pub struct PoolError {
-    /// The sum of the reserves.
-    pub reserves: u64,
-    /// The cap.
-    pub cap: u64,
+#[derive(Clone, Copy, Debug)]
+struct PendingBytes {
+    bytes: u64,
+    due: Timestamp,
 }
 
-/// How long borrowers have to give back.
-pub const RECALL: TimeDelta = TimeDelta(250_000);
-/// What a pool that is full tells to stay away.
-const AWAY: TimeDelta = TimeDelta(500_000);
+#[derive(Clone, Copy, Debug)]
+struct Account {
+    limits: AccountLimits,
+    used: u64,
+    /// What it has been asked to release.
+    pending: Option<PendingBytes>,
+}
 
-/// A pool of bytes.
+/// Bytes shared by accounts.
 #[derive(Clone, Debug)]
 pub struct Pool {
     cap: u64,
@@ -79,172 +59,193 @@
 }
 
 impl Pool {
-    /// A pool that nobody uses yet.
+    /// Returns a pool that no account uses yet.
     ///
     /// # Errors
-    /// When the reserves do not fit into the cap.
-    pub fn new(cap: u64, terms: &[AccountLimits]) -> Result<Self, PoolError> {
-        let reserves = terms.iter().map(|t| t.reserve).fold(0, u64::saturating_add);
+    /// Returns an error if the reserves add up to more than the cap.
+    pub fn new(cap: u64, limits: &[AccountLimits]) -> Result<Self, PoolError> {
+        let account = |limits: &AccountLimits| Account { limits: *limits, used: 0, pending: None };
+        let pool = Self { cap, used: 0, accounts: limits.iter().map(account).collect() };
+        pool.check_reserves(cap)?;
+        Ok(pool)
+    }
+
+    fn check_reserves(&self, cap: u64) -> Result<(), PoolError> {
+        let reserves = self.accounts.iter().map(|account| account.limits.reserve);
+        let reserves = reserves.fold(0, u64::saturating_add);
         if reserves > cap {
             return Err(PoolError { reserves, cap });
         }
-        let account = |terms: &AccountLimits| Account { terms: *terms, used: 0, recalled: None };
-        Ok(Self { cap, used: 0, accounts: terms.iter().map(account).collect() })
+        Ok(())
     }
 
-    /// The cap in bytes.
+    /// Returns the cap in bytes.
     pub fn cap(&self) -> u64 {
         self.cap
     }
 
-    /// Bytes in use, by all.
+    /// Returns the bytes that all accounts use.
     pub fn used(&self) -> u64 {
         self.used
     }
 
-    /// Bytes that an account uses.
+    /// Returns the bytes that an account uses.
     pub fn used_by(&self, account: AccountId) -> u64 {
-        self.accounts.get(account.0).map_or(0, |a| a.used)
+        self.accounts.get(account.0).map_or(0, |account| account.used)
     }
 
-    /// Bytes that an account could take now without touching the others' reserves.
-    pub fn room(&self, account: AccountId) -> u64 {
-        self.cap.saturating_sub(self.used).saturating_sub(self.kept_from(account))
+    /// Returns the bytes that an account could reserve now.
+    pub fn available(&self, account: AccountId) -> u64 {
+        self.cap.saturating_sub(self.used).saturating_sub(self.unused_reserves_of_others(account))
     }
 
-    /// What each account would have in fairness if this one had so many more bytes.
-    fn shares(&self, account: AccountId, more: u64) -> Vec<u64> {
-        let claim = |(n, a): (usize, &Account)| Claim {
-            weight: a.terms.weight,
-            reserve: a.terms.reserve,
-            demand: a.used + if n == account.0 { more } else { 0 },
-        };
-        let claims: Vec<Claim> = self.accounts.iter().enumerate().map(claim).collect();
-        // What others have reserved and do not use is not there to be shared.
-        allocate(self.cap.saturating_sub(self.kept_from(account)), &claims)
+    fn unused_reserves_of_others(&self, account: AccountId) -> u64 {
+        let others = self.accounts.iter().enumerate().filter(|(index, _)| *index != account.0);
+        others.map(|(_, other)| other.limits.reserve.saturating_sub(other.used)).sum()
     }
 
-    /// The reserves that the others do not use.
-    fn kept_from(&self, account: AccountId) -> u64 {
-        let others = self.accounts.iter().enumerate().filter(|(n, _)| *n != account.0);
-        others.map(|(_, a)| a.terms.reserve.saturating_sub(a.used)).sum()
+    /// Returns the fair share of each account if `account` used `more` bytes in addition.
+    fn fair_shares(&self, account: AccountId, more: u64) -> Vec<u64> {
+        let claim = |(index, other): (usize, &Account)| Claim {
+            weight: other.limits.weight,
+            reserve: other.limits.reserve,
+            demand: other.used + if index == account.0 { more } else { 0 },
+        };
+        let claims: Vec<Claim> = self.accounts.iter().enumerate().map(claim).collect();
+        // Reserves that others do not use cannot be shared.
+        allocate(self.cap.saturating_sub(self.unused_reserves_of_others(account)), &claims)
     }
 
-    /// Takes bytes for an account. Where they are refused to one that is entitled to them, `recalls` says who has to
-    /// give back.
+    /// Reserves bytes for an account. If it is entitled to them and they are lacking, what is newly reclaimed for it is
+    /// appended to `reclaims`.
     ///
     /// # Errors
-    /// When there is no room: why, and when to come again.
-    pub fn take(
+    /// Returns why the bytes are not available, and when to retry.
+    pub fn reserve(
         &mut self,
         account: AccountId,
         bytes: u64,
         now: Timestamp,
-        recalls: &mut Vec<Recall>,
+        reclaims: &mut Vec<Reclaim>,
     ) -> Result<(), PoolRejection> {
-        if bytes <= self.room(account) {
-            if let Some(a) = self.accounts.get_mut(account.0) {
-                a.used += bytes;
-                self.used += bytes;
-            }
+        let available = self.available(account);
+        if bytes <= available {
+            self.restore(account, bytes);
             return Ok(());
         }
         if bytes > self.cap {
-            return Err(PoolRejection { reason: Reason::TooLarge, retry_after: None });
+            return Err(PoolRejection { reason: PoolRejectionReason::TooLarge, retry_after: None });
         }
-        let shares = self.shares(account, bytes);
-        let entitled = shares.get(account.0).is_some_and(|s| *s >= self.used_by(account) + bytes);
-        if !entitled {
-            return Err(PoolRejection { reason: Reason::Full, retry_after: Some(AWAY) });
+        let shares = self.fair_shares(account, bytes);
+        let is_entitled = shares.get(account.0).is_some_and(|share| *share >= self.used_by(account) + bytes);
+        if !is_entitled {
+            let retry_after = Some(FULL_RETRY_AFTER);
+            return Err(PoolRejection { reason: PoolRejectionReason::Full, retry_after });
         }
-        let lacking = bytes - self.room(account);
-        let by = self.recall(&shares, lacking, now, recalls);
-        let retry_after = Some(TimeDelta((by.0 - now.0).max(1)));
-        Err(PoolRejection { reason: Reason::Recalled, retry_after })
+        let due = self.reclaim(&shares, bytes - available, now, reclaims);
+        let retry_after = Some(TimeDelta((due - now).0.max(1)));
+        Err(PoolRejection { reason: PoolRejectionReason::ReclaimPending, retry_after })
     }
 
-    /// Tells those over their shares to give back so much in all, the furthest over first; by when all is back.
-    fn recall(
+    /// Asks the accounts that use more than their fair share to release `lacking` bytes in all, the largest excess first.
+    /// Returns when all of them are due.
+    fn reclaim(
         &mut self,
         shares: &[u64],
         lacking: u64,
         now: Timestamp,
-        recalls: &mut Vec<Recall>,
+        reclaims: &mut Vec<Reclaim>,
     ) -> Timestamp {
-        let mut over: Vec<(u64, usize)> = (self.accounts.iter().zip(shares).enumerate())
-            .filter_map(|(n, (a, share))| {
-                Some((a.used.checked_sub(*share)?, n)).filter(|(over, _)| *over > 0)
-            })
-            .collect();
-        over.sort_by(|a, b| b.cmp(a));
-        let (mut left, mut latest) = (lacking, now);
-        for (over, n) in over {
-            let wanted = over.min(left);
-            left -= wanted;
-            let account = &mut self.accounts[n];
-            let asked = account.recalled.map_or(0, |(bytes, _)| bytes);
-            let by = account.recalled.map_or(Timestamp(now.0 + RECALL.0), |(_, by)| by);
-            if wanted > asked {
-                // The time that was given first holds: asking again must not put it off.
-                account.recalled = Some((wanted, by));
-                recalls.push(Recall { account: AccountId(n), bytes: wanted, by });
-            }
-            latest = latest.max(by);
-            if left == 0 {
+        let mut remaining = lacking;
+        let mut last_due = now;
+        for (account, excess) in self.accounts_by_excess(shares) {
+            let bytes = excess.min(remaining);
+            remaining -= bytes;
+            last_due = last_due.max(self.reclaim_from(account, bytes, now, reclaims));
+            if remaining == 0 {
                 break;
             }
         }
-        latest
+        last_due
     }
 
-    /// Counts bytes that an account holds in any case.
-    pub(super) fn force(&mut self, account: AccountId, bytes: u64) {
-        if let Some(a) = self.accounts.get_mut(account.0) {
-            a.used += bytes;
+    /// Returns the accounts that use more than their share, with the excess in bytes, the largest first.
+    fn accounts_by_excess(&self, shares: &[u64]) -> Vec<(AccountId, u64)> {
+        let accounts = self.accounts.iter().zip(shares).enumerate();
+        let excesses =
+            accounts.map(|(index, (account, share))| (AccountId(index), account.used.saturating_sub(*share)));
+        let mut by_excess: Vec<(AccountId, u64)> = excesses.filter(|(_, excess)| *excess > 0).collect();
+        by_excess.sort_by_key(|(account, excess)| std::cmp::Reverse((*excess, *account)));
+        by_excess
+    }
+
+    /// Asks an account to release bytes; returns when they are due. A further request for more keeps the first due time.
+    fn reclaim_from(
+        &mut self,
+        id: AccountId,
+        bytes: u64,
+        now: Timestamp,
+        reclaims: &mut Vec<Reclaim>,
+    ) -> Timestamp {
+        let account = &mut self.accounts[id.0];
+        let pending_bytes = account.pending.map_or(0, |pending| pending.bytes);
+        let due = account.pending.map_or(now + RECLAIM_NOTICE, |pending| pending.due);
+        if bytes > pending_bytes {
+            account.pending = Some(PendingBytes { bytes, due });
+            reclaims.push(Reclaim { account: id, bytes, due });
+        }
+        due
+    }
+
+    /// Counts bytes for an account without a check, as when a release is undone.
+    pub(super) fn restore(&mut self, account: AccountId, bytes: u64) {
+        if let Some(account) = self.accounts.get_mut(account.0) {
+            account.used += bytes;
             self.used += bytes;
         }
     }
 
-    /// Gives bytes of an account back.
-    pub fn give(&mut self, account: AccountId, bytes: u64) {
-        let Some(a) = self.accounts.get_mut(account.0) else { return };
-        let bytes = bytes.min(a.used);
-        a.used -= bytes;
+    /// Releases bytes of an account; at most what it uses.
+    pub fn release(&mut self, account: AccountId, bytes: u64) {
+        let Some(account) = self.accounts.get_mut(account.0) else { return };
+        let bytes = bytes.min(account.used);
+        account.used -= bytes;
         self.used -= bytes;
-        a.recalled = a.recalled.and_then(|(asked, by)| {
-            let left = asked.saturating_sub(bytes);
-            (left > 0).then_some((left, by))
+        account.pending = account.pending.and_then(|pending| {
+            let remaining = pending.bytes.saturating_sub(bytes);
+            (remaining > 0).then_some(PendingBytes { bytes: remaining, due: pending.due })
         });
     }
 
-    /// Recalls whose time is over: these bytes may be taken from their accounts.
-    pub fn overdue(&self, now: Timestamp) -> Vec<Recall> {
-        let due = |(n, a): (usize, &Account)| {
-            let (bytes, by) = a.recalled.filter(|(_, by)| *by <= now)?;
-            Some(Recall { account: AccountId(n), bytes: bytes.min(a.used), by })
+    /// Returns the reclaims that are due: these bytes may be taken from their accounts.
+    pub fn overdue_reclaims(&self, now: Timestamp) -> Vec<Reclaim> {
+        let overdue = |(index, account): (usize, &Account)| {
+            let pending = account.pending.filter(|pending| pending.due <= now)?;
+            let bytes = pending.bytes.min(account.used);
+            Some(Reclaim { account: AccountId(index), bytes, due: pending.due })
         };
-        self.accounts.iter().enumerate().filter_map(due).collect()
+        self.accounts.iter().enumerate().filter_map(overdue).collect()
     }
 
-    /// When the next recall is overdue.
-    pub fn next_due(&self) -> Option<Timestamp> {
-        self.accounts.iter().filter_map(|a| a.recalled.map(|(_, by)| by)).min()
+    /// Returns when the next reclaim is due.
+    pub fn next_reclaim_due(&self) -> Option<Timestamp> {
+        let pending = self.accounts.iter().filter_map(|account| account.pending);
+        pending.map(|pending| pending.due).min()
     }
 
-    /// Changes the cap, also to less than is in use: nothing is granted then until there is room, and what is too
-    /// much is recalled.
+    /// Changes the cap, also to less than is in use: the excess is reclaimed, and no reservation is granted until enough
+    /// is released. New reclaims are appended to `reclaims`.
     ///
     /// # Errors
-    /// When the reserves do not fit into it; the cap then stays.
-    pub fn resize(&mut self, cap: u64, now: Timestamp, recalls: &mut Vec<Recall>) -> Result<(), PoolError> {
-        let reserves = self.accounts.iter().map(|a| a.terms.reserve).fold(0, u64::saturating_add);
-        if reserves > cap {
-            return Err(PoolError { reserves, cap });
-        }
+    /// Returns an error if the reserves add up to more; the cap is then unchanged.
+    pub fn resize(&mut self, cap: u64, now: Timestamp, reclaims: &mut Vec<Reclaim>) -> Result<(), PoolError> {
+        self.check_reserves(cap)?;
         self.cap = cap;
-        if let Some(lacking) = self.used.checked_sub(cap).filter(|lacking| *lacking > 0) {
-            let shares = self.shares(AccountId(usize::MAX), 0);
-            self.recall(&shares, lacking, now, recalls);
+        let excess = self.used.saturating_sub(cap);
+        if excess > 0 {
+            let nobody = AccountId(usize::MAX);
+            let shares = self.fair_shares(nobody, 0);
+            self.reclaim(&shares, excess, now, reclaims);
         }
         Ok(())
     }
--- a/crates/testbench/src/starve.rs
+++ b/crates/testbench/src/starve.rs
@@ -86,7 +86,7 @@
     let classes = load::run(Target { wire, address, spec: Rc::new(spec), clock, world }, planned).await;
     drop(end);
     let verdict = rig.installation.verdict().await?;
-    let memory = (rig.proxy.budget.total().1, rig.proxy.budget.cap());
+    let memory = (rig.proxy.budget.peak_used(), rig.proxy.budget.cap());
     rig.proxy.end().await?;
     slow.join().map_err(|_| LabError::Ended)??;
     Ok(Outcome { classes, verdict, memory })
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -157,7 +157,7 @@
     println!("requests     {} held at most, {} attempts each", config.most_held, config.max_attempts);
     println!("memory       {} accounted for", ByteSize(config.plan.total));
     println!("  {:<18}{:>12}{:>12}", "purpose", "cap", "reserve");
-    for (purpose, terms) in PURPOSES.iter().zip(&config.plan.terms) {
+    for (purpose, terms) in PURPOSES.iter().zip(&config.plan.limits) {
         let (cap, reserve) = (ByteSize(terms.cap).to_string(), ByteSize(terms.reserve).to_string());
         println!("  {:<18}{cap:>12}{reserve:>12}", purpose.to_string());
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -262,7 +262,7 @@
 
     /// What one client connection may have in its pipeline.
     pub fn pipeline(&self) -> pipeline::Limits {
-        let buffers = self.plan.terms[Purpose::ClientBuffers as usize].cap;
+        let buffers = self.plan.limits[Purpose::ClientBuffers as usize].cap;
         let bytes = usize::try_from(buffers).unwrap_or(usize::MAX) / self.limits.clients.max(1);
         let bytes = bytes.clamp(PIPELINE_BYTES.0, PIPELINE_BYTES.1);
         pipeline::Limits::shared(self.most_held, self.limits.clients, bytes)
@@ -372,13 +372,13 @@
         let memory = file.limits.memory_mb.map(|mb| mb * MEMORY_SHARE * f64::from(1 << 20));
         let limits = bounded(descriptors::divide(sockets), memory, pgwire::MOST_STATEMENT);
         let class = |class: &RequestClass| ClassWeight {
-            worth: class.priority_weight,
-            write: class.freshness == Freshness::Write,
+            priority_weight: class.priority_weight,
+            is_write: class.freshness == Freshness::Write,
         };
         let figures = PlanInputs {
             total: file.limits.memory_mb.map_or(UNBOUNDED, |mb| (mb * ACCOUNTED * f64::from(1 << 20)) as u64),
             classes: settings.classes.iter().map(class).collect(),
-            tenants: more.customers.iter().map(|c| c.share).collect(),
+            tenant_shares: more.customers.iter().map(|c| c.share).collect(),
             ..PlanInputs::default()
         };
         let plan = Plan::new(&figures).map_err(|e| wrong("limits.memory_mb", e))?;
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's own file, in YAML: what the platform does not tell a proxy. Without it the program is what it
 //! is without this module.
 
-use crate::budget::plan::Override;
+use crate::budget::plan::LimitOverride;
 use crate::budget::{Purpose, PURPOSES};
 use crate::membership::post::Key;
 use crate::membership::Name;
@@ -49,7 +49,7 @@
     /// All that is accounted for, in bytes.
     pub total: Option<u64>,
     /// Caps and reserves by purpose.
-    pub purposes: BTreeMap<Purpose, Override>,
+    pub purposes: BTreeMap<Purpose, LimitOverride>,
 }
 
 /// A port for clients.
@@ -313,7 +313,7 @@
             let problem = "a reserve is at most as large as the cap".to_owned();
             return Err(fault.at(terms.referenced, &key(".reserve"), problem));
         }
-        purposes.insert(purpose, Override { cap, reserve });
+        purposes.insert(purpose, LimitOverride { cap, reserve });
     }
     Ok(MemorySettings { total, purposes })
 }
--- a/src/net/memory.rs
+++ b/src/net/memory.rs
@@ -2,8 +2,8 @@
 //! that were recalled and not released in time. The budget's rules stand in [`crate::budget`].
 
 use super::clock::Clock;
-use crate::budget::plan::{Plan, ONLY_ACCOUNT};
-use crate::budget::{AccountId, Budget, BudgetExceeded, PendingRecall, Purpose, Reservation, PURPOSES};
+use crate::budget::plan::{Plan, SOLE_ACCOUNT};
+use crate::budget::{AccountId, Budget, BudgetExceeded, PendingReclaim, Purpose, Reservation, PURPOSES};
 use crate::interface::{TimeDelta, Timestamp};
 use crate::pgwire;
 use crate::state::rate_limited_log::RateLimitedLog;
@@ -70,7 +70,7 @@
     /// # Errors
     /// When the budget has none left.
     pub fn connection(&self) -> Result<Reservation, BudgetExceeded> {
-        self.reserve(Purpose::Connections, ONLY_ACCOUNT, CONNECTION_BYTES)
+        self.reserve(Purpose::Connections, SOLE_ACCOUNT, CONNECTION_BYTES)
     }
 
     /// Returns an empty reservation for a client's buffers, to be resized as they grow.
@@ -128,7 +128,7 @@
 
     /// Returns how many bytes all large answers together may take: half of what is planned for buffers of hosts.
     pub fn large_answers_bytes(&self) -> u64 {
-        self.plan.terms[Purpose::UpstreamBuffers as usize].cap / 2
+        self.plan.limits[Purpose::UpstreamBuffers as usize].cap / 2
     }
 
     /// Reserves what is held of one large answer. All of them share the account of least weight, so that they never
@@ -169,12 +169,12 @@
     /// Publishes overdue recalls until none is pending.
     async fn reclaim_overdue(&self, reclaims: &watch::Sender<Vec<Arc<Reclaim>>>, log: &mut RejectionLog) {
         loop {
-            let overdue = self.budget.overdue(self.clock.now());
+            let overdue = self.budget.overdue_reclaims(self.clock.now());
             let due: Vec<Arc<Reclaim>> = overdue.iter().filter_map(reclaim).collect();
             if !due.is_empty() {
                 reclaims.send_replace(due);
             }
-            let Some(next) = self.budget.next_due() else { return };
+            let Some(next) = self.budget.next_reclaim_due() else { return };
             let wake_at = self.clock.instant(next).max(Instant::now() + RECLAIM_RETRY_INTERVAL);
             tokio::select! {
                 () = sleep_until(wake_at) => {}
@@ -188,7 +188,7 @@
 }
 
 /// Returns the reclaim for an overdue recall; none unless the recall is of an account of client buffers.
-fn reclaim(recall: &PendingRecall) -> Option<Arc<Reclaim>> {
+fn reclaim(recall: &PendingReclaim) -> Option<Arc<Reclaim>> {
     let account = recall.account.filter(|_| recall.purpose == Purpose::ClientBuffers)?;
     Some(Arc::new(Reclaim { account, remaining_bytes: AtomicU64::new(recall.bytes) }))
 }
@@ -207,7 +207,7 @@
 
     fn note(&mut self, budget: &Budget, now: Timestamp) {
         for purpose in PURPOSES {
-            let total = budget.refusals(purpose);
+            let total = budget.rejections(purpose);
             let noted = std::mem::replace(&mut self.noted[purpose as usize], total);
             let Some(rejected) = self.rate_limit.record(now, purpose, total - noted) else { continue };
             let used_bytes = budget.used(purpose);
--- a/src/net/upstream/large/tests.rs
+++ b/src/net/upstream/large/tests.rs
@@ -1,5 +1,5 @@
 use super::LargeAnswers;
-use crate::budget::plan::{Override, Plan, PlanInputs};
+use crate::budget::plan::{LimitOverride, Plan, PlanInputs};
 use crate::budget::{Budget, Purpose};
 use crate::net::clock::Clock;
 use crate::net::memory::Memory;
@@ -10,7 +10,7 @@
 
 /// Slots for so many long answers, and the budget that has them.
 pub(in crate::net::upstream) fn slots(number: usize) -> (LargeAnswers, Budget) {
-    let buffers = Override { cap: Some(2 * (number * MAX_BUFFERED_BYTES) as u64), reserve: Some(0) };
+    let buffers = LimitOverride { cap: Some(2 * (number * MAX_BUFFERED_BYTES) as u64), reserve: Some(0) };
     let overrides = BTreeMap::from([(Purpose::UpstreamBuffers, buffers)]);
     let figures = PlanInputs { total: 64 << 20, overrides, ..PlanInputs::default() };
     let plan = Plan::new(&figures).unwrap();
