--- a/crates/decisions/tests/budget.rs
+++ b/crates/decisions/tests/budget.rs
@@ -64,7 +64,7 @@
 fn budget() -> Budget {
     let accounts: Vec<AccountLimits> =
         [(1, 10), (2, 0), (4, 20)].map(|(weight, reserve)| AccountLimits { weight, reserve }).to_vec();
-    let terms =
+    let limits =
         PURPOSES.map(|_| PurposeLimits { cap: 100, reserve: 30, weight: 1, accounts: accounts.clone() });
     Budget::new(400, &limits).unwrap()
 }
