--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -127,7 +127,7 @@
                 self.update_endpoints(list, kind).await;
             }
             CoreEvent::Reconfigured(config) => {
-                self.router.retune(config.settings.clone());
+                self.router.reconfigure(config.settings.clone());
                 self.config = *config;
             }
             CoreEvent::DrainStarted(reply_by) => self.bring_all_replies_forward(reply_by),
--- a/src/net/core/positions.rs
+++ b/src/net/core/positions.rs
@@ -39,7 +39,7 @@
         let offset_ms = self.host_clock.offset().0 / 1000;
         tracing::warn!(offset_ms, "offset of the hosts' clock changed");
         self.hosts.shift_start_times(shift.0);
-        self.router.rebase(received, shift.0);
+        self.router.shift_host_clock(received, shift.0);
     }
 
     /// Returns whether the data behind an answer are too old for its request, where the settings leave that check to the
