--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -154,7 +154,7 @@
         None => println!("console      none"),
     }
     println!("connections  {} of clients, {} to ledger hosts", config.limits.clients, config.limits.upstream);
-    println!("requests     {} held at most, {} attempts each", config.most_held, config.max_attempts);
+    println!("requests     {} held at most, {} attempts each", config.max_pending_requests, config.max_attempts);
     println!("memory       {} accounted for", ByteSize(config.plan.total));
     println!("  {:<18}{:>12}{:>12}", "purpose", "cap", "reserve");
     for (purpose, terms) in PURPOSES.iter().zip(&config.plan.limits) {
@@ -162,8 +162,8 @@
         println!("  {:<18}{cap:>12}{reserve:>12}", purpose.to_string());
     }
     for class in &config.names.classes {
-        let keyed = if class.keyed { ", keyed" } else { "" };
-        println!("class        {}: {}{keyed}", class.name, if class.write { "writes" } else { "reads" });
+        let keyed = if class.needs_key { ", keyed" } else { "" };
+        println!("class        {}: {}{keyed}", class.name, if class.is_write { "writes" } else { "reads" });
     }
     config.operator.peers.iter().flat_map(peers).for_each(|line| println!("{line}"));
     accepts(&config.names).iter().for_each(|line| println!("{line}"));
@@ -198,7 +198,7 @@
     };
     let comment = |class: &ClassName| {
         let tenant = if names.has_tenants() { ",t=TENANT" } else { "" };
-        let key = if class.keyed { ",k=KEY" } else { "" };
+        let key = if class.needs_key { ",k=KEY" } else { "" };
         format!("accepts      /* id=ID,c={}{tenant},d=MS{key},cluster=GROUP */", class.name)
     };
     std::iter::once(format!("tenants      {tenants}")).chain(names.classes.iter().map(comment)).collect()
@@ -210,9 +210,9 @@
     use crate::config::TenantName;
 
     fn names(tenants: &[&str]) -> Names {
-        let class = |name: &str, keyed| ClassName { name: name.to_owned(), keyed, ..ClassName::default() };
+        let class = |name: &str, keyed| ClassName { name: name.to_owned(), needs_key: keyed, ..ClassName::default() };
         let tenants =
-            tenants.iter().map(|name| TenantName { name: (*name).to_owned(), open: true }).collect();
+            tenants.iter().map(|name| TenantName { name: (*name).to_owned(), is_configured: true }).collect();
         Names { classes: vec![class("look", false), class("pay", true)], tenants, zones: Vec::new() }
     }
 
--- a/src/config/descriptors.rs
+++ b/src/config/descriptors.rs
@@ -1,11 +1,12 @@
-//! How many descriptors each part of the process may hold, counted from the settings: all parts at their bounds together
-//! never hold more than `limits.sockets`.
+//! How many descriptors each part of the process may hold.
+//!
+//! Invariant: all parts at their limits together never hold more than `limits.sockets`.
 
-use super::Limits;
 use crate::membership::DiscoveryRetry;
+use crate::pgwire;
 
 /// Standard input, output and error.
-const STANDARD: usize = 3;
+const STANDARD_STREAMS: usize = 3;
 /// The runtime's poller, its copy, its waker, and three sockets by which signals reach it.
 const RUNTIME: usize = 6;
 /// The first client listener and the console's.
@@ -16,42 +17,96 @@
 const DISCOVERY: usize = DiscoveryRetry::MOST_CALLS + 1;
 /// Client connections above their limit that are answered instead of being closed unread.
 pub const OVERFLOW: usize = 8;
-/// Callers of the console served at once where descriptors are few.
-const CALLERS: usize = 6;
-/// One that was inherited from whoever started the process.
-const SPARE: usize = 1;
-/// What is no connection of a client within its limit and none to a ledger host.
-pub(super) const RESERVED: usize =
-    STANDARD + RUNTIME + LISTENERS + TRANSIENT + DISCOVERY + OVERFLOW + CALLERS + SPARE;
-
-/// From here on the console has one caller more for each so many descriptors, up to a bound.
-const MORE_CALLERS: (usize, usize, usize) = (256, 32, 58);
-/// One in so many descriptors is for messages to other members, and as many for messages from them, within bounds.
-const STREAMS: (usize, usize, usize) = (64, 2, 16);
-/// The members' two listeners.
-const STATION: usize = 2;
-
-/// Share of the connections that goes to ledger hosts: each is used by many clients in turn.
-pub(super) const UPSTREAM_SHARE: f64 = 0.3;
-
-/// Divides the descriptors among clients, ledger hosts and the console.
-pub(super) fn divide(sockets: usize) -> Limits {
-    let connections = sockets.saturating_sub(RESERVED) as f64;
-    let (from, each, most) = MORE_CALLERS;
-    let more_callers = (sockets.saturating_sub(from) / each).min(most);
-    Limits {
-        clients: ((connections * (1.0 - UPSTREAM_SHARE)) as usize).saturating_sub(more_callers),
-        upstream: (connections * UPSTREAM_SHARE) as usize,
-        callers: CALLERS + more_callers,
-        streams: 0,
-    }
+/// A descriptor that was inherited from the parent process.
+const INHERITED: usize = 1;
+/// Descriptors that neither serve a client within its limit nor a host.
+const RESERVED: usize = STANDARD_STREAMS
+    + RUNTIME
+    + LISTENERS
+    + TRANSIENT
+    + DISCOVERY
+    + OVERFLOW
+    + MIN_CONSOLE_CALLERS
+    + INHERITED;
+
+/// Callers that the console serves at once where descriptors are few.
+const MIN_CONSOLE_CALLERS: usize = 6;
+/// Descriptors above which the console serves further callers.
+const SOCKETS_FOR_MORE_CONSOLE_CALLERS: usize = 256;
+/// Descriptors for each further caller of the console.
+const SOCKETS_PER_CONSOLE_CALLER: usize = 32;
+const MAX_FURTHER_CONSOLE_CALLERS: usize = 58;
+
+/// Descriptors for each stream to a peer.
+const SOCKETS_PER_PEER_STREAM: usize = 64;
+const MIN_PEER_STREAMS: usize = 2;
+const MAX_PEER_STREAMS: usize = 16;
+/// The datagram socket and the stream listener for peers.
+const PEER_LISTENERS: usize = 2;
+
+/// Fraction of the connections that goes to hosts; each of these serves many clients in turn.
+const UPSTREAM_FRACTION: f64 = 0.3;
+/// Fraction of the memory for messages that client connections may use; each may hold a statement of the largest size.
+const CLIENT_MEMORY_FRACTION: f64 = 0.8;
+/// Fewest connections on either side that the proxy works with.
+pub(super) const MIN_CONNECTIONS: usize = 8;
+/// Fewest descriptors that the proxy works with.
+pub(super) const MIN_SOCKETS: usize = 64;
+/// Descriptors where the file gives no number.
+pub(super) const DEFAULT_SOCKETS: usize = 1024;
+
+/// Largest number of connections of each kind at once.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionLimits {
+    /// Client connections, without the [`OVERFLOW`].
+    pub clients: usize,
+    /// Connections to hosts.
+    pub upstream: usize,
+    /// Callers of the console.
+    pub console_callers: usize,
+    /// Streams to peers; as many come from them.
+    pub peer_streams: usize,
 }
 
-/// The same with further client listeners, and with other members to speak with.
-pub(super) fn divide_with(sockets: usize, more_listeners: usize, peers: bool) -> Limits {
-    let limits = divide(sockets);
-    let (each, least, most) = STREAMS;
-    let streams = if peers { (sockets / each).clamp(least, most) } else { 0 };
-    let station = if peers { STATION + 2 * streams } else { 0 };
-    Limits { clients: limits.clients.saturating_sub(more_listeners + station), streams, ..limits }
+impl ConnectionLimits {
+    /// Divides the descriptors of a process without peers and with one client listener.
+    pub(super) fn divide(sockets: usize) -> Self {
+        let connections = sockets.saturating_sub(RESERVED) as f64;
+        let further_callers =
+            sockets.saturating_sub(SOCKETS_FOR_MORE_CONSOLE_CALLERS) / SOCKETS_PER_CONSOLE_CALLER;
+        let further_callers = further_callers.min(MAX_FURTHER_CONSOLE_CALLERS);
+        let clients = (connections * (1.0 - UPSTREAM_FRACTION)) as usize;
+        Self {
+            clients: clients.saturating_sub(further_callers),
+            upstream: (connections * UPSTREAM_FRACTION) as usize,
+            console_callers: MIN_CONSOLE_CALLERS + further_callers,
+            peer_streams: 0,
+        }
+    }
+
+    /// Divides the descriptors of a process with further client listeners and, possibly, peers.
+    pub(super) fn divide_with(sockets: usize, further_listeners: usize, has_peers: bool) -> Self {
+        let limits = Self::divide(sockets);
+        if !has_peers {
+            return Self { clients: limits.clients.saturating_sub(further_listeners), ..limits };
+        }
+        let peer_streams = (sockets / SOCKETS_PER_PEER_STREAM).clamp(MIN_PEER_STREAMS, MAX_PEER_STREAMS);
+        let for_peers = PEER_LISTENERS + 2 * peer_streams;
+        let clients = limits.clients.saturating_sub(further_listeners + for_peers);
+        Self { clients, peer_streams, ..limits }
+    }
+
+    /// Returns the limits lowered to what the memory for messages allows, if it is bounded: each client connection may
+    /// hold a statement of `max_statement_bytes`, each connection to a host an answer of the largest size.
+    pub(super) fn within_memory(self, memory_bytes: Option<f64>, max_statement_bytes: usize) -> Self {
+        let Some(memory_bytes) = memory_bytes else { return self };
+        let connections = |fraction: f64, message_bytes: usize| {
+            ((memory_bytes * fraction / message_bytes as f64) as usize).max(MIN_CONNECTIONS)
+        };
+        Self {
+            clients: self.clients.min(connections(CLIENT_MEMORY_FRACTION, max_statement_bytes)),
+            upstream: self.upstream.min(connections(1.0 - CLIENT_MEMORY_FRACTION, pgwire::MOST_ANSWER)),
+            ..self
+        }
+    }
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,5 +1,6 @@
-//! The operator's own file, in YAML: what the platform does not tell a proxy. Without it the program is what it
-//! is without this module.
+//! The operator's file, in YAML: what the platform's file does not set. It is optional.
+//!
+//! The structures `File` and `Raw...` are the file's format; errors name file, line and key.
 
 use crate::budget::plan::LimitOverride;
 use crate::budget::{Purpose, PURPOSES};
@@ -16,52 +17,52 @@
 /// What the operator's file sets.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Operator {
-    /// Further ports.
+    /// Further listeners for clients.
     pub listeners: Vec<Listener>,
-    /// What ledger hosts speak.
+    /// The protocols of the hosts.
     pub hosts: HostProtocols,
-    /// How memory is divided.
+    /// The division of memory.
     pub memory: MemorySettings,
-    /// The fleet that this proxy is of; none: it speaks with no other proxy.
+    /// The fleet that this proxy belongs to; `None` if it has no peers.
     pub peers: Option<Peers>,
 }
 
-/// The fleet that a proxy is of (`docs/operate/fleet.md`).
+/// The fleet that a proxy belongs to (`docs/operate/fleet.md`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peers {
-    /// What the fleet is called; whoever calls it otherwise is of another one.
+    /// The fleet's name, the same at each member.
     pub fleet: String,
-    /// Where this proxy hears the others, datagrams and streams.
+    /// Where this proxy receives datagrams and streams of its peers.
     pub listen: SocketAddr,
-    /// Those who found the fleet, all of them together, and where they are; the same in each member's file.
+    /// The members that found the fleet together, with their addresses; the same in each member's file.
     pub founders: BTreeMap<Name, SocketAddr>,
-    /// Others whose place is known beforehand; the rest is found by asking.
+    /// Other members with addresses known in advance; those of the rest are discovered.
     pub members: BTreeMap<Name, SocketAddr>,
-    /// What messages are sealed with.
+    /// The key that messages are authenticated with.
     pub key: Key,
-    /// What opens them as well, while keys are changed.
+    /// A second key that is accepted while keys are rotated.
     pub second_key: Option<Key>,
 }
 
-/// What the operator sets of memory; the rest is divided as ever.
+/// What the operator sets about memory; defaults apply to the rest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemorySettings {
-    /// All that is accounted for, in bytes.
+    /// Bytes of all accounted memory.
     pub total: Option<u64>,
     /// Caps and reserves by purpose.
     pub purposes: BTreeMap<Purpose, LimitOverride>,
 }
 
-/// A port for clients.
+/// A listener for clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listener {
-    /// What is spoken there.
+    /// The protocol spoken there.
     pub protocol: Protocol,
-    /// Where it is.
+    /// The address that it listens on.
     pub address: SocketAddr,
 }
 
-/// Which protocol the ledger hosts of a discovery type speak.
+/// The protocols of the hosts, by the type that discovery gives them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HostProtocols {
     default: Protocol,
@@ -69,26 +70,26 @@
 }
 
 impl HostProtocols {
-    /// What hosts of this type speak.
-    pub fn protocol(&self, kind: &str) -> Protocol {
-        self.types.get(kind).copied().unwrap_or(self.default)
+    /// Returns the protocol of hosts of a type.
+    pub fn protocol(&self, host_type: &str) -> Protocol {
+        self.types.get(host_type).copied().unwrap_or(self.default)
     }
 
-    /// All that some host may speak.
+    /// Returns the protocols that some host may speak.
     fn spoken(&self) -> impl Iterator<Item = Protocol> + '_ {
         std::iter::once(self.default).chain(self.types.values().copied())
     }
 }
 
-/// What is wrong with the operator's file.
+/// An operator's file that the proxy cannot start with.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}{}: {key}: {problem}", line.map(|line| format!(":{line}")).unwrap_or_default())]
 pub struct OperatorError {
-    /// The file.
+    /// Path of the file.
     pub file: String,
-    /// The line, where one is at fault.
+    /// The line at fault, from 1; `None` if the file as a whole is.
     pub line: Option<u64>,
-    /// The faulty key.
+    /// The key at fault; `file` if the file as a whole is.
     pub key: String,
     /// What is wrong with it, and what is allowed.
     pub problem: String,
@@ -142,15 +143,16 @@
     types: BTreeMap<String, Spanned<String>>,
 }
 
-/// The protocols by the names that the file has for them.
+/// The protocols that the file may name.
 const PROTOCOLS: [Protocol; 2] = [Protocol::Postgres, Protocol::Tds];
 
-struct Fault<'a> {
+/// Reads values of a file, with errors that name it.
+struct ValueReader<'a> {
     file: &'a str,
 }
 
-impl Fault<'_> {
-    fn at(&self, location: Location, key: &str, problem: String) -> OperatorError {
+impl ValueReader<'_> {
+    fn error(&self, location: Location, key: &str, problem: String) -> OperatorError {
         let line = Some(location.line()).filter(|line| *line > 0);
         OperatorError { file: self.file.to_owned(), line, key: key.to_owned(), problem }
     }
@@ -159,14 +161,14 @@
         let size: Result<ByteSize, _> = text.value.parse();
         size.map(|size| size.as_u64()).map_err(|_| {
             let problem = format!("`{}` is no size; allowed are numbers with a unit, like 64MiB", text.value);
-            self.at(text.referenced, key, problem)
+            self.error(text.referenced, key, problem)
         })
     }
 
     fn address(&self, text: &Spanned<String>, key: &str) -> Result<SocketAddr, OperatorError> {
         text.value.parse().map_err(|_| {
             let problem = format!("`{}` is no address with a port, like 127.0.0.1:1433", text.value);
-            self.at(text.referenced, key, problem)
+            self.error(text.referenced, key, problem)
         })
     }
 
@@ -174,158 +176,181 @@
         let found = PROTOCOLS.into_iter().find(|protocol| protocol.to_string() == name.value);
         found.ok_or_else(|| {
             let problem = format!("`{}` is no protocol; allowed are postgres and tds", name.value);
-            self.at(name.referenced, key, problem)
+            self.error(name.referenced, key, problem)
         })
     }
 }
 
 impl Operator {
-    /// Reads the file.
+    /// Reads the file at `path`.
     ///
     /// # Errors
-    /// When it cannot be read or is not sensible; the error names line and key.
+    /// Returns the first line and key with an invalid value, or why the file cannot be read.
     pub fn from_file(path: &Path) -> Result<Self, OperatorError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
             Ok(text) => Self::read(&text, &file),
-            Err(e) => Err(OperatorError { file, line: None, key: "file".to_owned(), problem: e.to_string() }),
+            Err(error) => {
+                let problem = error.to_string();
+                Err(OperatorError { file, line: None, key: "file".to_owned(), problem })
+            }
         }
     }
 
-    /// Reads the text of a file of that name.
+    /// Reads the text of a file; `file` is its name in errors.
     ///
     /// # Errors
-    /// When it is not sensible; the error names line and key.
+    /// Returns the first line and key with an invalid value.
     pub fn read(text: &str, file: &str) -> Result<Self, OperatorError> {
-        let fault = Fault { file };
-        let raw: File =
-            match text.lines().all(|line| line.trim_start().starts_with('#') || line.trim().is_empty()) {
-                true => File::default(),
-                false => serde_saphyr::from_str(text).map_err(|e| {
-                    let problem = e.to_string();
-                    let problem = problem.lines().next().unwrap_or_default().to_owned();
-                    fault.at(e.location().unwrap_or(Location::UNKNOWN), "file", problem)
-                })?,
-            };
-        let hosts = hosts(raw.hosts, &fault)?;
-        let spoken: Vec<Protocol> = hosts.spoken().collect();
-        let mut listeners = Vec::with_capacity(raw.listeners.len());
-        let mut taken = BTreeSet::new();
-        for (n, raw) in raw.listeners.iter().enumerate() {
-            let key = |part: &str| format!("listeners[{n}].{part}");
-            let protocol = fault.protocol(&raw.protocol, &key("protocol"))?;
-            if !spoken.contains(&protocol) {
-                let problem = format!(
-                    "no ledger host speaks {protocol}; set hosts.default or a type under hosts.types to it"
-                );
-                return Err(fault.at(raw.protocol.referenced, &key("protocol"), problem));
-            }
-            let address = fault.address(&raw.address, &key("address"))?;
-            if address.port() != 0 && !taken.insert(address) {
-                let problem = format!("{address} stands twice; each listener has an address of its own");
-                return Err(fault.at(raw.address.referenced, &key("address"), problem));
-            }
-            listeners.push(Listener { protocol, address });
+        let reader = ValueReader { file };
+        let raw = parse(text, &reader)?;
+        let hosts = hosts(raw.hosts, &reader)?;
+        let listeners = listeners(&raw.listeners, &hosts, &reader)?;
+        let peers = raw.peers.as_ref().map(|raw| peers(raw, &reader)).transpose()?;
+        Ok(Self { listeners, hosts, memory: memory(&raw.memory, &reader)?, peers })
+    }
+}
+
+/// Parses the file; one of blank lines and comments alone sets nothing.
+fn parse(text: &str, reader: &ValueReader<'_>) -> Result<File, OperatorError> {
+    if text.lines().all(|line| line.trim_start().starts_with('#') || line.trim().is_empty()) {
+        return Ok(File::default());
+    }
+    serde_saphyr::from_str(text).map_err(|error| {
+        let message = error.to_string();
+        let problem = message.lines().next().unwrap_or_default().to_owned();
+        reader.error(error.location().unwrap_or(Location::UNKNOWN), "file", problem)
+    })
+}
+
+fn listeners(
+    raw: &[RawListener],
+    hosts: &HostProtocols,
+    reader: &ValueReader<'_>,
+) -> Result<Vec<Listener>, OperatorError> {
+    let host_protocols: Vec<Protocol> = hosts.spoken().collect();
+    let mut listeners = Vec::with_capacity(raw.len());
+    let mut addresses = BTreeSet::new();
+    for (index, raw) in raw.iter().enumerate() {
+        let key = |field: &str| format!("listeners[{index}].{field}");
+        let protocol = reader.protocol(&raw.protocol, &key("protocol"))?;
+        if !host_protocols.contains(&protocol) {
+            let problem = format!(
+                "no ledger host speaks {protocol}; set hosts.default or a type under hosts.types to it"
+            );
+            return Err(reader.error(raw.protocol.referenced, &key("protocol"), problem));
+        }
+        let address = reader.address(&raw.address, &key("address"))?;
+        if address.port() != 0 && !addresses.insert(address) {
+            let problem = format!("{address} stands twice; each listener has an address of its own");
+            return Err(reader.error(raw.address.referenced, &key("address"), problem));
         }
-        let peers = raw.peers.as_ref().map(|raw| peers(raw, &fault)).transpose()?;
-        Ok(Self { listeners, hosts, memory: memory(&raw.memory, &fault)?, peers })
+        listeners.push(Listener { protocol, address });
     }
+    Ok(listeners)
 }
 
-/// A name is in each message: longer ones cost the fleet more than they tell.
-const LONGEST_NAME: usize = 64;
-/// So many found a fleet at the most: all of them have to be there for that.
-const MOST_FOUNDERS: usize = 32;
+/// Longest name of a fleet or member, in bytes: each message carries them.
+const MAX_NAME_BYTES: usize = 64;
+/// Most founders of a fleet: all of them have to be present at its foundation.
+const MAX_FOUNDERS: usize = 32;
 
-fn peers(raw: &Spanned<RawPeers>, fault: &Fault<'_>) -> Result<Peers, OperatorError> {
+fn peers(raw: &Spanned<RawPeers>, reader: &ValueReader<'_>) -> Result<Peers, OperatorError> {
     let RawPeers { fleet, listen, founders, members, key_files } = &raw.value;
-    if fleet.value.is_empty() || fleet.value.len() > LONGEST_NAME {
-        let problem = format!("a fleet's name has 1 to {LONGEST_NAME} bytes");
-        return Err(fault.at(fleet.referenced, "peers.fleet", problem));
+    if fleet.value.is_empty() || fleet.value.len() > MAX_NAME_BYTES {
+        let problem = format!("a fleet's name has 1 to {MAX_NAME_BYTES} bytes");
+        return Err(reader.error(fleet.referenced, "peers.fleet", problem));
     }
-    let named = named(&founders.value, "peers.founders", fault)?;
-    if named.is_empty() || named.len() > MOST_FOUNDERS {
+    let founder_addresses = member_addresses(&founders.value, "peers.founders", reader)?;
+    if founder_addresses.is_empty() || founder_addresses.len() > MAX_FOUNDERS {
         let problem = format!(
-            "1 to {MOST_FOUNDERS} proxies found a fleet, all of them together; give NAME: ADDRESS of each"
+            "1 to {MAX_FOUNDERS} proxies found a fleet, all of them together; give NAME: ADDRESS of each"
         );
-        return Err(fault.at(founders.referenced, "peers.founders", problem));
+        return Err(reader.error(founders.referenced, "peers.founders", problem));
     }
-    let (key, second_key) = keys(key_files, fault)?;
+    let (key, second_key) = keys(key_files, reader)?;
     Ok(Peers {
         fleet: fleet.value.clone(),
-        listen: fault.address(listen, "peers.listen")?,
-        founders: named,
-        members: self::named(members, "peers.members", fault)?,
+        listen: reader.address(listen, "peers.listen")?,
+        founders: founder_addresses,
+        members: member_addresses(members, "peers.members", reader)?,
         key,
         second_key,
     })
 }
 
-fn named(
+fn member_addresses(
     raw: &BTreeMap<String, Spanned<String>>,
     key: &str,
-    fault: &Fault<'_>,
+    reader: &ValueReader<'_>,
 ) -> Result<BTreeMap<Name, SocketAddr>, OperatorError> {
-    let one = |(name, address): (&String, &Spanned<String>)| {
+    let member = |(name, address): (&String, &Spanned<String>)| {
         let key = format!("{key}.{name}");
-        if name.is_empty() || name.len() > LONGEST_NAME {
-            return Err(fault.at(address.referenced, &key, format!("a name has 1 to {LONGEST_NAME} bytes")));
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
+            return Err(reader.error(
+                address.referenced,
+                &key,
+                format!("a name has 1 to {MAX_NAME_BYTES} bytes"),
+            ));
         }
-        Ok((name.as_str().into(), fault.address(address, &key)?))
+        Ok((name.as_str().into(), reader.address(address, &key)?))
     };
-    raw.iter().map(one).collect()
+    raw.iter().map(member).collect()
 }
 
 fn keys(
     files: &Spanned<Vec<Spanned<String>>>,
-    fault: &Fault<'_>,
+    reader: &ValueReader<'_>,
 ) -> Result<(Key, Option<Key>), OperatorError> {
     let read = |file: &Spanned<String>| {
-        let text = std::fs::read_to_string(&file.value).map_err(|e| e.to_string());
-        let key = text.and_then(|text| Key::read(&text).map_err(|e| e.to_string()));
-        key.map_err(|e| fault.at(file.referenced, "peers.key_files", format!("{}: {e}", file.value)))
+        let text = std::fs::read_to_string(&file.value).map_err(|error| error.to_string());
+        let key = text.and_then(|text| Key::read(&text).map_err(|error| error.to_string()));
+        key.map_err(|problem| {
+            reader.error(file.referenced, "peers.key_files", format!("{}: {problem}", file.value))
+        })
     };
     match &files.value[..] {
         [first] => Ok((read(first)?, None)),
         [first, second] => Ok((read(first)?, Some(read(second)?))),
         _ => {
             let problem = "one file, or two while keys are changed: the first seals, both open".to_owned();
-            Err(fault.at(files.referenced, "peers.key_files", problem))
+            Err(reader.error(files.referenced, "peers.key_files", problem))
         }
     }
 }
 
-fn memory(raw: &RawMemory, fault: &Fault<'_>) -> Result<MemorySettings, OperatorError> {
-    let total = raw.total.as_ref().map(|text| fault.bytes(text, "memory.total")).transpose()?;
+fn memory(raw: &RawMemory, reader: &ValueReader<'_>) -> Result<MemorySettings, OperatorError> {
+    let total = raw.total.as_ref().map(|text| reader.bytes(text, "memory.total")).transpose()?;
     let mut purposes = BTreeMap::new();
-    for (name, terms) in &raw.purposes {
+    for (name, limits) in &raw.purposes {
         let key = |part: &str| format!("memory.purposes.{name}{part}");
         let purpose = PURPOSES.into_iter().find(|purpose| purpose.to_string() == *name).ok_or_else(|| {
             let known: Vec<String> = PURPOSES.iter().map(ToString::to_string).collect();
             let problem = format!("`{name}` is no purpose; allowed are {}", known.join(", "));
-            fault.at(terms.referenced, &key(""), problem)
+            reader.error(limits.referenced, &key(""), problem)
         })?;
         let bytes = |text: &Option<Spanned<String>>, part| {
-            text.as_ref().map(|text| fault.bytes(text, &key(part))).transpose()
+            text.as_ref().map(|text| reader.bytes(text, &key(part))).transpose()
         };
-        let (cap, reserve) = (bytes(&terms.value.cap, ".cap")?, bytes(&terms.value.reserve, ".reserve")?);
+        let (cap, reserve) = (bytes(&limits.value.cap, ".cap")?, bytes(&limits.value.reserve, ".reserve")?);
         if cap.zip(reserve).is_some_and(|(cap, reserve)| reserve > cap) {
             let problem = "a reserve is at most as large as the cap".to_owned();
-            return Err(fault.at(terms.referenced, &key(".reserve"), problem));
+            return Err(reader.error(limits.referenced, &key(".reserve"), problem));
         }
         purposes.insert(purpose, LimitOverride { cap, reserve });
     }
     Ok(MemorySettings { total, purposes })
 }
 
-fn hosts(raw: RawHosts, fault: &Fault<'_>) -> Result<HostProtocols, OperatorError> {
+fn hosts(raw: RawHosts, reader: &ValueReader<'_>) -> Result<HostProtocols, OperatorError> {
     let default = match &raw.default {
-        Some(name) => fault.protocol(name, "hosts.default")?,
+        Some(name) => reader.protocol(name, "hosts.default")?,
         None => Protocol::default(),
     };
     let mut types = BTreeMap::new();
-    for (kind, name) in &raw.types {
-        types.insert(kind.clone(), fault.protocol(name, &format!("hosts.types.{kind}"))?);
+    for (host_type, name) in &raw.types {
+        let protocol = reader.protocol(name, &format!("hosts.types.{host_type}"))?;
+        types.insert(host_type.clone(), protocol);
     }
     Ok(HostProtocols { default, types })
 }
--- /dev/null
+++ b/src/config/reload.rs
@@ -0,0 +1,81 @@
+//! Reloading the configuration while the proxy runs.
+//!
+//! What may change: the address of discovery, the request classes, the tenants with their quotas, and the number of
+//! attempts. Everything else holds until a restart. Classes and tenants keep their indices, so that requests in flight keep
+//! theirs; a class that is left out takes no new requests, a tenant that is left out has no quota, and new ones are
+//! appended.
+
+use super::file::File;
+use super::{ClassName, Config, ConfigError, TenantName};
+use crate::interface::Settings;
+
+impl Config {
+    /// Reads the file again and returns this configuration with what may change of it. A configuration that was not read
+    /// from a file is returned as it is.
+    ///
+    /// # Errors
+    /// Returns an error if the proxy could not start with the file.
+    pub fn reload(&self) -> Result<Self, ConfigError> {
+        let Some(path) = &self.file else { return Ok(self.clone()) };
+        let text = std::fs::read_to_string(path).map_err(|error| ConfigError::new("GW_CONFIG", error))?;
+        self.reload_from(&text)
+    }
+
+    /// Does what [`Config::reload`] does with the text of a file.
+    ///
+    /// # Errors
+    /// Returns an error if the proxy could not start with it.
+    pub fn reload_from(&self, text: &str) -> Result<Self, ConfigError> {
+        Ok(self.merge(self.read_again(text)?))
+    }
+
+    /// Reads the text as at a start, with the name and the addresses that this process has.
+    fn read_again(&self, text: &str) -> Result<Self, ConfigError> {
+        let file = File::parse(text)?;
+        let discovery = file.discovery.is_none().then(|| self.discovery.to_string());
+        Self::read(text, |variable| match variable {
+            "GW_NAME" => Some(self.name.clone()),
+            "GW_LISTEN" => Some(self.listen.to_string()),
+            "GW_DISCOVERY" => discovery.clone(),
+            _ => None,
+        })
+    }
+
+    fn merge(&self, new: Self) -> Self {
+        let old_names = self.names.classes.iter();
+        let old_names = old_names.map(|class| ClassName { is_configured: false, ..class.clone() });
+        let old_classes = old_names.zip(self.settings.classes.iter().cloned());
+        let new_classes = new.names.classes.into_iter().zip(new.settings.classes);
+        let (class_names, classes) = merge_by_name(old_classes, new_classes, |class| &class.name);
+
+        let old_names = self.names.tenants.iter();
+        let old_names = old_names.map(|tenant| TenantName { is_configured: false, ..tenant.clone() });
+        let old_tenants = old_names.map(|tenant| (tenant, 0.0));
+        let new_tenants = new.names.tenants.into_iter().zip(new.settings.tenant_quotas);
+        let (tenant_names, tenant_quotas) = merge_by_name(old_tenants, new_tenants, |tenant| &tenant.name);
+
+        let mut merged = self.clone();
+        merged.settings = Settings { classes, tenant_quotas, ..new.settings };
+        merged.names.classes = class_names;
+        merged.names.tenants = tenant_names;
+        merged.discovery = new.discovery;
+        merged.max_attempts = new.max_attempts;
+        merged
+    }
+}
+
+/// Replaces old entries by new ones of the same name, and appends the other new ones.
+fn merge_by_name<N, V>(
+    old: impl Iterator<Item = (N, V)>,
+    new: impl Iterator<Item = (N, V)>,
+    name: fn(&N) -> &str,
+) -> (Vec<N>, Vec<V>) {
+    let mut merged: Vec<(N, V)> = old.collect();
+    for entry in new {
+        match merged.iter().position(|(old, _)| name(old) == name(&entry.0)) {
+            Some(index) => merged[index] = entry,
+            None => merged.push(entry),
+        }
+    }
+    merged.into_iter().unzip()
+}
--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -98,7 +98,7 @@
 
     /// Runs until all senders of the mailbox are dropped, or the task is aborted.
     pub async fn run(mut self, mut mailbox: mpsc::Receiver<CoreEvent>) {
-        if let Some(cached) = self.config.known.take() {
+        if let Some(cached) = self.config.cached_endpoints.take() {
             self.update_endpoints(cached, EndpointUpdate::Cached).await;
         }
         loop {
--- a/src/net/core/requests.rs
+++ b/src/net/core/requests.rs
@@ -46,7 +46,7 @@
         if self.hosts.is_empty() {
             return Err(AdmissionError::NotReady);
         }
-        if self.requests.open() >= self.config.most_held {
+        if self.requests.open() >= self.config.max_pending_requests {
             return Err(AdmissionError::TooManyRequests);
         }
         // The router would queue a request of an unknown group until its client disconnects.
--- a/src/net/frontend/context.rs
+++ b/src/net/frontend/context.rs
@@ -34,7 +34,7 @@
     /// accept requests.
     pub fn of(config: &Config) -> Self {
         let classes = config.names.classes.iter().zip(&config.settings.classes);
-        let longest = classes.filter(|(name, _)| name.open).map(|(_, class)| class.deadline.0).max();
+        let longest = classes.filter(|(name, _)| name.is_configured).map(|(_, class)| class.deadline.0).max();
         let longest = Duration::from_micros(longest.unwrap_or(0).max(0) as u64);
         Self {
             names: config.names.clone(),
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -20,14 +20,14 @@
     let words = std::str::from_utf8(&text).map_err(|_| Fault::Encoding)?;
     let KvStatement { write, key, value_at, comment } =
         KvStatement::parse(words).map_err(Fault::Statement)?;
-    let class = names.classes.iter().position(|class| class.open && class.name == comment.class);
+    let class = names.classes.iter().position(|class| class.is_configured && class.name == comment.class);
     let class = class.ok_or_else(|| Fault::Invalid(InvalidRequest::UnknownClass(comment.class.clone())))?;
     let form = &names.classes[class];
-    if form.write != write {
-        let does = if form.write { "writes" } else { "reads" };
+    if form.is_write != write {
+        let does = if form.is_write { "writes" } else { "reads" };
         return Err(Fault::Invalid(InvalidRequest::ClassMismatch { class: form.name.clone(), does }));
     }
-    if form.keyed && comment.key.is_none() {
+    if form.needs_key && comment.key.is_none() {
         return Err(Fault::Statement(StatementError::Lacks("k")));
     }
     if comment.tenant.is_none() && names.has_tenants() {
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -108,7 +108,7 @@
     let clients = shared.client_context(&config, &admin, current_settings, reclaimed);
     let core = shared.core(&config, ready)?;
     let console =
-        console.map(|listener| tokio::spawn(console::serve(listener, admin.clone(), config.limits.callers)));
+        console.map(|listener| tokio::spawn(console::serve(listener, admin.clone(), config.limits.console_callers)));
     let background = BackgroundChannels { discovery_addresses, reloads, settings, reclaims };
     let mut background = background.spawn(&config, shared, &admin, clients.connections.clone());
     background.extend(console);
@@ -137,7 +137,7 @@
     let start = peers::Start {
         name: config.name.clone(),
         peers,
-        streams: config.limits.streams,
+        streams: config.limits.peer_streams,
         clock,
         tally: metrics,
         draining: draining.clone(),
@@ -200,7 +200,7 @@
         let forward_reloads = forward_reloads(reloads, events.clone(), settings, draining());
         let discovery = Discovery {
             zones: config.names.zones.clone(),
-            version: config.known.as_ref().map(|list| list.index),
+            version: config.cached_endpoints.as_ref().map(|list| list.index),
             retry: DiscoveryRetry::new(
                 config.settings.router_count,
                 config.settings.discovery_is_polled,
@@ -254,7 +254,7 @@
 
     /// Reads the configuration file again. Keeps the present configuration if the file is not valid.
     fn reload(&mut self) {
-        match self.config.retune() {
+        match self.config.reload() {
             Ok(config) => {
                 self.counters.sighup(true);
                 name_classes(&self.counters, &config);
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -110,7 +110,7 @@
             permits: Arc::new(Semaphore::new(config.limits.upstream)),
             release_idle: Arc::new(watch::channel(()).0),
             connect_timeout: config.connect_timeout,
-            idle_timeout: config.retire_after,
+            idle_timeout: config.upstream_idle_timeout,
             load_reports: config.settings.load_reports != LoadReports::Off,
             counters,
             rejections,
--- a/tests/sockets/descriptors.rs
+++ b/tests/sockets/descriptors.rs
@@ -77,8 +77,8 @@
     operator.listeners = vec![listener; more_listeners];
     let limits = config.with_operator(operator).unwrap().limits;
     let listeners = 2 + more_listeners + if peers { 2 } else { 0 };
-    let held = limits.clients + OVERFLOW + limits.upstream + limits.callers + 2 * limits.streams + listeners;
+    let held = limits.clients + OVERFLOW + limits.upstream + limits.console_callers + 2 * limits.peer_streams + listeners;
     assert!(9 + 5 + 1 + held <= sockets, "{limits:?}: {held} held of {sockets}");
-    assert!(limits.clients >= 8 && limits.upstream >= 8 && limits.callers >= 4, "{limits:?}");
-    assert_eq!(limits.streams > 0, peers);
+    assert!(limits.clients >= 8 && limits.upstream >= 8 && limits.console_callers >= 4, "{limits:?}");
+    assert_eq!(limits.peer_streams > 0, peers);
 }
--- a/tests/sockets/proxy.rs
+++ b/tests/sockets/proxy.rs
@@ -779,12 +779,12 @@
     let one = r#"[{"name":"acme","quotaPerS":100,"share":1}]"#;
     let other = r#"[{"name":"shop","quotaPerS":30,"share":1}]"#;
     let config = wheelpier::config::Config::read(&text(one), |_| Some("127.0.0.1:1".to_owned())).unwrap();
-    let new = config.retuned(&text(other)).unwrap();
+    let new = config.reload_from(&text(other)).unwrap();
     assert_eq!((new.names.tenant("acme"), new.names.tenant("shop")), (None, Some(1)));
     assert_eq!(new.settings.tenant_quotas, [0.0, 30.0]);
-    let none = new.retuned(&text("[]")).unwrap();
+    let none = new.reload_from(&text("[]")).unwrap();
     assert!(new.names.has_tenants() && !none.names.has_tenants());
-    let back = none.retuned(&text(one)).unwrap();
+    let back = none.reload_from(&text(one)).unwrap();
     assert_eq!((back.names.tenant("acme"), back.names.tenant("shop")), (Some(0), None));
     assert_eq!(back.settings.tenant_quotas, [100.0, 0.0]);
 }
@@ -797,17 +797,17 @@
     let config =
         wheelpier::config::Config::read(&text(settings()), |_| Some("127.0.0.1:1".to_owned())).unwrap();
     let open = |config: &wheelpier::config::Config| -> Vec<(String, bool)> {
-        config.names.classes.iter().map(|class| (class.name.clone(), class.open)).collect()
+        config.names.classes.iter().map(|class| (class.name.clone(), class.is_configured)).collect()
     };
     let renamed = settings()
         .replace(r#""name":"any""#, r#""name":"fast""#)
         .replace(r#""maxAttempts":8"#, r#""maxAttempts":2"#);
-    let new = config.retuned(&text(renamed)).unwrap();
+    let new = config.reload_from(&text(renamed)).unwrap();
     let expected = [("any", false), ("own", true), ("write", true), ("fast", true)];
     assert_eq!(open(&new), expected.map(|(name, open)| (name.to_owned(), open)));
     assert_eq!(new.settings.classes.len(), 4);
     assert_eq!((new.max_attempts, new.settings.max_attempts), (2, 2));
-    let back = new.retuned(&text(settings())).unwrap();
+    let back = new.reload_from(&text(settings())).unwrap();
     let expected = [("any", true), ("own", true), ("write", true), ("fast", false)];
     assert_eq!(open(&back), expected.map(|(name, open)| (name.to_owned(), open)));
     for faulty in [
@@ -818,7 +818,7 @@
         text(settings().replace(r#""maxAttempts":8"#, r#""maxAttempts":0"#)),
         text(settings().replace(r#""maxAttempts":8"#, r#""maxAttempts":"many""#)),
     ] {
-        let problem = config.retuned(&faulty).expect_err(&faulty);
+        let problem = config.reload_from(&faulty).expect_err(&faulty);
         assert!(!problem.key.is_empty(), "{problem}");
     }
 }
