--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -154,7 +154,10 @@
         None => println!("console      none"),
     }
     println!("connections  {} of clients, {} to ledger hosts", config.limits.clients, config.limits.upstream);
-    println!("requests     {} held at most, {} attempts each", config.max_pending_requests, config.max_attempts);
+    println!(
+        "requests     {} held at most, {} attempts each",
+        config.max_pending_requests, config.max_attempts
+    );
     println!("memory       {} accounted for", ByteSize(config.plan.total));
     println!("  {:<18}{:>12}{:>12}", "purpose", "cap", "reserve");
     for (purpose, terms) in PURPOSES.iter().zip(&config.plan.limits) {
@@ -210,7 +213,8 @@
     use crate::config::TenantName;
 
     fn names(tenants: &[&str]) -> Names {
-        let class = |name: &str, keyed| ClassName { name: name.to_owned(), needs_key: keyed, ..ClassName::default() };
+        let class =
+            |name: &str, keyed| ClassName { name: name.to_owned(), needs_key: keyed, ..ClassName::default() };
         let tenants =
             tenants.iter().map(|name| TenantName { name: (*name).to_owned(), is_configured: true }).collect();
         Names { classes: vec![class("look", false), class("pay", true)], tenants, zones: Vec::new() }
