--- a/crates/decisions/src/routing/clock_shift.rs
+++ b/crates/decisions/src/routing/clock_shift.rs
@@ -12,7 +12,7 @@
         self.shift_hosts(TimeDelta(shift_us));
         if shift_us < 0 {
             // Commits that are remembered look older now than they are.
-            self.sessions.shift(-shift_us);
+            self.sessions.shift(TimeDelta(-shift_us));
             let requests = self.requests.iter_mut();
             for request in requests.filter(|request| request.minimum_position != NO_POSITION) {
                 request.minimum_position = request.minimum_position.max(LogPosition(now.0));
--- a/crates/decisions/src/routing/dispatch.rs
+++ b/crates/decisions/src/routing/dispatch.rs
@@ -104,7 +104,7 @@
         let session = request.session.filter(|_| is_tracked);
         let tracked_write = session.map(|session| TrackedWrite { session, group });
         if let Some(write) = tracked_write.filter(|_| !hosts_check_reads) {
-            self.sessions.sent(write.session, write.group, self.now);
+            self.sessions.write_sent(write.session, write.group, self.now);
         }
         let sent_at = self.now;
         let attempt = Attempt { host: host_id, class, sent_at, response_started: false, tracked_write };
--- a/crates/decisions/src/routing/freshness.rs
+++ b/crates/decisions/src/routing/freshness.rs
@@ -7,7 +7,7 @@
     Freshness, HostId, LoadReport, LogPosition, ReadRequirement, Request, Role, Settings, TimeDelta,
     Timestamp,
 };
-use crate::state::host_clock::AHEAD_US;
+use crate::state::host_clock::MAX_POSITION_LEAD;
 use crate::state::session_positions::SessionPositions;
 
 /// Positions travel in whole milliseconds: one may have been rounded by as much.
@@ -25,7 +25,7 @@
     match settings.classes[request.class].freshness {
         Freshness::Fresh => LogPosition(now.0),
         Freshness::Session if settings.write_positions_tracked => {
-            sessions.need(request.session, request.group, now)
+            sessions.required_position(request.session, request.group, now)
         }
         Freshness::Session => match request.time_since_write {
             Some(age) if age.0 > 0 => LogPosition((now - age + POSITION_ROUNDING).0),
@@ -54,7 +54,7 @@
 
 /// Returns the latest time a position may show at `now`: hosts' clocks may be ahead by a little.
 pub(super) fn latest_plausible(now: Timestamp) -> Timestamp {
-    Timestamp(now.0 + AHEAD_US)
+    now + MAX_POSITION_LEAD
 }
 
 /// What a response or a load report says about its host.
--- a/crates/decisions/src/routing/mod.rs
+++ b/crates/decisions/src/routing/mod.rs
@@ -287,7 +287,7 @@
         let committed = position.filter(|_| result.outcome == Outcome::Ok);
         let doubtful_until = self.now + self.settings.classes[attempt.class].deadline;
         let doubtful_until = retry::may_have_executed(result.outcome).then_some(doubtful_until);
-        self.sessions.ended(write.session, write.group, committed, doubtful_until);
+        self.sessions.write_ended(write.session, write.group, committed, doubtful_until);
     }
 
     /// Takes the end of an attempt into its request, if that is still pending.
--- a/src/net/core/endpoints.rs
+++ b/src/net/core/endpoints.rs
@@ -45,7 +45,7 @@
             weight,
             listed_as_primary: false,
             state,
-            started_at: since.map(|since| self.host_clock.local(since)),
+            started_at: since.map(|since| self.host_clock.to_local(since)),
         };
         if let Some(handle) = self.hosts.update(&entry, now) {
             // Precedes every attempt that the router decides on from now on.
--- a/src/net/core/positions.rs
+++ b/src/net/core/positions.rs
@@ -13,7 +13,7 @@
         let position = end.position?.rounded(is_commit);
         let written_at = end.written_at.map(|at| self.clock.timestamp(at));
         self.observe_host_clock(end.host, position, end.role, written_at);
-        Some(self.host_clock.local_position(position))
+        Some(self.host_clock.to_local_position(position))
     }
 
     /// Returns a load report in local time. Its position is left out while the host's positions contradict the clock; its
@@ -21,8 +21,8 @@
     pub(super) fn report_in_local_time(&mut self, host: HostId, report: LoadReport) -> LoadReport {
         let Some(position) = report.position else { return report };
         self.observe_host_clock(host, position, report.role, None);
-        let position = Some(self.host_clock.local_position(position));
-        LoadReport { position: position.filter(|_| !self.host_clock.is_in_doubt(host)), ..report }
+        let position = Some(self.host_clock.to_local_position(position));
+        LoadReport { position: position.filter(|_| !self.host_clock.distrusts(host)), ..report }
     }
 
     /// Checks the hosts' clock against a position, and moves all that is known in it if the clock has to be set anew.
@@ -35,11 +35,11 @@
     ) {
         let received = self.clock.now();
         let sample = Sample { position, role, sent, received };
-        let Some(shift) = self.host_clock.note(host, sample) else { return };
-        let offset_ms = self.host_clock.offset_us() / 1000;
+        let Some(shift) = self.host_clock.record(host, sample) else { return };
+        let offset_ms = self.host_clock.offset().0 / 1000;
         tracing::warn!(offset_ms, "offset of the hosts' clock changed");
-        self.hosts.shift_start_times(shift);
-        self.router.shift_host_clock(received, shift);
+        self.hosts.shift_start_times(shift.0);
+        self.router.shift_host_clock(received, shift.0);
     }
 
     /// Returns whether the data behind an answer are too old for its request, where the settings leave that check to the
@@ -51,7 +51,7 @@
         }
         let request = self.requests.get(end.id).filter(|request| !request.is_write);
         let Some((request, written_at)) = request.zip(end.written_at) else { return false };
-        let applied = end.position.map(|position| self.host_clock.local_position(position.rounded(false)));
+        let applied = end.position.map(|position| self.host_clock.to_local_position(position.rounded(false)));
         end.role != Some(Role::Primary)
             && !request.requirement.is_met_by(applied, self.clock.timestamp(written_at))
     }
--- a/src/net/core/requests.rs
+++ b/src/net/core/requests.rs
@@ -46,7 +46,7 @@
         if self.hosts.is_empty() {
             return Err(AdmissionError::NotReady);
         }
-        if self.requests.open() >= self.config.most_held {
+        if self.requests.open() >= self.config.max_pending_requests {
             return Err(AdmissionError::TooManyRequests);
         }
         // The router would queue a request of an unknown group until its client disconnects.
@@ -122,7 +122,7 @@
     /// Returns how long before `arrived_at` the session's last write was. A write that lies ahead of the clock counts as
     /// made just now.
     fn time_since_write(&self, arrived_at: Instant, last_write_at: Timestamp) -> TimeDelta {
-        let since_write = self.clock.timestamp(arrived_at).0 - self.host_clock.local(last_write_at).0;
+        let since_write = self.clock.timestamp(arrived_at).0 - self.host_clock.to_local(last_write_at).0;
         TimeDelta(since_write.max(1))
     }
 
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -20,14 +20,14 @@
     let statement = std::str::from_utf8(&text).map_err(|_| Fault::Encoding)?;
     let KvStatement { write: is_write, key, value_at, comment } =
         KvStatement::parse(statement).map_err(Fault::Statement)?;
-    let index = names.classes.iter().position(|class| class.open && class.name == comment.class);
+    let index = names.classes.iter().position(|class| class.is_configured && class.name == comment.class);
     let index = index.ok_or_else(|| Fault::Invalid(InvalidRequest::UnknownClass(comment.class.clone())))?;
     let class = &names.classes[index];
-    if class.write != is_write {
-        let does = if class.write { "writes" } else { "reads" };
+    if class.is_write != is_write {
+        let does = if class.is_write { "writes" } else { "reads" };
         return Err(Fault::Invalid(InvalidRequest::ClassMismatch { class: class.name.clone(), does }));
     }
-    if class.keyed && comment.key.is_none() {
+    if class.needs_key && comment.key.is_none() {
         return Err(Fault::Statement(StatementError::Lacks("k")));
     }
     if comment.tenant.is_none() && names.has_tenants() {
