--- a/crates/decisions/src/membership/consensus/model_test.rs
+++ b/crates/decisions/src/membership/consensus/model_test.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Fault {
     None,
-    /// A lease counts from the answer instead of the asking.
+    /// A lease counts from the grant instead of the request.
     LeaseFromReceipt,
     /// A process that has lost what it voted for votes on under its old identity.
     IncarnationKeptOverRestart,
@@ -34,13 +34,13 @@
     members: usize,
     fault: Fault,
     disk: Disk,
-    /// Who may open ballots, and whom they wish out.
-    wishes: Vec<(usize, usize)>,
-    /// How far the clock goes, in units of half a lease.
+    /// Who may open ballots, and whom they propose to remove.
+    proposals: Vec<(usize, usize)>,
+    /// How far the clock runs, in units of half a lease.
     ticks: i64,
     /// Who may come back, once each.
     restarts: Vec<usize>,
-    /// Whose lease is followed; the others' are left out, to keep the number of states down.
+    /// The member whose lease is simulated; the others' are left out, to keep the number of states down.
     renews: Option<usize>,
 }
 
@@ -53,14 +53,14 @@
     /// Each view that was adopted, by number.
     views: BTreeMap<u64, View>,
     forked: bool,
-    wished: BTreeSet<usize>,
+    proposed: BTreeSet<usize>,
     restarted: BTreeSet<usize>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Deliver(Identity, Identity, Message),
-    Wish(usize),
+    Propose(usize),
     Timer(usize),
     Restart(usize),
     Tick,
@@ -71,21 +71,21 @@
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
 
 impl Fleet {
-    fn new(members: usize, wishes: &[(usize, usize)]) -> Self {
-        let wishes = wishes.to_vec();
+    fn new(members: usize, proposals: &[(usize, usize)]) -> Self {
+        let proposals = proposals.to_vec();
         Self {
             members,
             fault: Fault::None,
             disk: Disk::Lost,
-            wishes,
+            proposals,
             ticks: 0,
             restarts: Vec::new(),
             renews: None,
         }
     }
 
-    /// Takes in what a node does.
-    fn carry_out(&self, state: &mut State, node: usize, out: Vec<Output>) {
+    /// Applies the outputs of a node.
+    fn apply_outputs(&self, state: &mut State, node: usize, out: Vec<Output>) {
         let me = state.nodes[node].consensus.me.clone();
         for output in out {
             match output {
@@ -140,14 +140,14 @@
         };
         let views = BTreeMap::from([(1, view)]);
         let nodes = members.into_iter().map(node).collect();
-        let (net, wished) = (BTreeSet::new(), BTreeSet::new());
+        let (net, proposed) = (BTreeSet::new(), BTreeSet::new());
         vec![State {
             now: Timestamp(0),
             nodes,
             net,
             views,
             forked: false,
-            wished,
+            proposed,
             restarted: BTreeSet::new(),
         }]
     }
@@ -158,7 +158,7 @@
                 actions.push(Step::Deliver(from.clone(), to.clone(), message.clone()));
             }
         }
-        actions.extend((0..self.wishes.len()).filter(|n| !state.wished.contains(n)).map(Step::Wish));
+        actions.extend((0..self.proposals.len()).filter(|n| !state.proposed.contains(n)).map(Step::Propose));
         if let Some(node) = self.renews {
             let renews = &state.nodes[node].consensus;
             if renews.next_timeout().is_some_and(|at| at <= state.now) {
@@ -195,11 +195,11 @@
                 }
                 node
             }
-            Step::Wish(n) => {
-                let (node, whom) = self.wishes[n];
-                let gone = state.nodes[node].consensus.view.member_named(NAMES[whom]).cloned();
+            Step::Propose(n) => {
+                let (node, target) = self.proposals[n];
+                let gone = state.nodes[node].consensus.view.member_named(NAMES[target]).cloned();
                 let change = ViewChange { evict: gone.into_iter().collect(), ..ViewChange::default() };
-                state.wished.insert(n);
+                state.proposed.insert(n);
                 state.nodes[node].consensus.propose(now, change, &mut out);
                 node
             }
@@ -208,7 +208,7 @@
                 node
             }
         };
-        self.carry_out(&mut state, node, out);
+        self.apply_outputs(&mut state, node, out);
         (state != *last).then_some(state)
     }
 
@@ -253,7 +253,7 @@
 const KNOWN_BEFORE: &str = "who is replaced has known before";
 const HAPPENS: [&str; 2] = ["a change becomes a view", "who is out is free"];
 
-/// Two voters wish each other out at once, and the one that both need loses all that it knew, or finds it on its disk.
+/// Two voters propose to remove each other at once, and the one that both need loses all that it knew, or finds it on its disk.
 #[test]
 fn three_members_have_one_view_with_each_number_whoever_is_restarted() {
     for disk in [Disk::Lost, Disk::Kept] {
@@ -269,7 +269,7 @@
     assert!(found.contains(HAPPENS[0]) && !found.contains(ONE_VIEW), "{found:?}");
 }
 
-/// The last member is wished out while its lease is asked for, granted late or not at all, and time passes at any step.
+/// The last member is proposed for removal while its lease is asked for, granted late or not at all, and time passes at any step.
 #[test]
 fn whoever_is_out_knows_before_another_acts_in_its_place() {
     let fleet = Fleet { ticks: 5, renews: Some(2), ..Fleet::new(3, &[(0, 2)]) };
--- a/crates/decisions/tests/discovery/mod.rs
+++ b/crates/decisions/tests/discovery/mod.rs
@@ -7,9 +7,9 @@
 use wheelpier_decisions::membership::DiscoveryRetry;
 
 /// A call that has queued for so long fails.
-const QUEUES: Duration = Duration::from_secs(2);
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a fleet is watched.
-const LENGTH: Duration = Duration::from_secs(60);
+const SIMULATED_TIME: Duration = Duration::from_secs(60);
 
 /// What discovery does with calls until it works.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,13 +35,13 @@
 
 /// One discovery, and a fleet's way to it.
 #[derive(Clone, Copy, Debug)]
-pub struct Day {
+pub struct Scenario {
     pub routers: u32,
     /// So many of them ask.
-    pub asks: u32,
+    pub pollers: u32,
     pub is_polled: bool,
     /// What a call takes of it.
-    pub serves: Duration,
+    pub call_duration: Duration,
     pub start: Start,
     pub outage: Outage,
     /// Until when the outage lasts: from then on it has a change, and can be reached.
@@ -50,7 +50,7 @@
 
 /// What came of it.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct Outcome {
     /// When each proxy held the change, from when it could be had.
     pub held: Vec<Duration>,
     /// Calls that failed.
@@ -59,16 +59,16 @@
     pub wasted: usize,
 }
 
-impl Found {
+impl Outcome {
     pub fn worst(&self) -> Duration {
-        self.held.iter().copied().max().unwrap_or(LENGTH)
+        self.held.iter().copied().max().unwrap_or(SIMULATED_TIME)
     }
 
     /// When nine in ten held it.
     pub fn nine_in_ten(&self) -> Duration {
         let mut held = self.held.clone();
         held.sort();
-        held.get((held.len() * 9).div_ceil(10).saturating_sub(1)).copied().unwrap_or(LENGTH)
+        held.get((held.len() * 9).div_ceil(10).saturating_sub(1)).copied().unwrap_or(SIMULATED_TIME)
     }
 
     pub fn mean(&self) -> Duration {
@@ -77,115 +77,118 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Happens {
+enum Event {
     /// Discovery has answered the call that it works on.
     Answered,
     /// A call has queued for too long.
-    Fails(u64),
+    TimesOut(u64),
     /// A proxy has waited long enough for its calls.
-    Impatient(usize, u64),
+    CallTimeout(usize, u64),
     /// A proxy asks.
-    Asks(usize),
+    Calls(usize),
 }
 
 struct Proxy {
     retry: DiscoveryRetry,
     began: Duration,
     /// Calls placed since then, and those of them that may still be answered.
-    placed: usize,
-    last: u64,
-    open: Vec<u64>,
+    calls_placed: usize,
+    last_call: u64,
+    open_calls: Vec<u64>,
     held: Option<Duration>,
 }
 
-struct Play {
-    day: Day,
+struct Simulation {
+    scenario: Scenario,
     now: Duration,
-    events: BinaryHeap<Reverse<(Duration, Happens)>>,
+    events: BinaryHeap<Reverse<(Duration, Event)>>,
     proxies: Vec<Proxy>,
     calls: u64,
     queue: VecDeque<(u64, usize)>,
     serving: Option<(u64, usize)>,
-    found: Found,
+    outcome: Outcome,
 }
 
-/// Plays such a day.
-pub fn play(day: Day, seed: u64) -> Found {
+/// Plays a scenario.
+pub fn play(scenario: Scenario, seed: u64) -> Outcome {
     let proxy = |n: u32| Proxy {
-        retry: DiscoveryRetry::new(day.routers, day.is_polled, seed * 1_000 + u64::from(n)),
+        retry: DiscoveryRetry::new(scenario.routers, scenario.is_polled, seed * 1_000 + u64::from(n)),
         began: Duration::ZERO,
-        placed: 0,
-        last: 0,
-        open: Vec::new(),
+        calls_placed: 0,
+        last_call: 0,
+        open_calls: Vec::new(),
         held: None,
     };
-    let mut play = Play {
-        day,
+    let mut simulation = Simulation {
+        scenario,
         now: Duration::ZERO,
         events: BinaryHeap::new(),
-        proxies: (0..day.asks).map(proxy).collect(),
+        proxies: (0..scenario.pollers).map(proxy).collect(),
         calls: 0,
         queue: VecDeque::new(),
         serving: None,
-        found: Found::default(),
+        outcome: Outcome::default(),
     };
-    for (n, proxy) in play.proxies.iter_mut().enumerate() {
-        let at = match day.start {
+    for (n, proxy) in simulation.proxies.iter_mut().enumerate() {
+        let at = match scenario.start {
             Start::Reset => proxy.retry.delay_after_failure(true, Duration::ZERO),
             Start::Silent(noticed) => noticed + proxy.retry.delay_after_failure(true, noticed),
             Start::Fresh => proxy.retry.initial_delay(),
             Start::Moved => proxy.retry.delay_after_move(),
         };
-        play.events.push(Reverse((at, Happens::Asks(n))));
+        simulation.events.push(Reverse((at, Event::Calls(n))));
     }
-    while let Some(Reverse((at, happens))) = play.events.pop().filter(|Reverse((at, _))| *at < LENGTH) {
-        play.now = at;
-        play.happens(happens);
+    while let Some(Reverse((at, event))) =
+        simulation.events.pop().filter(|Reverse((at, _))| *at < SIMULATED_TIME)
+    {
+        simulation.now = at;
+        simulation.handle_event(event);
     }
-    let from = day.until;
-    play.found.held = play.proxies.iter().map(|p| p.held.unwrap_or(LENGTH).saturating_sub(from)).collect();
-    play.found
+    let from = scenario.until;
+    simulation.outcome.held =
+        simulation.proxies.iter().map(|p| p.held.unwrap_or(SIMULATED_TIME).saturating_sub(from)).collect();
+    simulation.outcome
 }
 
-impl Play {
-    fn at(&mut self, at: Duration, happens: Happens) {
-        self.events.push(Reverse((at, happens)));
+impl Simulation {
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.events.push(Reverse((at, event)));
     }
 
-    fn happens(&mut self, happens: Happens) {
-        match happens {
-            Happens::Asks(n) => {
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Calls(n) => {
                 let proxy = &mut self.proxies[n];
-                (proxy.began, proxy.placed) = (self.now, 0);
-                proxy.open.clear();
+                (proxy.began, proxy.calls_placed) = (self.now, 0);
+                proxy.open_calls.clear();
                 self.place(n);
             }
-            Happens::Impatient(n, last) => {
+            Event::CallTimeout(n, last_call) => {
                 let proxy = &self.proxies[n];
                 // Another call was placed since, or it was answered.
-                if proxy.held.is_some() || proxy.last != last || proxy.open.is_empty() {
+                if proxy.held.is_some() || proxy.last_call != last_call || proxy.open_calls.is_empty() {
                     return;
                 }
-                if proxy.placed < proxy.retry.max_concurrent_calls() {
+                if proxy.calls_placed < proxy.retry.max_concurrent_calls() {
                     self.place(n);
                 } else {
-                    self.given_up(n);
+                    self.retry_later(n);
                 }
             }
-            Happens::Fails(call) => {
+            Event::TimesOut(call) => {
                 // It has failed, and is worked off all the same: an installation was seen to do so.
                 if let Some(&(_, n)) = self.queue.iter().find(|(queued, _)| *queued == call) {
-                    self.found.failed += 1;
-                    self.failed(n, call);
+                    self.outcome.failed += 1;
+                    self.handle_failed_call(n, call);
                 }
             }
-            Happens::Answered => {
+            Event::Answered => {
                 let (call, n) = self.serving.take().expect("a call is answered");
                 let proxy = &mut self.proxies[n];
-                if proxy.held.is_none() && proxy.open.contains(&call) {
+                if proxy.held.is_none() && proxy.open_calls.contains(&call) {
                     proxy.held = Some(self.now);
                 } else {
-                    self.found.wasted += 1;
+                    self.outcome.wasted += 1;
                 }
                 self.serve();
             }
@@ -197,45 +200,45 @@
         self.calls += 1;
         let call = self.calls;
         let proxy = &mut self.proxies[n];
-        proxy.placed += 1;
-        proxy.last = call;
-        proxy.open.push(call);
+        proxy.calls_placed += 1;
+        proxy.last_call = call;
+        proxy.open_calls.push(call);
         let call_timeout = proxy.retry.call_timeout();
-        self.at(self.now + call_timeout, Happens::Impatient(n, call));
-        if self.now < self.day.until {
-            if self.day.outage == Outage::Refuses {
-                self.found.failed += 1;
-                self.failed(n, call);
+        self.schedule(self.now + call_timeout, Event::CallTimeout(n, call));
+        if self.now < self.scenario.until {
+            if self.scenario.outage == Outage::Refuses {
+                self.outcome.failed += 1;
+                self.handle_failed_call(n, call);
             }
             return;
         }
         self.queue.push_back((call, n));
-        self.at(self.now + QUEUES, Happens::Fails(call));
+        self.schedule(self.now + QUEUE_TIMEOUT, Event::TimesOut(call));
         self.serve();
     }
 
     /// A call has failed; with the last of them, the proxy waits and asks again.
-    fn failed(&mut self, n: usize, call: u64) {
+    fn handle_failed_call(&mut self, n: usize, call: u64) {
         let proxy = &mut self.proxies[n];
-        let open = proxy.open.len();
-        proxy.open.retain(|open| *open != call);
-        if proxy.held.is_none() && open > 0 && proxy.open.is_empty() {
-            self.given_up(n);
+        let open_calls = proxy.open_calls.len();
+        proxy.open_calls.retain(|open_calls| *open_calls != call);
+        if proxy.held.is_none() && open_calls > 0 && proxy.open_calls.is_empty() {
+            self.retry_later(n);
         }
     }
 
-    fn given_up(&mut self, n: usize) {
+    fn retry_later(&mut self, n: usize) {
         let proxy = &mut self.proxies[n];
-        proxy.open.clear();
+        proxy.open_calls.clear();
         let wait = proxy.retry.delay_after_failure(false, self.now - proxy.began);
-        self.at(self.now + wait, Happens::Asks(n));
+        self.schedule(self.now + wait, Event::Calls(n));
     }
 
     fn serve(&mut self) {
         if self.serving.is_none() {
             self.serving = self.queue.pop_front();
             if self.serving.is_some() {
-                self.at(self.now + self.day.serves, Happens::Answered);
+                self.schedule(self.now + self.scenario.call_duration, Event::Answered);
             }
         }
     }
--- a/crates/decisions/tests/discovery_retry.rs
+++ b/crates/decisions/tests/discovery_retry.rs
@@ -2,7 +2,7 @@
 
 mod discovery;
 
-use discovery::{Day, Outage, Start};
+use discovery::{Outage, Scenario, Start};
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::{BinaryHeap, VecDeque};
@@ -13,9 +13,9 @@
 const SILENCE: Duration = Duration::from_millis(2_500);
 
 /// A call that would wait longer than this fails at once.
-const WAITS: Duration = Duration::from_secs(2);
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
 /// What a call takes of a fast discovery.
-const FAST: Duration = Duration::from_millis(50);
+const FAST_CALL: Duration = Duration::from_millis(50);
 
 /// The next call that is due by now.
 fn pop_due(
@@ -29,12 +29,12 @@
 /// When each proxy was told, if all ask anew from nothing; the last of them. `None`: not all within a minute.
 fn last_told(routers: u32, is_polled: bool, first: bool) -> Option<Duration> {
     let fleet = (0..routers).map(|n| DiscoveryRetry::new(routers, is_polled, n.into())).collect();
-    last_told_by(FAST, fleet, first)
+    last_told_by(FAST_CALL, fleet, first)
 }
 
 /// The same of a discovery that takes so long for a call, one after the other.
-fn last_told_by(serves: Duration, mut fleet: Vec<DiscoveryRetry>, first: bool) -> Option<Duration> {
-    let most = WAITS.div_duration_f64(serves) as usize;
+fn last_told_by(call_duration: Duration, mut fleet: Vec<DiscoveryRetry>, first: bool) -> Option<Duration> {
+    let most = QUEUE_TIMEOUT.div_duration_f64(call_duration) as usize;
     let mut due = BinaryHeap::new();
     for (n, retry) in fleet.iter_mut().enumerate() {
         let at = if first { retry.initial_delay() } else { Duration::ZERO };
@@ -45,7 +45,7 @@
     let mut told = vec![false; fleet.len()];
     let mut now = Duration::ZERO;
     while now < Duration::from_secs(60) {
-        now += serves;
+        now += call_duration;
         while let Some(Reverse((at, n))) = pop_due(&mut due, now) {
             if queue.len() < most {
                 queue.push_back((n, at + fleet[n].call_timeout()));
@@ -140,29 +140,38 @@
 #[test]
 fn an_overbooked_discovery_catches_up() {
     for seed in 0..20 {
-        let serves = Duration::from_millis(82);
+        let call_duration = Duration::from_millis(82);
         let (outage, until) = (Outage::Refuses, Duration::from_secs(8));
-        let day =
-            Day { routers: 100, asks: 100, is_polled: true, serves, start: Start::Reset, outage, until };
-        let found = discovery::play(day, seed);
-        assert!(found.worst() < Duration::from_secs(45), "seed {seed}: {:?}", found.worst());
+        let scenario = Scenario {
+            routers: 100,
+            pollers: 100,
+            is_polled: true,
+            call_duration,
+            start: Start::Reset,
+            outage,
+            until,
+        };
+        let outcome = discovery::play(scenario, seed);
+        assert!(outcome.worst() < Duration::from_secs(45), "seed {seed}: {:?}", outcome.worst());
     }
 }
 
 /// From the moment in which discovery has a change and can be reached, each proxy holds it within 6 s, its call's time
 /// included, whatever failed before. The fleet's calls together take up to 2.5 s of discovery, one up to 1 s.
-fn days() -> impl Strategy<Value = Day> {
+fn scenarios() -> impl Strategy<Value = Scenario> {
     let routers = prop::sample::select(vec![1, 2, 3, 6, 30, 100, 300]);
     let start = prop::sample::select(vec![Start::Reset, Start::Silent(SILENCE), Start::Moved, Start::Fresh]);
     let outage = prop::sample::select(vec![Outage::Refuses, Outage::Mute]);
-    (routers, 0.05..2.5, start, outage, 0u64..30_000).prop_map(|(routers, takes, start, outage, until)| Day {
-        routers,
-        asks: routers,
-        is_polled: true,
-        serves: Duration::from_secs_f64(f64::min(takes / f64::from(routers), 1.0)),
-        start,
-        outage,
-        until: Duration::from_millis(until),
+    (routers, 0.05..2.5, start, outage, 0u64..30_000).prop_map(|(routers, takes, start, outage, until)| {
+        Scenario {
+            routers,
+            pollers: routers,
+            is_polled: true,
+            call_duration: Duration::from_secs_f64(f64::min(takes / f64::from(routers), 1.0)),
+            start,
+            outage,
+            until: Duration::from_millis(until),
+        }
     })
 }
 
@@ -170,26 +179,26 @@
     #![proptest_config(ProptestConfig::with_cases(512))]
 
     #[test]
-    fn a_change_is_held_within_six_seconds_of_when_it_could_be_had(day in days(), seed in 0u64..1_000) {
-        let found = discovery::play(day, seed);
-        prop_assert!(found.worst() <= Duration::from_secs(6), "{day:?}: {:?}", found.worst());
+    fn a_change_is_held_within_six_seconds_of_when_it_could_be_had(scenario in scenarios(), seed in 0u64..1_000) {
+        let outcome = discovery::play(scenario, seed);
+        prop_assert!(outcome.worst() <= Duration::from_secs(6), "{scenario:?}: {:?}", outcome.worst());
     }
 
     /// New settings that name another discovery: 4 s, if that can be reached.
     #[test]
-    fn and_within_four_of_new_settings(day in days(), seed in 0u64..1_000) {
-        let found = discovery::play(Day { start: Start::Moved, until: Duration::ZERO, ..day }, seed);
-        prop_assert!(found.worst() <= Duration::from_secs(4), "{day:?}: {:?}", found.worst());
+    fn and_within_four_of_new_settings(scenario in scenarios(), seed in 0u64..1_000) {
+        let outcome = discovery::play(Scenario { start: Start::Moved, until: Duration::ZERO, ..scenario }, seed);
+        prop_assert!(outcome.worst() <= Duration::from_secs(4), "{scenario:?}: {:?}", outcome.worst());
     }
 
     /// An agent on the own machine: at once, and well within the shortest grace of 0.5 s.
     #[test]
-    fn and_at_once_where_lists_are_pushed(day in days(), seed in 0u64..1_000) {
-        let day = Day { routers: 1, asks: 1, is_polled: false, serves: Duration::from_millis(1), ..day };
+    fn and_at_once_where_lists_are_pushed(scenario in scenarios(), seed in 0u64..1_000) {
+        let scenario = Scenario { routers: 1, pollers: 1, is_polled: false, call_duration: Duration::from_millis(1), ..scenario };
         // A watch that fell silent is noticed first: the clock of silence is another.
-        let noticed = if let Start::Silent(noticed) = day.start { noticed } else { Duration::ZERO };
-        let found = discovery::play(Day { until: day.until.max(noticed), ..day }, seed);
-        prop_assert!(found.worst() <= Duration::from_millis(360), "{day:?}: {:?}", found.worst());
+        let noticed = if let Start::Silent(noticed) = scenario.start { noticed } else { Duration::ZERO };
+        let outcome = discovery::play(Scenario { until: scenario.until.max(noticed), ..scenario }, seed);
+        prop_assert!(outcome.worst() <= Duration::from_millis(360), "{scenario:?}: {:?}", outcome.worst());
     }
 }
 
@@ -204,17 +213,18 @@
             (Start::Fresh, Outage::Refuses, 0),
             (Start::Moved, Outage::Refuses, 0),
         ] {
-            let serves = Duration::from_secs_f64(takes / f64::from(routers));
+            let call_duration = Duration::from_secs_f64(takes / f64::from(routers));
             let until = Duration::from_secs(until);
-            let day = Day { routers, asks: routers, is_polled: true, serves, start, outage, until };
-            let all: Vec<_> = (0..20).map(|seed| discovery::play(day, seed)).collect();
-            let mean = all.iter().map(|found| found.mean()).sum::<Duration>() / 20;
-            let worst = all.iter().map(|found| found.worst()).max().unwrap_or_default();
-            let wasted: usize = all.iter().map(|found| found.wasted).sum();
-            println!("{day:?}: mean {mean:?}, worst {worst:?}, in vain {wasted}");
-            assert!(mean <= Duration::from_millis(2_500), "{day:?}: {mean:?}");
-            assert!(worst <= Duration::from_secs_f64(f64::max(takes, 4.0) + 0.3), "{day:?}: {worst:?}");
-            assert_eq!(wasted, 0, "{day:?}");
+            let scenario =
+                Scenario { routers, pollers: routers, is_polled: true, call_duration, start, outage, until };
+            let all: Vec<_> = (0..20).map(|seed| discovery::play(scenario, seed)).collect();
+            let mean = all.iter().map(|outcome| outcome.mean()).sum::<Duration>() / 20;
+            let worst = all.iter().map(|outcome| outcome.worst()).max().unwrap_or_default();
+            let wasted: usize = all.iter().map(|outcome| outcome.wasted).sum();
+            println!("{scenario:?}: mean {mean:?}, worst {worst:?}, in vain {wasted}");
+            assert!(mean <= Duration::from_millis(2_500), "{scenario:?}: {mean:?}");
+            assert!(worst <= Duration::from_secs_f64(f64::max(takes, 4.0) + 0.3), "{scenario:?}: {worst:?}");
+            assert_eq!(wasted, 0, "{scenario:?}");
         }
     }
 }
@@ -222,22 +232,22 @@
 /// A tenth, or seven in ten, of 300 proxies start at once. Discovery takes up to 3.8 s for the calls of all 300.
 #[rstest]
 fn nine_in_ten_of_those_that_restart_hold_a_list_within_ten_seconds(
-    #[values(30, 210)] asks: u32,
+    #[values(30, 210)] pollers: u32,
     #[values(0.7, 2.5, 3.8)] takes: f64,
 ) {
-    let serves = Duration::from_secs_f64(takes / 300.0);
+    let call_duration = Duration::from_secs_f64(takes / 300.0);
     let outage = Outage::Refuses;
-    let day = Day {
+    let scenario = Scenario {
         routers: 300,
-        asks,
+        pollers,
         is_polled: true,
-        serves,
+        call_duration,
         start: Start::Fresh,
         outage,
         until: Duration::ZERO,
     };
-    let held = (0..50).map(|seed| discovery::play(day, seed).nine_in_ten()).max().unwrap_or_default();
-    println!("{asks} of 300, {takes} s: nine in ten within {held:?}");
+    let held = (0..50).map(|seed| discovery::play(scenario, seed).nine_in_ten()).max().unwrap_or_default();
+    println!("{pollers} of 300, {takes} s: nine in ten within {held:?}");
     assert!(held <= Duration::from_secs(10), "{held:?}");
 }
 
--- a/src/cli/fleet/tests.rs
+++ b/src/cli/fleet/tests.rs
@@ -2,10 +2,10 @@
 
 #[test]
 fn the_page_says_who_is_in_which_links_are_broken_and_what_changed() {
-    let row = |name: &str, advice| MemberStatus {
+    let row = |name: &str, suspicion| MemberStatus {
         member: name.to_owned(),
         votes: true,
-        suspicion: advice,
+        suspicion,
         heard_ms_ago: Some(12),
         address: Some("127.0.0.1:7946".to_owned()),
     };
