--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -45,11 +45,13 @@
     /// Set once a host that can serve is listed.
     pub ready: watch::Sender<bool>,
     pub counters: Arc<Counters>,
+    /// Counts and logs rejections.
     pub rejections: Rejections,
+    /// Accounts for the memory of requests.
     pub memory: Memory,
 }
 
-/// The core actor.
+/// The core actor. See the module for its parts.
 pub(crate) struct Core {
     router: Router,
     config: Config,
@@ -127,7 +129,7 @@
                 self.update_endpoints(list, kind).await;
             }
             CoreEvent::Reconfigured(config) => {
-                self.router.retune(config.settings.clone());
+                self.router.reconfigure(config.settings.clone());
                 self.config = *config;
             }
             CoreEvent::DrainStarted(reply_by) => self.bring_all_replies_forward(reply_by),
