--- a/src/net/console/tests.rs
+++ b/src/net/console/tests.rs
@@ -79,7 +79,7 @@
     #[tokio::test]
     async fn calls_are_answered_with_their_status_and_the_figures() {
         let (address, state) = console(true).await;
-        state.counters.classes(["price-lookup"]);
+        state.counters.set_classes(["price-lookup"]);
         assert_eq!(status(&call(address, "GET", "/admin/health").await), "200");
         let stats = call(address, "GET", "/admin/stats").await;
         assert!(stats.contains("\r\n\r\ngw.results.price-lookup.succeeded=0\n"), "{stats}");
--- a/src/net/core/actions.rs
+++ b/src/net/core/actions.rs
@@ -2,7 +2,7 @@
 
 use super::attempts::Forward;
 use super::Core;
-use crate::counters::Ended;
+use crate::counters::RequestEnd;
 use crate::interface::{Action, Event, HostId, RequestId, TimeDelta};
 use crate::net::messages::Answer;
 use crate::net::upstream::Command;
@@ -21,7 +21,7 @@
             let may_change_ejections = matches!(event, Event::EndpointList(..) | Event::Timer(_));
             self.router.handle(now, event, &mut actions);
             if may_change_ejections {
-                self.counters.ejected(self.router.ejected_hosts());
+                self.counters.set_ejected_hosts(self.router.ejected_hosts());
             }
             for action in actions.drain(..) {
                 tracing::trace!(at_us = now.0, ?action, "router action");
@@ -38,7 +38,7 @@
                 self.forward(Forward { id, host, timeout, requirement, write_by }).await;
             }
             Action::Reject { id, retry_after } => self.reject(id, retry_after),
-            Action::Fail { id } => self.answer(id, Ended::Failed, Answer::Failed),
+            Action::Fail { id } => self.answer(id, RequestEnd::Failed, Answer::Failed),
             Action::CancelAttempt { id, attempt } => self.cancel_attempt(id, attempt).await,
             Action::HealthCheck { host } => self.start_health_check(host).await,
             Action::CloseIdleConnections { host } => {
@@ -61,9 +61,9 @@
             let class = self.config.names.classes.get(request.class).map_or("", |class| class.name.as_str());
             let attempts = request.attempt_hosts.len();
             let cause = format_args!("the router rejected a request of `{class}` after {attempts} attempts");
-            self.rejections.record(RejectionReason::Policy, cause);
+            self.rejections.record(RejectionReason::RouterDecision, cause);
         }
-        self.answer(id, Ended::Rejected, Answer::Rejected { retry_after });
+        self.answer(id, RequestEnd::Rejected, Answer::Rejected { retry_after });
     }
 
     async fn start_health_check(&mut self, host: HostId) {
--- a/src/net/core/attempts.rs
+++ b/src/net/core/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::request_table::send_answer;
 use super::Core;
-use crate::counters::Ended;
+use crate::counters::RequestEnd;
 use crate::interface::{AttemptResult, Event, HostId, Outcome, ReadRequirement, RequestId, TimeDelta};
 use crate::net::messages::{Answer, AttemptEnd};
 use crate::net::upstream::{Attempt, Command};
@@ -57,7 +57,7 @@
     }
 
     fn attempt_not_sent(&mut self, id: RequestId, attempt: u32, host: HostId, request_closed: bool) {
-        self.counters.outcome(Outcome::NotSent);
+        self.counters.attempt_ended(Outcome::NotSent);
         self.pending_events.push_back(Event::AttemptEnded(AttemptResult {
             id,
             attempt,
@@ -96,12 +96,12 @@
     pub(super) async fn attempt_ended(&mut self, mut end: AttemptEnd) {
         let outcome = if self.is_stale(&end) { Outcome::Stale } else { end.outcome };
         let id = end.id;
-        self.counters.outcome(outcome);
+        self.counters.attempt_ended(outcome);
         self.hosts.work_ended(end.host);
         let is_open = self.note_attempt_ended(id);
         let mut served = None;
         if outcome == Outcome::Ok && is_open {
-            served = self.close(id, Ended::Served).zip(end.value.take());
+            served = self.close(id, RequestEnd::Served).zip(end.value.take());
         }
         let result = AttemptResult {
             id,
--- a/src/net/core/endpoints.rs
+++ b/src/net/core/endpoints.rs
@@ -24,7 +24,7 @@
             self.remove_unlisted(&listed_hosts, now).await;
         }
         self.hosts.remove_expired(now);
-        self.counters.discovered(self.hosts.listed());
+        self.counters.set_listed_hosts(self.hosts.listed());
         let can_serve = entries.iter().any(|entry| entry.state == HostState::Running);
         self.notify_router(Event::EndpointList(kind, entries)).await;
         if can_serve {
--- a/src/net/core/requests.rs
+++ b/src/net/core/requests.rs
@@ -4,7 +4,7 @@
 use super::timers::{final_reply_at, request_deadline};
 use super::Core;
 use crate::budget::{BudgetExceeded, Reservation};
-use crate::counters::Ended;
+use crate::counters::RequestEnd;
 use crate::interface::{
     self, Event, Freshness, Idempotency, KeyScope, ReadRequirement, RequestId, TimeDelta, Timestamp,
 };
@@ -68,17 +68,17 @@
         let retry_after = self.max_retry_after();
         let (reason, retry_after) = match error {
             AdmissionError::NotReady => (RejectionReason::NotReady, retry_after),
-            AdmissionError::TooManyRequests => (RejectionReason::Held, retry_after),
+            AdmissionError::TooManyRequests => (RejectionReason::TooManyRequests, retry_after),
             AdmissionError::OutOfMemory(ref error) => {
-                (RejectionReason::Memory, retry_after.and(error.rejection.retry_after))
+                (RejectionReason::MemoryExceeded, retry_after.and(error.rejection.retry_after))
             }
             AdmissionError::Invalid(invalid) => {
-                self.counters.ended(Ended::Failed, arrival.request.class);
+                self.counters.request_ended(RequestEnd::Failed, arrival.request.class);
                 return send_answer(&arrival.client, arrival.id, Answer::Invalid(invalid));
             }
         };
         self.rejections.record(reason, error);
-        self.counters.ended(Ended::Rejected, arrival.request.class);
+        self.counters.request_ended(RequestEnd::Rejected, arrival.request.class);
         send_answer(&arrival.client, arrival.id, Answer::Rejected { retry_after });
     }
 
@@ -136,7 +136,7 @@
 
     /// Ends a request whose client has disconnected.
     pub(super) async fn client_disconnected(&mut self, id: RequestId) {
-        if self.close(id, Ended::Left).is_some() {
+        if self.close(id, RequestEnd::Disconnected).is_some() {
             self.notify_router(Event::ClientDisconnected(id)).await;
         }
         self.withdraw_attempts(id).await;
@@ -152,8 +152,8 @@
             self.record_final_reply(id, request);
         }
         let (ended, answer) = match self.requests.get(id).is_none_or(|request| self.retry_is_safe(request)) {
-            true => (Ended::Rejected, Answer::Rejected { retry_after: self.max_retry_after() }),
-            false => (Ended::Failed, Answer::Failed),
+            true => (RequestEnd::Rejected, Answer::Rejected { retry_after: self.max_retry_after() }),
+            false => (RequestEnd::Failed, Answer::Failed),
         };
         if let Some(client) = self.close(id, ended) {
             send_answer(&client, id, answer);
@@ -169,7 +169,7 @@
             let cause = format_args!(
                 "a request without an answer after {attempts} attempts, with others behind it on its connection"
             );
-            self.rejections.record(RejectionReason::Order, cause);
+            self.rejections.record(RejectionReason::PipelineOrder, cause);
         } else {
             tracing::warn!(
                 request_id = id.0,
@@ -195,17 +195,17 @@
     }
 
     /// Marks a request as ended. Returns where its answer goes; none if it is not open.
-    pub(super) fn close(&mut self, id: RequestId, ended: Ended) -> Option<mpsc::Sender<ClientMessage>> {
+    pub(super) fn close(&mut self, id: RequestId, ended: RequestEnd) -> Option<mpsc::Sender<ClientMessage>> {
         let closed = self.requests.close(id)?;
         if let Some(timer) = closed.final_reply_timer {
             self.timers.cancel(timer);
         }
-        self.counters.ended(ended, closed.class);
+        self.counters.request_ended(ended, closed.class);
         Some(closed.client)
     }
 
     /// Answers a request, if it is open.
-    pub(super) fn answer(&mut self, id: RequestId, ended: Ended, answer: Answer) {
+    pub(super) fn answer(&mut self, id: RequestId, ended: RequestEnd, answer: Answer) {
         if let Some(client) = self.close(id, ended) {
             send_answer(&client, id, answer);
         }
--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -136,7 +136,7 @@
     /// Starts the actor of a connection that was accepted, if it is admitted.
     async fn start_client(&mut self, protocol: Protocol, stream: TcpStream) {
         self.has_polled_before_exit = false;
-        self.context.counters.client();
+        self.context.counters.client_connected();
         self.delay_exit();
         let is_full = self.admission.is_full();
         self.admission.evict_if_short();
@@ -163,7 +163,7 @@
     /// is gone: the next one may wait behind it (accept(2), "Error handling").
     fn handle_accept_error(&mut self, error: &io::Error) {
         if local_faults::is_exhausted(error) {
-            self.context.rejections.record(RejectionReason::Local, format_args!("accept: {error}"));
+            self.context.rejections.record(RejectionReason::LocalResources, format_args!("accept: {error}"));
             self.admission.signal_pressure();
             self.backoff_until = Some(Instant::now() + ACCEPT_BACKOFF);
         } else {
--- a/src/net/frontend/admission.rs
+++ b/src/net/frontend/admission.rs
@@ -174,10 +174,10 @@
     /// When too many connections are open, or the memory budget has none left.
     fn reserve(&self) -> Result<(Reservation, Reservation), RejectionReason> {
         if self.slots.taken() >= self.context.max_clients + OVERFLOW {
-            return Err(RejectionReason::Seat);
+            return Err(RejectionReason::NoConnectionSlot);
         }
-        let connection = self.context.memory.connection().map_err(|_| RejectionReason::Memory)?;
-        let buffers = self.context.memory.client_buffers().map_err(|_| RejectionReason::Memory)?;
+        let connection = self.context.memory.connection().map_err(|_| RejectionReason::MemoryExceeded)?;
+        let buffers = self.context.memory.client_buffers().map_err(|_| RejectionReason::MemoryExceeded)?;
         Ok((connection, buffers))
     }
 }
--- a/src/net/frontend/client/dispatch.rs
+++ b/src/net/frontend/client/dispatch.rs
@@ -68,7 +68,7 @@
                     return Ok(false);
                 }
             };
-            self.context.counters.pipelined();
+            self.context.counters.request_pipelined();
         }
         if let Some(due_at) = self.context.answers_due_at() {
             request.timeout = request.timeout.min(due_at.saturating_duration_since(arrived_at));
--- a/src/net/frontend/client/statements.rs
+++ b/src/net/frontend/client/statements.rs
@@ -49,7 +49,7 @@
 
     /// Counts and logs a statement that is no request.
     pub(super) fn record_protocol_error(&mut self, fault: &Fault) {
-        self.context.counters.malformed();
+        self.context.counters.malformed_statement();
         self.record_rejection(fault);
         self.state.record_protocol_error(Instant::now());
     }
@@ -107,7 +107,9 @@
         }
         if self.is_rejected_over_limit() {
             // The time for a retry spreads clients that would return at once otherwise.
-            self.context.rejections.record(RejectionReason::Seat, "all client connection slots are taken");
+            self.context
+                .rejections
+                .record(RejectionReason::NoConnectionSlot, "all client connection slots are taken");
             return self.push_answer(QueuedAnswer::Fault(Fault::Rejected(self.context.retry_after())));
         }
         let access =
--- a/src/net/frontend/client/waiting.rs
+++ b/src/net/frontend/client/waiting.rs
@@ -170,7 +170,7 @@
     fn evict(&self) -> ConnectionEnd {
         self.context
             .rejections
-            .record(RejectionReason::Seat, "a new connection without a request was evicted");
+            .record(RejectionReason::NoConnectionSlot, "a new connection without a request was evicted");
         ConnectionEnd::Evicted(Fault::Rejected(self.context.retry_after()))
     }
 
--- a/src/net/frontend/fault.rs
+++ b/src/net/frontend/fault.rs
@@ -109,16 +109,16 @@
         Some(match self {
             Self::Rejected(_) | Self::Failed | Self::ClientLeft | Self::Cancelled => return None,
             Self::NotReady => RejectionReason::NotReady,
-            Self::Encoding => RejectionReason::Encoding,
-            Self::Statement(StatementError::Form) | Self::Syntax(_) => RejectionReason::Form,
-            Self::Statement(StatementError::Lacks(_)) => RejectionReason::Lacks,
-            Self::Statement(StatementError::Twice(_)) => RejectionReason::Twice,
-            Self::Statement(StatementError::Value(_)) => RejectionReason::Value,
+            Self::Encoding => RejectionReason::InvalidEncoding,
+            Self::Statement(StatementError::Form) | Self::Syntax(_) => RejectionReason::UnsupportedStatement,
+            Self::Statement(StatementError::Lacks(_)) => RejectionReason::MissingField,
+            Self::Statement(StatementError::Twice(_)) => RejectionReason::DuplicateField,
+            Self::Statement(StatementError::Value(_)) => RejectionReason::InvalidValue,
             Self::Invalid(problem) => problem.reason(),
-            Self::Unsupported(_) | Self::WrongProtocol(_) => RejectionReason::Unsupported,
-            Self::TooLong => RejectionReason::TooLong,
-            Self::ProtocolViolation(_) => RejectionReason::Broken,
-            Self::Login(_) => RejectionReason::Login,
+            Self::Unsupported(_) | Self::WrongProtocol(_) => RejectionReason::UnsupportedFeature,
+            Self::TooLong => RejectionReason::MessageTooLong,
+            Self::ProtocolViolation(_) => RejectionReason::ProtocolViolation,
+            Self::Login(_) => RejectionReason::InvalidLogin,
         })
     }
 
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -150,11 +150,11 @@
     /// Returns the reason that counters and logs give for it.
     pub fn reason(&self) -> RejectionReason {
         match self {
-            Self::UnknownClass(_) => RejectionReason::Class,
-            Self::ClassMismatch { .. } => RejectionReason::Kind,
-            Self::UnknownGroup(_) => RejectionReason::Group,
-            Self::DuplicateId => RejectionReason::Id,
-            Self::Parameter(_) => RejectionReason::Value,
+            Self::UnknownClass(_) => RejectionReason::UnknownClass,
+            Self::ClassMismatch { .. } => RejectionReason::ReadWriteMismatch,
+            Self::UnknownGroup(_) => RejectionReason::UnknownGroup,
+            Self::DuplicateId => RejectionReason::DuplicateId,
+            Self::Parameter(_) => RejectionReason::InvalidValue,
         }
     }
 }
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -29,7 +29,7 @@
 
 /// Names the classes of the configuration in the counters.
 pub(super) fn name_classes(counters: &Counters, config: &Config) {
-    counters.classes(config.names.classes.iter().map(|class| class.name.as_str()));
+    counters.set_classes(config.names.classes.iter().map(|class| class.name.as_str()));
 }
 
 /// The sending ends of what the actors watch.
@@ -133,7 +133,7 @@
 ) -> io::Result<Option<(peers::MembershipQueries, JoinHandle<()>)>> {
     let Some((listener, peers)) = listener.zip(config.operator.peers.clone()) else { return Ok(None) };
     let metrics = Arc::new(PeerMetrics::default());
-    counters.fleet(Arc::clone(&metrics));
+    counters.set_peer_metrics(Arc::clone(&metrics));
     let start = peers::Start {
         name: config.name.clone(),
         peers,
@@ -256,14 +256,14 @@
     fn reload(&mut self) {
         match self.config.reload() {
             Ok(config) => {
-                self.counters.sighup(true);
+                self.counters.configuration_reloaded();
                 name_classes(&self.counters, &config);
                 self.channels.discovery.send_replace(config.discovery);
                 self.channels.reloaded.send_replace(Some(config.clone()));
                 self.config = config;
             }
             Err(error) => {
-                self.counters.sighup(false);
+                self.counters.configuration_rejected();
                 tracing::error!(%error, "configuration reload rejected");
             }
         }
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -123,7 +123,7 @@
         let context = &connector.context;
         let on_written = || {
             is_written.store(true, Relaxed);
-            context.counters.forwarded();
+            context.counters.attempt_written();
         };
         let timeout = attempt.deadline.saturating_duration_since(Instant::now());
         let query = Query::Statement(&attempt.statement, timeout);
--- a/src/net/upstream/connector.rs
+++ b/src/net/upstream/connector.rs
@@ -32,7 +32,7 @@
         if let Some(connection) = self.idle.take().filter(Connection::is_open_and_silent) {
             return Ok(connection);
         }
-        self.context.counters.connect();
+        self.context.counters.upstream_connect();
         let give_up_at = deadline.min(Instant::now() + self.context.connect_timeout);
         let Self { address, context, running, .. } = self;
         tokio::select! {
@@ -53,7 +53,7 @@
     let opened = Connection::open(address, permit, give_up_at).await;
     if matches!(opened, Err(Outcome::NotSent)) {
         let cause = "this machine has no port, descriptor or buffer for a connection to a host";
-        context.rejections.record(RejectionReason::Local, cause);
+        context.rejections.record(RejectionReason::LocalResources, cause);
     }
     opened
 }
--- a/src/rejection_reason.rs
+++ b/src/rejection_reason.rs
@@ -1,111 +1,103 @@
-//! Why something is turned away, as figures and logs name it. Which it is, is for whoever turns it away.
+//! Why a request or a connection is rejected, with the names that figures and log lines use.
 
 use std::fmt;
 
-/// A reason.
+#[cfg(test)]
+mod tests;
+
+/// Why a request or a connection is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
     /// The statement is not UTF-8.
-    Encoding,
-    /// The statement is none of those that are served.
-    Form,
-    /// The comment lacks what each statement here needs.
-    Lacks,
-    /// The comment says something twice.
-    Twice,
-    /// A value of the comment cannot be read.
-    Value,
-    /// The settings name no such class, or take no more requests of it.
-    Class,
-    /// It writes where its class reads, or the other way round.
-    Kind,
-    /// Discovery names no such group.
-    Group,
-    /// A request of the same id is open.
-    Id,
-    /// A part of the protocol that is not served, or another protocol.
-    Unsupported,
-    /// A message is longer than is taken.
-    TooLong,
-    /// The stream breaks the protocol.
-    Broken,
-    /// The login cannot be accepted.
-    Login,
-    /// The list of ledger hosts has not come yet, or the proxy is drained.
+    InvalidEncoding,
+    /// The statement is of no form that is served.
+    UnsupportedStatement,
+    /// The comment lacks a field that every statement must have here.
+    MissingField,
+    /// The comment has a field twice.
+    DuplicateField,
+    /// The value of a field in the comment cannot be read.
+    InvalidValue,
+    /// The settings have no such class, or accept no more requests of it.
+    UnknownClass,
+    /// The statement writes although its class reads, or the other way round.
+    ReadWriteMismatch,
+    /// Discovery lists no such replication group.
+    UnknownGroup,
+    /// A request with the same id is in flight.
+    DuplicateId,
+    /// The client uses a part of the protocol that is not served, or another protocol.
+    UnsupportedFeature,
+    /// A message is longer than the largest accepted.
+    MessageTooLong,
+    /// The client's bytes violate the protocol.
+    ProtocolViolation,
+    /// The login is invalid.
+    InvalidLogin,
+    /// No endpoint list has arrived yet, or the proxy is draining.
     NotReady,
-    /// As many requests are held as may be.
-    Held,
-    /// There is no memory for it.
-    Memory,
-    /// All seats are taken.
-    Seat,
-    /// The module turns it away.
-    Policy,
-    /// The answer to a request behind it on its connection was due.
-    Order,
-    /// This machine lacks a port, a descriptor or a buffer for the moment.
-    Local,
+    /// As many requests are pending as the settings allow.
+    TooManyRequests,
+    /// The memory budget is exceeded.
+    MemoryExceeded,
+    /// All client connection slots are in use.
+    NoConnectionSlot,
+    /// The router rejects it.
+    RouterDecision,
+    /// The answer to a later request on its connection was due.
+    PipelineOrder,
+    /// This machine lacks a port, a descriptor or a buffer at the moment.
+    LocalResources,
 }
 
-/// All of them, in their order.
+/// All reasons, in the order of their discriminants.
 pub const REJECTION_REASONS: [RejectionReason; 20] = [
-    RejectionReason::Encoding,
-    RejectionReason::Form,
-    RejectionReason::Lacks,
-    RejectionReason::Twice,
-    RejectionReason::Value,
-    RejectionReason::Class,
-    RejectionReason::Kind,
-    RejectionReason::Group,
-    RejectionReason::Id,
-    RejectionReason::Unsupported,
-    RejectionReason::TooLong,
-    RejectionReason::Broken,
-    RejectionReason::Login,
+    RejectionReason::InvalidEncoding,
+    RejectionReason::UnsupportedStatement,
+    RejectionReason::MissingField,
+    RejectionReason::DuplicateField,
+    RejectionReason::InvalidValue,
+    RejectionReason::UnknownClass,
+    RejectionReason::ReadWriteMismatch,
+    RejectionReason::UnknownGroup,
+    RejectionReason::DuplicateId,
+    RejectionReason::UnsupportedFeature,
+    RejectionReason::MessageTooLong,
+    RejectionReason::ProtocolViolation,
+    RejectionReason::InvalidLogin,
     RejectionReason::NotReady,
-    RejectionReason::Held,
-    RejectionReason::Memory,
-    RejectionReason::Seat,
-    RejectionReason::Policy,
-    RejectionReason::Order,
-    RejectionReason::Local,
+    RejectionReason::TooManyRequests,
+    RejectionReason::MemoryExceeded,
+    RejectionReason::NoConnectionSlot,
+    RejectionReason::RouterDecision,
+    RejectionReason::PipelineOrder,
+    RejectionReason::LocalResources,
 ];
 
+/// The name in figures (`gw.turned.NAME`, `turned_NAME`) and log lines.
 impl fmt::Display for RejectionReason {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Self::Encoding => "encoding",
-            Self::Form => "form",
-            Self::Lacks => "lacks",
-            Self::Twice => "twice",
-            Self::Value => "value",
-            Self::Class => "class",
-            Self::Kind => "kind",
-            Self::Group => "group",
-            Self::Id => "id",
-            Self::Unsupported => "unsupported",
-            Self::TooLong => "too_long",
-            Self::Broken => "broken",
-            Self::Login => "login",
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Self::InvalidEncoding => "encoding",
+            Self::UnsupportedStatement => "form",
+            Self::MissingField => "lacks",
+            Self::DuplicateField => "twice",
+            Self::InvalidValue => "value",
+            Self::UnknownClass => "class",
+            Self::ReadWriteMismatch => "kind",
+            Self::UnknownGroup => "group",
+            Self::DuplicateId => "id",
+            Self::UnsupportedFeature => "unsupported",
+            Self::MessageTooLong => "too_long",
+            Self::ProtocolViolation => "broken",
+            Self::InvalidLogin => "login",
             Self::NotReady => "not_ready",
-            Self::Held => "held",
-            Self::Memory => "memory",
-            Self::Seat => "seat",
-            Self::Policy => "policy",
-            Self::Order => "order",
-            Self::Local => "local",
+            Self::TooManyRequests => "held",
+            Self::MemoryExceeded => "memory",
+            Self::NoConnectionSlot => "seat",
+            Self::RouterDecision => "policy",
+            Self::PipelineOrder => "order",
+            Self::LocalResources => "local",
         })
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_reason_stands_at_its_own_place() {
-        for (n, reason) in REJECTION_REASONS.into_iter().enumerate() {
-            assert_eq!(reason as usize, n);
-        }
-    }
-}
