--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -4,7 +4,7 @@
 
 use crate::budget::plan::LimitOverride;
 use crate::budget::{Purpose, PURPOSES};
-use crate::membership::post::Key;
+use crate::membership::transport::Key;
 use crate::membership::Name;
 use crate::protocol::Protocol;
 use bytesize::ByteSize;
@@ -304,7 +304,7 @@
 ) -> Result<(Key, Option<Key>), OperatorError> {
     let read = |file: &Spanned<String>| {
         let text = std::fs::read_to_string(&file.value).map_err(|error| error.to_string());
-        let key = text.and_then(|text| Key::read(&text).map_err(|error| error.to_string()));
+        let key = text.and_then(|text| Key::from_hex(&text).map_err(|error| error.to_string()));
         key.map_err(|problem| {
             reader.error(file.referenced, "peers.key_files", format!("{}: {problem}", file.value))
         })
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -139,7 +139,7 @@
         peers,
         streams: config.limits.peer_streams,
         clock,
-        tally: metrics,
+        metrics,
         draining: draining.clone(),
     };
     peers::start(listener, start).map(Some)
