--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -2,6 +2,7 @@
 //! its instance and writes the actions to standard output.
 //!
 //! Nothing is decided here: names become numbers, seconds become microseconds, and back.
+#![warn(clippy::unwrap_used)]
 
 mod wire;
 
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! [`Router`] is the module: which host, whether to retry, what is turned away.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(clippy::unwrap_used)]
 
 pub mod budget;
 pub mod drain;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -4,7 +4,6 @@
 //! what the host answers and when. [`net`] puts it on sockets, under PostgreSQL's protocol 3 or TDS, so that both
 //! meet the same world. [`checker::Checker`] judges the rules by what crossed the sockets. Seed in, same world out.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod checker;
 pub mod host;
--- a/crates/emulator/src/net/actor.rs
+++ b/crates/emulator/src/net/actor.rs
@@ -129,6 +129,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines)]
     fn told(&mut self, told: Told) {
         // What was due before comes first.
         self.advance();
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -275,6 +275,7 @@
     }
 
     /// The settings object that a proxy of this installation is given.
+    #[expect(clippy::too_many_lines)]
     pub fn settings(&self, rate: f64) -> Value {
         let seconds = |span: Micros| span as f64 / SECOND as f64;
         let grade = |class: &Class| {
--- a/crates/pgwire/src/lib.rs
+++ b/crates/pgwire/src/lib.rs
@@ -1,6 +1,6 @@
 //! PostgreSQL's protocol 3 as bytes: parsers and encoders for both sides, no sockets.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(clippy::unwrap_used)]
 
 mod backend;
 mod encode;
--- a/crates/tds/src/lib.rs
+++ b/crates/tds/src/lib.rs
@@ -15,7 +15,7 @@
 //! assert_eq!((message.kind, &message.payload[..]), (PacketType::SqlBatch, &b"text"[..]));
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(clippy::unwrap_used)]
 
 mod login;
 pub mod numbers;
--- a/crates/testbench/benches/state.rs
+++ b/crates/testbench/benches/state.rs
@@ -77,6 +77,7 @@
 }
 
 /// Each wait is set for up to five seconds and cancelled before it ends, as those of served requests are.
+#[expect(clippy::too_many_lines)]
 fn waits(c: &mut Criterion) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
     let mut group = c.benchmark_group("waits");
--- a/crates/testbench/src/load.rs
+++ b/crates/testbench/src/load.rs
@@ -24,12 +24,17 @@
 /// How the requests of a class fared.
 #[derive(Clone, Debug)]
 pub struct ClassResult {
+    /// The class.
     pub name: &'static str,
+    /// Requests sent.
     pub offered: u64,
+    /// Requests answered with a value.
     pub served: u64,
-    /// Served within the class's aim.
+    /// Served within the class's latency objective.
     pub in_time: u64,
+    /// Requests rejected.
     pub refused: u64,
+    /// Requests failed.
     pub failed: u64,
     /// Sent once more because an idle connection ended under it.
     pub resent: u64,
@@ -54,10 +59,15 @@
 /// Where the load goes.
 #[derive(Clone, Debug)]
 pub struct Target {
+    /// The protocol that clients speak.
     pub wire: Wire,
+    /// The proxy's client port.
     pub address: SocketAddr,
+    /// The installation.
     pub spec: Rc<Spec>,
+    /// The emulator's clock.
     pub clock: Clock,
+    /// The emulated hosts, which are notified of each request.
     pub world: mpsc::Sender<Told>,
 }
 
--- a/crates/testbench/src/rig.rs
+++ b/crates/testbench/src/rig.rs
@@ -28,16 +28,23 @@
     )
 }
 
+/// An emulated installation with one proxy before it.
 pub struct Rig {
+    /// The emulator's clock.
     pub clock: Clock,
+    /// Hosts and discovery.
     pub installation: Installation,
+    /// The proxy.
     pub proxy: ProxyThread,
 }
 
 /// A proxy that serves on a thread of its own.
 pub struct ProxyThread {
+    /// Where clients connect, by protocol.
     pub addresses: Vec<(Protocol, SocketAddr)>,
+    /// The proxy's counters.
     pub counters: Arc<Counters>,
+    /// The proxy's memory budget.
     pub budget: Budget,
     control: mpsc::Sender<Control>,
     thread: JoinHandle<std::io::Result<()>>,
--- a/crates/testbench/src/soak/mod.rs
+++ b/crates/testbench/src/soak/mod.rs
@@ -192,6 +192,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines)]
 async fn run(plan: Plan) -> Result<(Findings, Vec<Vec<String>>), LabError> {
     let clock = Clock::start();
     let options = Options {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,7 +24,7 @@
 //! assert!(actions.contains(&sent));
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(clippy::unwrap_used)]
 
 pub mod cli;
 pub mod config;
--- a/tests/sockets/habits.rs
+++ b/tests/sockets/habits.rs
@@ -190,6 +190,7 @@
     }
 
     /// Does once what its habit is.
+    #[expect(clippy::too_many_lines)]
     fn act(&mut self, turn: usize) {
         match self.habit {
             Habit::AlwaysOneMore => self.ask_and_pause(Duration::from_millis(10)),
--- a/tests/sockets/scenario/mod.rs
+++ b/tests/sockets/scenario/mod.rs
@@ -595,6 +595,7 @@
     }
 
     /// With system calls that fail as `crates/faults` words it.
+    #[expect(clippy::too_many_lines)]
     fn start_faulty(
         wire: Wire,
         hosts: usize,
@@ -668,6 +669,7 @@
         answer
     }
 
+    #[expect(clippy::too_many_lines)]
     fn line(&mut self, line: &str) {
         let mut words = line.splitn(3, ' ');
         let (who, verb, what) = (words.next().unwrap(), words.next().unwrap(), words.next().unwrap_or(""));
