--- a/crates/decisions/src/drain/connection.rs
+++ b/crates/decisions/src/drain/connection.rs
@@ -6,7 +6,7 @@
 //! is closed, even if its client has sent more. From `answers_due_after` on a client that has sent more meanwhile gets its
 //! answers at once. So every connection ends whatever its client does, also if the client never pauses between requests.
 
-use super::shutdown::FIRST_REQUEST_TIMEOUT;
+use super::shutdown::DRAIN_FIRST_REQUEST_TIMEOUT;
 use super::ShutdownSchedule;
 use crate::interface::Timestamp;
 use std::time::Duration;
@@ -19,8 +19,8 @@
 /// Idle connections are closed this long after a quiesce call: load balancers send new connections elsewhere within 0.2 s,
 /// and as much again is left to those on their way.
 const QUIESCE_CLOSE_IDLE_AFTER: Duration = Duration::from_millis(400);
-/// Delay between the operator's call and the drain's start, and of a read that was admitted just before the end: 0.15 s
-/// each if the process is held up.
+/// Kept free for a process that is held up: between the operator's call and the drain's start, and during a read that was
+/// admitted just before the end.
 const QUIESCE_START_MARGIN: Duration = Duration::from_millis(500);
 /// Answers are due this long before [`QUIESCE_LIMIT`]: time for the network and a busy machine.
 const QUIESCE_ANSWER_MARGIN: Duration = Duration::from_millis(500);
@@ -49,7 +49,7 @@
             .saturating_sub(QUIESCE_START_MARGIN),
         answers_due_after: QUIESCE_LIMIT.saturating_sub(QUIESCE_ANSWER_MARGIN),
         force_close_after: None,
-        first_request_timeout: FIRST_REQUEST_TIMEOUT,
+        first_request_timeout: DRAIN_FIRST_REQUEST_TIMEOUT,
     };
 }
 
--- a/crates/decisions/src/drain/shutdown.rs
+++ b/crates/decisions/src/drain/shutdown.rs
@@ -23,7 +23,7 @@
 /// The proxy accepts connections for at least this long after the last one, unless answers are due earlier.
 const ACCEPT_IDLE_TIME: Duration = Duration::from_millis(350);
 /// Time that a connection without a request has to send its first one, from its last activity.
-pub(super) const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+pub(super) const DRAIN_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The schedule of a graceful shutdown, in spans from SIGTERM unless a field says otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,7 +63,7 @@
             sigkill_after,
             earliest_exit_after: MIN_SHUTDOWN_TIME.min(answers_due_after),
             accept_idle_time: ACCEPT_IDLE_TIME,
-            first_request_timeout: FIRST_REQUEST_TIMEOUT,
+            first_request_timeout: DRAIN_FIRST_REQUEST_TIMEOUT,
         }
     }
 
--- a/crates/decisions/src/interface/outcome.rs
+++ b/crates/decisions/src/interface/outcome.rs
@@ -11,7 +11,8 @@
     Overloaded,
     /// No answer within the attempt's timeout; the request may have been executed, or may still be.
     Timeout,
-    /// No connection to the host was established; the request was not executed.
+    /// No connection was established, the request was not written completely by the attempt's deadline, or the host stopped
+    /// before; the request was not executed.
     ConnectFailed,
     /// The connection broke after the request had been written; it may have been executed.
     Reset,
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,7 +1,6 @@
-//! What wheelpier decides, apart from all sockets: no I/O, no clock and no runtime, as the manifest proves. Events and a
-//! moment go in, actions come out.
+//! The decisions of wheelpier, without I/O, clock and runtime: events and the current time go in, actions come out.
 //!
-//! [`Router`] is the module: which host, whether to retry, what is turned away.
+//! [`Router`] decides which host gets a request, whether it is retried and whether it is rejected.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
--- a/crates/decisions/src/load/circuit_breaker.rs
+++ b/crates/decisions/src/load/circuit_breaker.rs
@@ -23,7 +23,7 @@
         self.consecutive_failures > 0
     }
 
-    /// Returns whether the host has failed at least three times since its last response.
+    /// Returns whether the host has failed at least [`REPEATED_FAILURES`] times since its last response.
     pub fn is_failing_repeatedly(&self) -> bool {
         self.consecutive_failures >= REPEATED_FAILURES
     }
--- a/crates/decisions/src/routing/concurrency_limit.rs
+++ b/crates/decisions/src/routing/concurrency_limit.rs
@@ -5,11 +5,11 @@
 use super::outlier::AttemptEnd;
 use crate::interface::Outcome;
 
-/// Largest limit, and the initial one of a single router.
+/// Largest limit in attempts, and the initial one of a single router.
 const MAX_LIMIT: f64 = 16.0;
-/// Least initial limit, however many routers share it.
+/// Least initial limit in attempts, however many routers share the host.
 const MIN_INITIAL_LIMIT: f64 = 2.0;
-/// Least limit, shared between the routers.
+/// Least limit in attempts of all routers together; each has at least 1.
 const MIN_LIMIT: f64 = 3.0;
 /// Factor of the limit on a slow or overloaded response.
 const DECREASE_FACTOR: f64 = 0.8;
--- a/crates/decisions/src/routing/endpoint_list.rs
+++ b/crates/decisions/src/routing/endpoint_list.rs
@@ -7,6 +7,7 @@
 use std::collections::BTreeSet;
 
 /// After this a removed host is forgotten: where all hosts are replaced every day they would add up.
+/// Independent of how long the caller keeps its own record of the host.
 const FORGET_REMOVED_AFTER: TimeDelta = TimeDelta::from_secs(30);
 
 /// What an update of the list is applied with.
--- a/crates/decisions/src/routing/hedging.rs
+++ b/crates/decisions/src/routing/hedging.rs
@@ -38,12 +38,12 @@
     let role = host.map_or(Role::Replica, |host| host.role_or_replica());
     let elapsed_us = (context.now - attempt.sent_at).0 as f64;
     let is_slow = elapsed_us > SLOW_LATENCY_MULTIPLE * context.latency(request).mean_us;
-    (is_slow && is_calm(context, request.group, role)).then_some(HedgeReason::SlowAttempt)
+    (is_slow && is_below_overload(context, request.group, role)).then_some(HedgeReason::SlowAttempt)
 }
 
 /// Returns whether the hosts of this role are well below overload, where hedged requests would only add to
 /// it. One of many routers sees too little to tell, so that its threshold is lower.
-fn is_calm(context: Context<'_>, group: u32, role: Role) -> bool {
+fn is_below_overload(context: Context<'_>, group: u32, role: Role) -> bool {
     let threshold = shedding_ratio(context.settings, role) / context.settings.fleet_size_factor();
     context.latency_ratio(group, role) < threshold
 }
--- a/crates/decisions/src/routing/host.rs
+++ b/crates/decisions/src/routing/host.rs
@@ -31,7 +31,7 @@
     pub start_is_listed: bool,
     /// The latest position that it is known to have applied.
     pub applied_position: LogPosition,
-    /// When it last told a position.
+    /// When it last reported a position.
     pub position_observed_at: Option<Timestamp>,
     /// The latest role that it was seen in.
     pub role: Option<ObservedRole>,
--- a/crates/decisions/src/routing/mod.rs
+++ b/crates/decisions/src/routing/mod.rs
@@ -20,8 +20,8 @@
 //! | When are idle connections closed? | `idle_connections` |
 //! | What follows from a correction of the hosts' clock? | `clock_shift` |
 //!
-//! Why was a request rejected? On its arrival `Admission::decide` says so, later `queue::give_up_reason`.
-//! Why does it wait? `eligibility` says why a host may not take it, `selection` why an eligible one is
+//! Why did the router reject a request? On arrival: its class is unknown, or `Admission::decide`; later
+//! `queue::give_up_reason`, and `queue::ending` says whether it is rejected or failed. Why does it wait? `eligibility` says why a host may not take it, `selection` why an eligible one is
 //! passed over.
 
 mod admission;
@@ -60,7 +60,8 @@
 
 /// Sessions whose last write is remembered; what is known of older ones is merged for each group.
 const TRACKED_SESSIONS: usize = 20_000;
-/// After this the endpoint list is watched again where the watch has failed.
+/// After this the endpoint list is watched again where the watch has failed. Only for a caller that leaves the
+/// watch to the router; the proxy's discovery actor follows `DiscoveryRetry`.
 const DISCOVERY_RETRY_DELAY: TimeDelta = TimeDelta::from_millis(300);
 /// Token of the only timer.
 const TIMER_TOKEN: u64 = 0;
@@ -278,7 +279,8 @@
         }
     }
 
-    /// Takes the position of a tracked write, or that it may have been committed without a word. A position
+    /// Takes the position of a tracked write, or that it may have been committed although no
+    /// response came. A position
     /// ahead of the clock counts as the latest plausible one, so that its session does not lose it.
     fn record_write_position(&mut self, attempt: &Attempt, result: &AttemptResult) {
         let Some(write) = attempt.tracked_write else { return };
@@ -306,7 +308,7 @@
             _ => {}
         }
         // A request whose time is over does not ask for a retry.
-        let has_time_left = self.now < request.deadline - queue::RESPONSE_MARGIN;
+        let has_time_left = self.now < request.deadline - queue::GIVE_UP_MARGIN;
         if retry::counts_against_budget(result.outcome) && has_time_left {
             request.retries_exhausted = retry::retries_exhausted(request, &self.retry_budget);
             self.retry_budget.withdraw();
--- a/crates/decisions/src/routing/queue.rs
+++ b/crates/decisions/src/routing/queue.rs
@@ -11,8 +11,9 @@
 
 /// Waiting requests are examined this often: a small part of any latency objective.
 pub(super) const CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
-/// A waiting request ends this long before its deadline: two checks and the way back to its client.
-pub(super) const RESPONSE_MARGIN: TimeDelta = TimeDelta::from_millis(25);
+/// A waiting request is given up this long before its deadline: two checks and the way back to its client. In the proxy the
+/// deadline is the core actor's, which leaves time for the network already.
+pub(super) const GIVE_UP_MARGIN: TimeDelta = TimeDelta::from_millis(25);
 /// Requests of a class that found no host after which the others of the class are not tried: bounds the
 /// processor time of a dispatch.
 pub(super) const MAX_UNPLACED_PER_CLASS: u32 = 16;
@@ -20,7 +21,7 @@
 /// routers must not become a load.
 const IN_FLIGHT_CHECKS_PER_OBJECTIVE: i64 = 8;
 
-/// Why a waiting request is given up.
+/// Why a waiting request is given up. The caller ends it alike for all reasons; tests tell them apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GiveUpReason {
     /// The latency objective cannot be met, and a late response earns nothing.
@@ -51,7 +52,7 @@
     if is_hopeless(context, request) {
         return Some(GiveUpReason::ObjectiveUnreachable);
     }
-    if context.now >= request.deadline - RESPONSE_MARGIN {
+    if context.now >= request.deadline - GIVE_UP_MARGIN {
         return Some(GiveUpReason::DeadlineNear);
     }
     if request.attempts >= context.settings.max_attempts {
--- a/crates/decisions/src/routing/retry.rs
+++ b/crates/decisions/src/routing/retry.rs
@@ -9,7 +9,8 @@
 const RETRIES_PER_REQUEST: f64 = 0.1;
 /// Retries that may be saved up.
 const MAX_RETRIES_SAVED: f64 = 10.0;
-/// Error responses after which the request itself is presumed to be at fault.
+/// Error responses up to which a request is retried. One more, and the request itself is presumed to be at
+/// fault.
 const MAX_ERROR_RESPONSES: usize = 1;
 
 /// The retries that the router may still send, as a token bucket.
@@ -50,8 +51,8 @@
     matches!(outcome, Outcome::Error | Outcome::Overloaded | Outcome::Reset | Outcome::Timeout)
 }
 
-/// Returns whether a request that has failed may not be sent again: it failed at two hosts, so that it is
-/// at fault itself, or the budget is exhausted, since overloaded hosts are not helped by more requests.
+/// Returns whether a request that has failed may not be sent again: two attempts brought an error, so
+/// that it is at fault itself, or the budget is exhausted, since overloaded hosts are not helped by more requests.
 pub(super) fn retries_exhausted(request: &PendingRequest, budget: &RetryBudget) -> bool {
     request.failed_at.len() > MAX_ERROR_RESPONSES || budget.is_exhausted()
 }
--- a/crates/decisions/src/routing/selection.rs
+++ b/crates/decisions/src/routing/selection.rs
@@ -15,7 +15,7 @@
 /// Latency ratio of a host from which on one of many routers leaves it out for some of its reads.
 const HOST_OVERLOAD_RATIO: f64 = 0.2;
 /// One replica in this many takes the reads that block replication.
-const BLOCKING_READ_SHARE: usize = 3;
+const BLOCKING_READ_DIVISOR: usize = 3;
 /// A read whose objective exceeds this multiple of the shortest one blocks replication.
 const BLOCKING_OBJECTIVE_MULTIPLE: i64 = 4;
 /// Least random factor of a host's expected latency; the factor lets equal hosts share the requests.
@@ -49,8 +49,8 @@
     PrimaryKeptForWrites,
     /// Its recent responses were slow, and this router is one of many.
     Overloaded,
-    /// Reads that block replication go to other replicas.
-    ReservedForOtherReads,
+    /// The request blocks replication, and other replicas are reserved for such requests.
+    NotReservedForBlockingReads,
 }
 
 /// The order of preference: the least is best. Fields are compared from the first to the last.
@@ -147,8 +147,8 @@
             return Some(PassedOver::Overloaded);
         }
         let reserved = &self.blocking_read_replicas;
-        let is_reserved = reserved.is_empty() || reserved.contains(&id);
-        (!is_reserved).then_some(PassedOver::ReservedForOtherReads)
+        let may_take = reserved.is_empty() || reserved.contains(&id);
+        (!may_take).then_some(PassedOver::NotReservedForBlockingReads)
     }
 
     fn rank(&self, id: HostId, host: &Host, eligibility: Eligibility) -> Rank {
@@ -203,7 +203,7 @@
     let replicas = context.hosts.members(request.group).filter(|(_, host)| is_healthy_replica(host));
     let mut reserved: Vec<HostId> = replicas.map(|(id, _)| id).collect();
     reserved.sort_unstable();
-    reserved.truncate((reserved.len() / BLOCKING_READ_SHARE).max(1));
+    reserved.truncate((reserved.len() / BLOCKING_READ_DIVISOR).max(1));
     reserved
 }
 
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -1,6 +1,7 @@
 //! Data structures with bounded memory.
 //!
-//! Evicting what they hold never makes a decision wrong, only more cautious.
+//! Evicting what they hold never makes a decision wrong, only more cautious. The proxy does not use `background`,
+//! `heavy_hitters` and `timer_wheel` yet.
 
 pub mod background;
 pub mod heavy_hitters;
--- a/crates/decisions/tests/routing/source_files.rs
+++ b/crates/decisions/tests/routing/source_files.rs
@@ -1,4 +1,4 @@
-//! The routing decisions are read at night: no file grows beyond a few pages, and the deploy file names them all.
+//! Routing source files stay short, and the deploy file names them all.
 
 use std::path::Path;
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! Configuration: the only place that reads the environment, the platform's file and the operator's file.
+//! Configuration: the only place that reads the configuration's variables, the platform's file and the operator's file. The
+//! command line reads `GW_OPERATOR`, `GW_LOG` and `GW_TRACE`.
 //!
 //! [`Config::from_env`] reads all of them at the start; [`Config::reload`] reads the platform's file again at SIGHUP.
 
@@ -29,7 +30,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The environment variables that are read.
+/// The environment variables of the configuration.
 const VARIABLES: [&str; 5] = ["GW_CONFIG", "GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_CONSOLE"];
 
 /// Least size of a connection's pipeline, in bytes: a few short statements.
@@ -80,7 +81,7 @@
     peers_allowed: bool,
     /// Most requests that are in flight or queued at once.
     pub max_pending_requests: usize,
-    /// Most attempts of one request.
+    /// Most attempts of one request; the same key as the settings' `max_attempts`, checked again by the core actor.
     pub max_attempts: u32,
 }
 
--- a/src/config/read.rs
+++ b/src/config/read.rs
@@ -201,7 +201,7 @@
     zones: &[String],
 ) -> Result<Option<EndpointList>, ConfigError> {
     let Some(raw) = raw else { return Ok(None) };
-    let (list, problems) = raw.check(zones);
+    let (list, problems) = raw.into_list(zones);
     if let Some(problem) = problems.first() {
         return Err(ConfigError::new("known", problem));
     }
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -1,22 +1,24 @@
-//! The list of ledger hosts: what a version of it holds, and the form in which discovery and the configuration
-//! write it.
+//! The endpoint list in the JSON form that discovery and the configuration file write.
+//!
+//! This is the one place that maps the words of that form to the terms of the code.
 
 use crate::interface::{HostState, Timestamp};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// A version of the list, or what has changed since one.
+/// A version of the list, or the changes since an earlier one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
     /// Its version.
     pub index: u64,
-    /// Whether it is the whole list.
-    pub whole: bool,
+    /// Whether it is the complete list.
+    pub is_complete: bool,
     /// The hosts.
     pub entries: Vec<ListedEndpoint>,
-    /// Hosts that it names, of which nothing else can be read: no news of them.
-    pub unread: Vec<String>,
+    /// Names of hosts whose entries cannot be used; their previous entries stay in force.
+    pub unusable: Vec<String>,
 }
 
 /// One host of the list.
@@ -24,34 +26,34 @@
 pub struct ListedEndpoint {
     /// Its name, the same at every proxy.
     pub name: String,
-    /// Where it listens for this proxy.
+    /// The address that it listens on for this proxy.
     pub address: SocketAddr,
-    /// Its zone, by number.
+    /// Index of its zone; the number of configured zones if its zone is not configured.
     pub zone: u32,
-    /// Its kind of machine, as discovery calls it.
-    pub kind: String,
-    /// The group whose data it holds.
+    /// The type that discovery gives it.
+    pub host_type: String,
+    /// The replication group that it belongs to.
     pub group: u32,
-    /// Its state.
+    /// The state of its process.
     pub state: HostState,
-    /// Its weight.
+    /// Its size relative to other hosts, without a unit.
     pub weight: f64,
-    /// When it last started, if that was lately.
-    pub since: Option<Timestamp>,
+    /// When it last started; `None` if that is long ago.
+    pub started_at: Option<Timestamp>,
 }
 
-/// The list as discovery writes it.
+/// The list as it is written.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RawEndpointList {
     index: u64,
-    #[serde(default)]
-    snapshot: bool,
-    /// Each is read by itself: what is wrong with one must not cost the others.
-    #[serde(default)]
-    endpoints: Vec<Box<RawValue>>,
+    #[serde(rename = "snapshot", default)]
+    is_complete: bool,
+    /// Each is parsed by itself, so that a malformed one does not affect the others.
+    #[serde(rename = "endpoints", default)]
+    entries: Vec<Box<RawValue>>,
 }
 
-/// As much as is read of an entry that cannot be used.
+/// The part of an entry that is read if the rest cannot be used.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct RawName {
@@ -65,14 +67,14 @@
     #[serde(default)]
     zone: String,
     #[serde(default, rename = "type")]
-    kind: String,
+    host_type: String,
     #[serde(default)]
     group: u32,
     status: String,
     #[serde(default = "one")]
     weight: f64,
-    #[serde(default)]
-    since_ms: f64,
+    #[serde(rename = "since_ms", default)]
+    started_at_ms: f64,
 }
 
 fn one() -> f64 {
@@ -80,62 +82,86 @@
 }
 
 /// An entry that cannot be used.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("host `{name}`: {problem}")]
 pub struct EntryError {
-    /// The host's name.
+    /// The host's name; empty if the entry has none.
     pub name: String,
-    /// What is wrong with it.
-    pub problem: String,
+    /// What is wrong with the entry.
+    pub problem: EntryProblem,
+}
+
+/// What is wrong with an entry.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum EntryProblem {
+    /// It is no entry: a key is missing or has a value of the wrong type.
+    #[error("{0}")]
+    Malformed(String),
+    /// Its status is unknown.
+    #[error("`{0}` is no known status")]
+    UnknownStatus(String),
+    /// Its address cannot be parsed.
+    #[error("`{0}` is no address")]
+    InvalidAddress(String),
 }
 
 impl RawEndpointList {
-    /// Turns names into numbers. An entry that cannot be read, or without a sensible address or state, is left out, and
-    /// told.
-    pub fn check(self, zones: &[String]) -> (EndpointList, Vec<EntryError>) {
-        let (mut entries, mut problems) = (Vec::new(), Vec::new());
-        for raw in self.endpoints {
-            let entry: Result<RawEntry, _> = serde_json::from_str(raw.get());
-            let entry =
-                entry.map_err(|problem| EntryError { name: name(&raw), problem: problem.to_string() });
-            match entry.and_then(|entry| entry.check(zones)) {
+    /// Converts the list, with zones replaced by their indices. Entries that cannot be used are left out and returned as
+    /// errors.
+    pub fn into_list(self, zones: &[String]) -> (EndpointList, Vec<EntryError>) {
+        let mut entries = Vec::with_capacity(self.entries.len());
+        let mut errors = Vec::new();
+        for raw in self.entries {
+            match read_entry(&raw, zones) {
                 Ok(entry) => entries.push(entry),
-                Err(problem) => problems.push(problem),
+                Err(error) => errors.push(error),
             }
         }
-        let unread = problems.iter().map(|problem| problem.name.clone()).collect();
-        (EndpointList { index: self.index, whole: self.snapshot, entries, unread }, problems)
+        let unusable = errors.iter().map(|error| error.name.clone()).collect();
+        let list = EndpointList { index: self.index, is_complete: self.is_complete, entries, unusable };
+        (list, errors)
     }
 }
 
-/// The name in an entry that cannot be read; empty where there is none either.
-fn name(raw: &RawValue) -> String {
-    let read: RawName = serde_json::from_str(raw.get()).unwrap_or_default();
-    read.name.and_then(|name| name.as_str().map(str::to_owned)).unwrap_or_default()
+fn read_entry(raw: &RawValue, zones: &[String]) -> Result<ListedEndpoint, EntryError> {
+    let entry: RawEntry = serde_json::from_str(raw.get()).map_err(|error| {
+        let problem = EntryProblem::Malformed(error.to_string());
+        EntryError { name: name_of(raw), problem }
+    })?;
+    let name = entry.name.clone();
+    entry.into_endpoint(zones).map_err(|problem| EntryError { name, problem })
+}
+
+/// Returns the name in a malformed entry; empty if it has none.
+fn name_of(raw: &RawValue) -> String {
+    let raw: RawName = serde_json::from_str(raw.get()).unwrap_or_default();
+    raw.name.and_then(|name| name.as_str().map(str::to_owned)).unwrap_or_default()
 }
 
 impl RawEntry {
-    fn check(self, zones: &[String]) -> Result<ListedEndpoint, EntryError> {
-        let state = match self.status.as_str() {
+    fn into_endpoint(self, zones: &[String]) -> Result<ListedEndpoint, EntryProblem> {
+        let state = self.state()?;
+        let address = self.address.parse().map_err(|_| EntryProblem::InvalidAddress(self.address.clone()))?;
+        let zone = zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len());
+        let started_at = Timestamp((self.started_at_ms * 1e3) as i64);
+        Ok(ListedEndpoint {
+            name: self.name,
+            address,
+            zone: zone as u32,
+            host_type: self.host_type,
+            group: self.group,
+            state,
+            weight: self.weight,
+            started_at: Some(started_at).filter(|at| at.0 > 0),
+        })
+    }
+
+    fn state(&self) -> Result<HostState, EntryProblem> {
+        match self.status.as_str() {
             "up" => Ok(HostState::Running),
             "draining" => Ok(HostState::Draining),
             "removed" => Ok(HostState::Removed),
-            other => Err(format!("`{other}` is no known status")),
-        };
-        let address = self.address.parse().map_err(|_| format!("`{}` is no address", self.address));
-        match (state, address) {
-            (Ok(state), Ok(address)) => Ok(ListedEndpoint {
-                // A zone that the settings do not name is none of ours.
-                zone: zones.iter().position(|z| *z == self.zone).unwrap_or(zones.len()) as u32,
-                since: Some(Timestamp((self.since_ms * 1e3) as i64)).filter(|at| at.0 > 0),
-                name: self.name,
-                address,
-                kind: self.kind,
-                group: self.group,
-                state,
-                weight: self.weight,
-            }),
-            (Err(problem), _) | (_, Err(problem)) => Err(EntryError { name: self.name, problem }),
+            other => Err(EntryProblem::UnknownStatus(other.to_owned())),
         }
     }
 }
--- a/src/net/console/mod.rs
+++ b/src/net/console/mod.rs
@@ -9,7 +9,7 @@
 mod admin_state;
 mod call;
 
-use super::local_faults::{retry_local_faults, STARTUP_TIMEOUT};
+use super::local_faults::{retry_local_faults, PROCESS_STARTUP_TIMEOUT};
 use super::socket::Socket;
 pub(crate) use admin_state::AdminState;
 use bytes::Bytes;
@@ -37,12 +37,12 @@
 /// How long accepting rests after it has failed.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Binds the console's address. Waits for what this machine lacks for up to [`STARTUP_TIMEOUT`].
+/// Binds the console's address. Waits for what this machine lacks for up to [`PROCESS_STARTUP_TIMEOUT`].
 ///
 /// # Errors
 /// When the address cannot be bound.
 pub(crate) async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    let until = Instant::now() + STARTUP_TIMEOUT;
+    let until = Instant::now() + PROCESS_STARTUP_TIMEOUT;
     let listener = retry_local_faults(until, || TcpListener::bind(address)).await;
     let listener = listener.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()));
     listener.map_err(|error| io::Error::new(error.kind(), format!("console {address}: {error}")))
--- a/src/net/core/endpoints.rs
+++ b/src/net/core/endpoints.rs
@@ -20,7 +20,7 @@
             entries.push(entry);
         }
         if kind != EndpointUpdate::Delta {
-            self.keep_unreadable(&list.unread, &mut listed_hosts, &mut entries);
+            self.keep_unreadable(&list.unusable, &mut listed_hosts, &mut entries);
             self.remove_unlisted(&listed_hosts, now).await;
         }
         self.hosts.remove_expired(now);
@@ -34,18 +34,19 @@
 
     /// Registers or updates a host. Returns its entry for the router.
     async fn update_endpoint(&mut self, listed: ListedEndpoint, now: Instant) -> EndpointEntry {
-        let protocol = self.config.operator.hosts.protocol(&listed.kind);
+        let protocol = self.config.operator.hosts.protocol(&listed.host_type);
         let address = HostAddress { address: listed.address, protocol };
         let host = self.hosts.register(&listed, address);
-        let ListedEndpoint { group, zone, weight, state, since, .. } = listed;
+        let ListedEndpoint { group, zone, weight, state, started_at, .. } = listed;
         let entry = EndpointEntry {
             host,
             group,
             zone,
             weight,
+            // These lists name no primary: it is learnt from answers and health checks.
             listed_as_primary: false,
             state,
-            started_at: since.map(|since| self.host_clock.to_local(since)),
+            started_at: started_at.map(|at| self.host_clock.to_local(at)),
         };
         if let Some(handle) = self.hosts.update(&entry, now) {
             // Precedes every attempt that the router decides on from now on.
--- a/src/net/core/host_registry.rs
+++ b/src/net/core/host_registry.rs
@@ -10,6 +10,7 @@
 use tokio::time::Instant;
 
 /// How long a host that is not listed any more keeps its id and its actor: most that return do so earlier.
+/// Independent of how long the router remembers it.
 const REMOVED_HOST_TTL: Duration = Duration::from_secs(30);
 
 /// A host's actor and what is known of the host.
@@ -69,6 +70,11 @@
         self.hosts.get_mut(&host)
     }
 
+    /// Returns the name that the endpoint list gives a host. Searches all hosts: for log lines only.
+    pub fn name(&self, id: HostId) -> Option<&str> {
+        self.ids.iter().find(|(_, host)| **host == id).map(|(name, _)| name.as_str())
+    }
+
     /// Returns the host of this name.
     pub fn by_name(&self, name: &str) -> Option<&HostHandle> {
         self.ids.get(name).and_then(|host| self.hosts.get(host))
--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -125,7 +125,7 @@
             CoreEvent::AttemptEnded(end) => self.attempt_ended(*end).await,
             CoreEvent::HealthChecked(result) => self.health_checked(result).await,
             CoreEvent::EndpointList(list) => {
-                let kind = if list.whole { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
+                let kind = if list.is_complete { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
                 self.update_endpoints(list, kind).await;
             }
             CoreEvent::Reconfigured(config) => {
--- a/src/net/core/requests.rs
+++ b/src/net/core/requests.rs
@@ -151,7 +151,8 @@
         if let Some(request) = self.requests.get(id) {
             self.record_final_reply(id, request);
         }
-        let (ended, answer) = match self.requests.get(id).is_none_or(|request| self.retry_is_safe(request)) {
+        let (ended, answer) = match self.requests.get(id).is_none_or(|request| self.client_may_retry(request))
+        {
             true => (RequestEnd::Rejected, Answer::Rejected { retry_after: self.max_retry_after() }),
             false => (RequestEnd::Failed, Answer::Failed),
         };
@@ -171,17 +172,20 @@
             );
             self.rejections.record(RejectionReason::PipelineOrder, cause);
         } else {
+            let attempt_hosts: Vec<&str> =
+                request.attempt_hosts.iter().filter_map(|host| self.hosts.name(*host)).collect();
             tracing::warn!(
                 request_id = id.0,
-                attempt_hosts = ?request.attempt_hosts,
+                attempt_hosts = ?attempt_hosts,
                 in_flight_attempts = request.in_flight_attempts,
                 "request not answered by its deadline"
             );
         }
     }
 
-    /// Returns whether the client may retry: no host had the request, or repeating it does no harm.
-    fn retry_is_safe(&self, request: &InFlightRequest) -> bool {
+    /// Returns whether the client may retry: no attempt was made, or repeating it does no harm. Stricter than the router,
+    /// which knows which attempts cannot have been executed.
+    fn client_may_retry(&self, request: &InFlightRequest) -> bool {
         let class = self.config.settings.classes.get(request.class);
         let idempotency = class.map(|class| class.idempotency);
         request.attempt_hosts.is_empty()
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -68,7 +68,7 @@
             self.stream.push(frame.data_ref().map_or(&[], |data| &data[..]));
             while let Some(item) = self.stream.next()? {
                 if let StreamItem::Object(text) = item {
-                    let (list, problems) = serde_json::from_slice::<RawEndpointList>(&text)?.check(zones);
+                    let (list, problems) = serde_json::from_slice::<RawEndpointList>(&text)?.into_list(zones);
                     // An invalid entry must not end the watch, which would be reopened before that entry again and again.
                     for problem in problems {
                         tracing::warn!(%problem, "entry of the endpoint list ignored");
--- a/src/net/frontend/admission.rs
+++ b/src/net/frontend/admission.rs
@@ -4,7 +4,7 @@
 //! Up to [`OVERFLOW`] connections beyond the slots are admitted so that their requests can be rejected with a reason; the
 //! actors of these reject every request while all slots are taken.
 
-use super::client::Admission;
+use super::client::AdmittedConnection;
 use super::context::ClientContext;
 use crate::budget::Reservation;
 use crate::config::OVERFLOW;
@@ -148,7 +148,7 @@
     }
 
     /// Admits a connection that was accepted; `None` if it has to be closed.
-    pub fn admit(&mut self, protocol: Protocol, peer: Option<SocketAddr>) -> Option<Admission> {
+    pub fn admit(&mut self, protocol: Protocol, peer: Option<SocketAddr>) -> Option<AdmittedConnection> {
         let (connection, buffers) = match self.reserve() {
             Ok(reserved) => reserved,
             Err(reason) => {
@@ -156,7 +156,7 @@
                 return None;
             }
         };
-        Some(Admission {
+        Some(AdmittedConnection {
             slot: self.slots.take(),
             startup_eviction: Some(self.unauthenticated.add()),
             first_request_eviction: Some(self.without_request.add()),
--- a/src/net/frontend/client/limits.rs
+++ b/src/net/frontend/client/limits.rs
@@ -17,6 +17,7 @@
 /// Invalid statements after which a connection ends.
 pub(super) const MAX_PROTOCOL_ERRORS: u32 = 8;
 /// How long what the client still sends is read and dropped after a fatal error, which a reset might overtake otherwise.
+/// Also how long a connection with unread bytes stays open after its last answer.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 /// How many bytes are read and dropped after a fatal error.
 pub(super) const MAX_LINGER_BYTES: usize = 1 << 20;
--- a/src/net/frontend/client/mod.rs
+++ b/src/net/frontend/client/mod.rs
@@ -59,7 +59,7 @@
 
 /// What a connection is given when it is admitted.
 #[derive(Debug)]
-pub(super) struct Admission {
+pub(super) struct AdmittedConnection {
     /// Its slot, until it ends.
     pub slot: ClientSlot,
     /// Notified if it is evicted during its startup; dropped after that.
@@ -95,7 +95,7 @@
     /// Memory for the answers of requests that run behind others.
     answer_reservations: HashMap<RequestId, Reservation>,
     state: ClientState,
-    admission: Admission,
+    admission: AdmittedConnection,
     /// The account of its buffers: that of unidentified clients until it sends a request, then that of the request's class
     /// and tenant.
     account: AccountId,
@@ -111,7 +111,7 @@
     protocol: Protocol,
     context: ClientContext,
     request_ids: RequestIds,
-    admission: Admission,
+    admission: AdmittedConnection,
 ) {
     let _ = stream.set_nodelay(true);
     match protocol {
@@ -131,7 +131,7 @@
         conversation: C,
         context: ClientContext,
         request_ids: RequestIds,
-        admission: Admission,
+        admission: AdmittedConnection,
     ) -> Self {
         let limits =
             if conversation.is_pipelined() { context.pipeline_limits } else { PipelineLimits::SEQUENTIAL };
--- a/src/net/frontend/client/waiting.rs
+++ b/src/net/frontend/client/waiting.rs
@@ -1,7 +1,7 @@
 //! What a client's actor waits for, while requests are open and while none is.
 
 use super::limits::{PRESSURE_IDLE_TIMEOUT, READ_AHEAD_BYTES};
-use super::{Activity, Admission, Client, ConnectionEnd};
+use super::{Activity, AdmittedConnection, Client, ConnectionEnd};
 use crate::drain::connection::Permission;
 use crate::net::frontend::cancel::cancelled;
 use crate::net::frontend::close_reason::CloseReason;
@@ -43,7 +43,7 @@
 
 impl IdleSignals {
     /// Returns the signals of a connection whose session was opened now: earlier reclaims don't concern it.
-    pub fn of(admission: &mut Admission) -> Self {
+    pub fn of(admission: &mut AdmittedConnection) -> Self {
         let mut reclaims = admission.reclaims.clone();
         reclaims.mark_unchanged();
         Self {
--- a/src/net/frontend/listeners.rs
+++ b/src/net/frontend/listeners.rs
@@ -28,7 +28,7 @@
     pub async fn bind(addresses: &[(Protocol, SocketAddr)]) -> io::Result<Self> {
         let mut all = Vec::with_capacity(addresses.len());
         for (protocol, address) in addresses {
-            let until = Instant::now() + local_faults::STARTUP_TIMEOUT;
+            let until = Instant::now() + local_faults::PROCESS_STARTUP_TIMEOUT;
             let bound = local_faults::retry_local_faults(until, || async { bind_shared(*address) }).await;
             let bound = bound.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()));
             let named = |error: io::Error| io::Error::new(error.kind(), format!("{address}: {error}"));
--- a/src/net/local_faults.rs
+++ b/src/net/local_faults.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// How long a process that starts waits for what this machine lacks.
-pub(crate) const STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a process that starts waits for resources that this machine lacks.
+pub(crate) const PROCESS_STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
 /// Backoff before the first retry; each further one doubles it.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(5);
 /// The longest backoff between two retries.
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -20,7 +20,7 @@
     LogCounters,
     /// Read the configuration file again.
     ReloadConfiguration,
-    /// Shut down gracefully: accept no more clients, answer the requests in flight, and end.
+    /// Shut down gracefully: serve clients that still come for a while, answer every request that was read, and end.
     Drain,
 }
 
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -274,7 +274,8 @@
             let _ = timeout(FLEET_LEAVE_TIMEOUT, fleet).await;
         }
         self.log_counters();
-        // All actors of clients have ended, and with them all that they accepted.
+        // After a graceful shutdown all client actors have ended, and with them all requests; where the core has failed they
+        // have not.
         let unanswered_requests = self.counters.outstanding();
         if unanswered_requests > 0 {
             tracing::error!(unanswered_requests, "stopped with unanswered requests");
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -1,33 +1,36 @@
-//! The protocols that are spoken, with clients and with ledger hosts.
+//! The protocols that the proxy speaks with clients and hosts.
 
 use serde::Deserialize;
 use std::fmt;
 
-/// A protocol.
+/// A protocol between the proxy and its clients or hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Protocol {
-    /// PostgreSQL's, version 3.
+    /// PostgreSQL's wire protocol, version 3.
     #[default]
     Postgres,
     /// TDS, versions 7.2 to 7.4.
     Tds,
 }
 
+/// Bytes that the headers and the call's frame add to a statement in TDS.
+const TDS_STATEMENT_OVERHEAD_BYTES: usize = 1024;
+
 impl Protocol {
-    /// The longest statement that is taken from a client, in bytes as they come.
+    /// Returns the largest size of a statement that is accepted from a client, in bytes of this protocol.
     pub fn longest_statement(self) -> usize {
         match self {
             Self::Postgres => wheelpier_pgwire::MOST_STATEMENT,
-            // The same text takes two bytes a letter; headers and the call's frame take some more.
-            Self::Tds => 2 * wheelpier_pgwire::MOST_STATEMENT + 1024,
+            // TDS encodes text as UTF-16.
+            Self::Tds => 2 * wheelpier_pgwire::MOST_STATEMENT + TDS_STATEMENT_OVERHEAD_BYTES,
         }
     }
 }
 
 impl fmt::Display for Protocol {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
             Self::Postgres => "postgres",
             Self::Tds => "tds",
         })
--- a/tests/sockets/fleet.rs
+++ b/tests/sockets/fleet.rs
@@ -46,7 +46,7 @@
 fn without_peers_in_the_file_no_socket_is_opened_for_them() {
     for operator in [None, Some("memory: {}")] {
         let program = Program::start_with(&config(true), "127.0.0.1:0", "127.0.0.1:9", operator);
-        program.log("listens on");
+        program.log("listener for clients bound");
         assert_eq!(open(program.id()), (0, 1), "{operator:?}");
     }
 }
