--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -4,7 +4,7 @@
 //! [`crate::settings`], except for the keys that only the proxy needs.
 
 use super::error::ConfigError;
-use crate::endpoint_list::RawEndpointList;
+use crate::endpoint_list::RawListing;
 use serde::Deserialize;
 
 #[derive(Deserialize)]
@@ -18,7 +18,7 @@
     pub(super) limits: FileLimits,
     /// The endpoint list as it was last cached.
     #[serde(rename = "known")]
-    pub(super) cached_endpoints: Option<RawEndpointList>,
+    pub(super) cached_endpoints: Option<RawListing>,
     pub(super) settings: serde_json::Value,
 }
 
--- a/src/config/read.rs
+++ b/src/config/read.rs
@@ -4,7 +4,7 @@
 use super::file::{Customer, File, FileLimits, SettingsNames};
 use super::{ClassName, Config, ConfigError, Names, Operator, TenantName};
 use crate::budget::plan::{ClassWeight, Plan, PlanInputs};
-use crate::endpoint_list::{EndpointList, RawEndpointList};
+use crate::endpoint_list::{EndpointList, RawListing};
 use crate::interface::{Freshness, HostState, LagPolicy, Settings};
 use crate::pgwire;
 use crate::settings::{self, ReportFormat};
@@ -196,10 +196,7 @@
 }
 
 /// Reads the cached endpoint list; one without a host in use is as good as none.
-fn read_endpoints(
-    raw: Option<RawEndpointList>,
-    zones: &[String],
-) -> Result<Option<EndpointList>, ConfigError> {
+fn read_endpoints(raw: Option<RawListing>, zones: &[String]) -> Result<Option<EndpointList>, ConfigError> {
     let Some(raw) = raw else { return Ok(None) };
     let (list, problems) = raw.into_list(zones);
     if let Some(problem) = problems.first() {
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -42,9 +42,9 @@
     pub started_at: Option<Timestamp>,
 }
 
-/// The list as it is written.
+/// The list as it is written. The name of this type stands in the messages of configuration errors.
 #[derive(Clone, Debug, Deserialize)]
-pub struct RawEndpointList {
+pub struct RawListing {
     index: u64,
     #[serde(rename = "snapshot", default)]
     is_complete: bool,
@@ -105,7 +105,7 @@
     InvalidAddress(String),
 }
 
-impl RawEndpointList {
+impl RawListing {
     /// Converts the list, with zones replaced by their indices. Entries that cannot be used are left out and returned as
     /// errors.
     pub fn into_list(self, zones: &[String]) -> (EndpointList, Vec<EntryError>) {
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -2,7 +2,7 @@
 
 use super::error::DiscoveryError;
 use super::SILENCE_TIMEOUT;
-use crate::endpoint_list::RawEndpointList;
+use crate::endpoint_list::RawListing;
 use crate::net::json_stream::{JsonStream, StreamItem};
 use crate::net::messages::CoreEvent;
 use crate::net::socket::Socket;
@@ -68,7 +68,7 @@
             self.stream.push(frame.data_ref().map_or(&[], |data| &data[..]));
             while let Some(item) = self.stream.next()? {
                 if let StreamItem::Object(text) = item {
-                    let (list, problems) = serde_json::from_slice::<RawEndpointList>(&text)?.into_list(zones);
+                    let (list, problems) = serde_json::from_slice::<RawListing>(&text)?.into_list(zones);
                     // An invalid entry must not end the watch, which would be reopened before that entry again and again.
                     for problem in problems {
                         tracing::warn!(%problem, "entry of the endpoint list ignored");
