--- a/crates/decisions/src/routing/mod.rs
+++ b/crates/decisions/src/routing/mod.rs
@@ -21,8 +21,8 @@
 //! | What follows from a correction of the hosts' clock? | `clock_shift` |
 //!
 //! Why did the router reject a request? On arrival: its class is unknown, or `Admission::decide`; later
-//! `queue::give_up_reason`, and `queue::ending` says whether it is rejected or failed. Why does it wait? `eligibility` says why a host may not take it, `selection` why an eligible one is
-//! passed over.
+//! `queue::give_up_reason`, and `queue::ending` says whether it is rejected or failed. Why does it wait?
+//! `eligibility` says why a host may not take it, `selection` why an eligible one is passed over.
 
 mod admission;
 mod clock_shift;
@@ -60,8 +60,8 @@
 
 /// Sessions whose last write is remembered; what is known of older ones is merged for each group.
 const TRACKED_SESSIONS: usize = 20_000;
-/// After this the endpoint list is watched again where the watch has failed. Only for a caller that leaves the
-/// watch to the router; the proxy's discovery actor follows `DiscoveryRetry`.
+/// After this the endpoint list is watched again where the watch has failed. Only for a caller that leaves
+/// the watch to the router; the proxy's discovery actor follows `DiscoveryRetry`.
 const DISCOVERY_RETRY_DELAY: TimeDelta = TimeDelta::from_millis(300);
 /// Token of the only timer.
 const TIMER_TOKEN: u64 = 0;
--- a/crates/decisions/src/routing/queue.rs
+++ b/crates/decisions/src/routing/queue.rs
@@ -11,8 +11,8 @@
 
 /// Waiting requests are examined this often: a small part of any latency objective.
 pub(super) const CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
-/// A waiting request is given up this long before its deadline: two checks and the way back to its client. In the proxy the
-/// deadline is the core actor's, which leaves time for the network already.
+/// A waiting request is given up this long before its deadline: two checks and the way back to its client.
+/// In the proxy the deadline is the core actor's, which leaves time for the network already.
 pub(super) const GIVE_UP_MARGIN: TimeDelta = TimeDelta::from_millis(25);
 /// Requests of a class that found no host after which the others of the class are not tried: bounds the
 /// processor time of a dispatch.
--- a/crates/decisions/src/routing/retry.rs
+++ b/crates/decisions/src/routing/retry.rs
@@ -51,8 +51,8 @@
     matches!(outcome, Outcome::Error | Outcome::Overloaded | Outcome::Reset | Outcome::Timeout)
 }
 
-/// Returns whether a request that has failed may not be sent again: two attempts brought an error, so
-/// that it is at fault itself, or the budget is exhausted, since overloaded hosts are not helped by more requests.
+/// Returns whether a request that has failed may not be sent again: two attempts brought an error, so that
+/// it is at fault itself, or the budget is exhausted, since overloaded hosts are not helped by more requests.
 pub(super) fn retries_exhausted(request: &PendingRequest, budget: &RetryBudget) -> bool {
     request.failed_at.len() > MAX_ERROR_RESPONSES || budget.is_exhausted()
 }
