--- a/crates/decisions/src/drain/connection.rs
+++ b/crates/decisions/src/drain/connection.rs
@@ -8,7 +8,7 @@
 
 use super::shutdown::DRAIN_FIRST_REQUEST_TIMEOUT;
 use super::ShutdownSchedule;
-use crate::interface::Timestamp;
+use crate::interface::{TimeDelta, Timestamp};
 use std::time::Duration;
 
 /// From this long after a quiesce call on, a connection may only be open for requests older than
@@ -127,7 +127,7 @@
 
 /// Returns the point in time `span` later than `start`, without overflow.
 fn later(start: Timestamp, span: Duration) -> Timestamp {
-    Timestamp(start.0.saturating_add(span.as_micros() as i64))
+    Timestamp(start.0.saturating_add(TimeDelta::from(span).0))
 }
 
 impl ActiveDrain {
--- a/crates/decisions/src/interface/settings.rs
+++ b/crates/decisions/src/interface/settings.rs
@@ -17,6 +17,14 @@
     NotIdempotent,
 }
 
+impl Idempotency {
+    /// Returns whether a repeat does no harm whichever host gets it. A client may then be told to retry a request that may
+    /// have been executed.
+    pub fn is_harmless_to_repeat_anywhere(self) -> bool {
+        matches!(self, Self::Idempotent | Self::WithKey(KeyScope::All))
+    }
+}
+
 /// The hosts that recognise each other's requests by their idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
--- a/crates/decisions/src/routing/mod.rs
+++ b/crates/decisions/src/routing/mod.rs
@@ -279,9 +279,8 @@
         }
     }
 
-    /// Takes the position of a tracked write, or that it may have been committed although no
-    /// response came. A position
-    /// ahead of the clock counts as the latest plausible one, so that its session does not lose it.
+    /// Takes the position of a tracked write, or that it may have been committed although no response came.
+    /// A position ahead of the clock counts as the latest plausible one: its session does not lose it then.
     fn record_write_position(&mut self, attempt: &Attempt, result: &AttemptResult) {
         let Some(write) = attempt.tracked_write else { return };
         let latest = LogPosition(freshness::latest_plausible(self.now).0);
--- a/crates/decisions/src/routing/queue.rs
+++ b/crates/decisions/src/routing/queue.rs
@@ -4,7 +4,7 @@
 use super::context::Context;
 use super::request::{PendingRequest, PendingRequests};
 use super::retry;
-use crate::interface::{Idempotency, KeyScope, RequestClass, RequestId, TimeDelta};
+use crate::interface::{RequestClass, RequestId, TimeDelta};
 
 #[cfg(test)]
 mod tests;
@@ -87,9 +87,7 @@
 
 /// Returns how a request that is given up ends.
 pub(super) fn ending(class: &RequestClass, request: &PendingRequest) -> Ending {
-    let repeat_is_harmless =
-        matches!(class.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All));
-    match repeat_is_harmless || request.possible_execution.is_none() {
+    match class.idempotency.is_harmless_to_repeat_anywhere() || request.possible_execution.is_none() {
         true => Ending::Reject,
         false => Ending::Fail,
     }
--- a/crates/decisions/src/routing/queue/tests.rs
+++ b/crates/decisions/src/routing/queue/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::interface::{Settings, Timestamp};
+use crate::interface::{Idempotency, Settings, Timestamp};
 use crate::routing::host::HostTable;
 use crate::routing::load_estimates::LoadEstimates;
 use crate::routing::request::PossibleExecution;
--- a/crates/decisions/src/time.rs
+++ b/crates/decisions/src/time.rs
@@ -29,6 +29,13 @@
     }
 }
 
+impl From<std::time::Duration> for TimeDelta {
+    /// The duration in whole microseconds, rounded down.
+    fn from(duration: std::time::Duration) -> Self {
+        Self(duration.as_micros() as i64)
+    }
+}
+
 impl std::ops::Add<TimeDelta> for Timestamp {
     type Output = Self;
 
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -3,7 +3,15 @@
 use crate::interface::Timestamp;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
-use tokio::time::Instant;
+use tokio::time::{sleep_until, Instant};
+
+/// Returns at that time; never if there is none. A timer is set only once this is polled.
+pub(crate) async fn sleep_until_some(time: Option<Instant>) {
+    match time {
+        Some(time) => sleep_until(time).await,
+        None => std::future::pending().await,
+    }
+}
 
 /// Bound on how far ahead of the start [`Clock::instant`] lies: beyond any wait here and within what a timer accepts.
 const MAX_AHEAD: Duration = Duration::from_secs(86_400 * 365);
--- a/src/net/core/host_registry.rs
+++ b/src/net/core/host_registry.rs
@@ -16,6 +16,8 @@
 /// A host's actor and what is known of the host.
 #[derive(Debug)]
 pub(super) struct HostHandle {
+    /// Its name in the endpoint list.
+    pub name: String,
     pub actor: HostActor,
     /// Attempts and health checks that the actor has not brought back.
     pub outstanding: u32,
@@ -70,11 +72,6 @@
         self.hosts.get_mut(&host)
     }
 
-    /// Returns the name that the endpoint list gives a host. Searches all hosts: for log lines only.
-    pub fn name(&self, id: HostId) -> Option<&str> {
-        self.ids.iter().find(|(_, host)| **host == id).map(|(name, _)| name.as_str())
-    }
-
     /// Returns the host of this name.
     pub fn by_name(&self, name: &str) -> Option<&HostHandle> {
         self.ids.get(name).and_then(|host| self.hosts.get(host))
@@ -91,7 +88,10 @@
         self.ids.insert(listed.name.clone(), host);
         let actor = HostActor::start(host, address, self.context.clone(), self.events.clone());
         let entry = EndpointEntry::new(host, listed.group, listed.state);
-        self.hosts.insert(host, HostHandle { actor, outstanding: 0, removed_at: None, entry });
+        self.hosts.insert(
+            host,
+            HostHandle { name: listed.name.clone(), actor, outstanding: 0, removed_at: None, entry },
+        );
         host
     }
 
--- a/src/net/core/requests.rs
+++ b/src/net/core/requests.rs
@@ -5,12 +5,9 @@
 use super::Core;
 use crate::budget::{BudgetExceeded, Reservation};
 use crate::counters::RequestEnd;
-use crate::interface::{
-    self, Event, Freshness, Idempotency, KeyScope, ReadRequirement, RequestId, TimeDelta, Timestamp,
-};
+use crate::interface::{self, Event, Freshness, ReadRequirement, RequestId, TimeDelta, Timestamp};
 use crate::net::messages::{Answer, Arrival, ClientMessage, InvalidRequest, Request};
 use crate::rejection_reason::RejectionReason;
-use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
@@ -97,7 +94,7 @@
             tenant,
             time_since_write: last_write_at.map(|at| self.time_since_write(arrived_at, at)),
             is_client_retry,
-            timeout: time_delta(deadline.saturating_duration_since(Instant::now())),
+            timeout: deadline.saturating_duration_since(Instant::now()).into(),
             session,
         };
         let in_flight = InFlightRequest {
@@ -172,8 +169,12 @@
             );
             self.rejections.record(RejectionReason::PipelineOrder, cause);
         } else {
-            let attempt_hosts: Vec<&str> =
-                request.attempt_hosts.iter().filter_map(|host| self.hosts.name(*host)).collect();
+            let attempt_hosts: Vec<&str> = request
+                .attempt_hosts
+                .iter()
+                .filter_map(|host| self.hosts.get(*host))
+                .map(|host| host.name.as_str())
+                .collect();
             tracing::warn!(
                 request_id = id.0,
                 attempt_hosts = ?attempt_hosts,
@@ -187,9 +188,8 @@
     /// which knows which attempts cannot have been executed.
     fn client_may_retry(&self, request: &InFlightRequest) -> bool {
         let class = self.config.settings.classes.get(request.class);
-        let idempotency = class.map(|class| class.idempotency);
         request.attempt_hosts.is_empty()
-            || matches!(idempotency, Some(Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All)))
+            || class.is_some_and(|class| class.idempotency.is_harmless_to_repeat_anywhere())
     }
 
     /// Returns the longest Retry-After of the settings; none where the settings allow none.
@@ -216,7 +216,3 @@
         self.requests.remove_if_finished(id);
     }
 }
-
-fn time_delta(duration: Duration) -> TimeDelta {
-    TimeDelta(duration.as_micros() as i64)
-}
--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -5,10 +5,10 @@
 use super::context::ClientContext;
 use super::listeners::Listeners;
 use crate::interface::RequestId;
+use crate::net::clock::sleep_until_some;
 use crate::net::local_faults;
 use crate::protocol::Protocol;
 use crate::rejection_reason::RejectionReason;
-use std::future::pending;
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
@@ -108,12 +108,6 @@
     async fn next_event(&mut self) -> AcceptorEvent {
         let exit_at = self.exit_at();
         let Self { listeners, clients, draining, backoff_until, exit_after, .. } = self;
-        let exit = async {
-            match exit_at {
-                Some(exit_at) => sleep_until(exit_at).await,
-                None => pending().await,
-            }
-        };
         tokio::select! {
             biased;
             accepted = listeners.accept(), if backoff_until.is_none() => AcceptorEvent::Accepted(accepted),
@@ -122,7 +116,7 @@
             }
             Some(_) = clients.join_next() => AcceptorEvent::ClientEnded,
             Ok(()) = draining.changed(), if exit_after.is_none() => AcceptorEvent::ShutdownStarted,
-            () = exit, if clients.is_empty() => AcceptorEvent::ExitDue,
+            () = sleep_until_some(exit_at), if clients.is_empty() => AcceptorEvent::ExitDue,
         }
     }
 
--- a/src/net/frontend/client/waiting.rs
+++ b/src/net/frontend/client/waiting.rs
@@ -3,6 +3,7 @@
 use super::limits::{PRESSURE_IDLE_TIMEOUT, READ_AHEAD_BYTES};
 use super::{Activity, AdmittedConnection, Client, ConnectionEnd};
 use crate::drain::connection::Permission;
+use crate::net::clock::sleep_until_some;
 use crate::net::frontend::cancel::cancelled;
 use crate::net::frontend::close_reason::CloseReason;
 use crate::net::frontend::conversation::Conversation;
@@ -18,7 +19,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::sync::{watch, Notify};
 use tokio::task::yield_now;
-use tokio::time::{sleep_until, Instant};
+use tokio::time::Instant;
 
 /// What a client's actor does about bytes that arrive while requests are open.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -66,14 +67,6 @@
     }
 }
 
-/// Returns at that time; never if there is none. A timer is set only once this is polled.
-async fn reached(time: Option<Instant>) {
-    match time {
-        Some(time) => sleep_until(time).await,
-        None => pending().await,
-    }
-}
-
 /// Returns once this is notified; never if there is none.
 pub(super) async fn notified(notify: Option<&Notify>) {
     match notify {
@@ -107,10 +100,10 @@
                 read => self.handle_read(read).await?,
             },
             () = cancelled(cancellation.as_ref()) => self.cancel_first_request().await,
-            () = reached(paused_until), if paused_until.is_some() => self.state.paused_until = None,
-            () = reached(message_deadline), if message_deadline.is_some() => self.fail_partial_message(),
+            () = sleep_until_some(paused_until), if paused_until.is_some() => self.state.paused_until = None,
+            () = sleep_until_some(message_deadline), if message_deadline.is_some() => self.fail_partial_message(),
             // What may be read depends on the drain.
-            () = reached(reevaluate_at), if reevaluate_at.is_some() => {}
+            () = sleep_until_some(reevaluate_at), if reevaluate_at.is_some() => {}
             () = drains.changed() => {}
         }
         Ok(())
@@ -132,11 +125,11 @@
         tokio::select! {
             biased;
             read = socket.read_buf(read_buffer) => self.handle_read(read).await?,
-            () = reached(statement_deadline), if statement_deadline.is_some() => {
+            () = sleep_until_some(statement_deadline), if statement_deadline.is_some() => {
                 self.handle_statement_deadline().await?;
             }
             () = notified(signals.first_request_eviction.as_deref()) => return Err(self.evict()),
-            () = reached(close_idle_at), if close_idle_at.is_some() => {
+            () = sleep_until_some(close_idle_at), if close_idle_at.is_some() => {
                 // The time of a message that has begun is over, however much of it still arrives.
                 if has_partial || !has_unread_bytes(&self.socket) {
                     return Err(ConnectionEnd::Closed(CloseReason::Drained));
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -136,7 +136,7 @@
     }
 
     fn finish(self, host: HostId, ending: Ending) -> Finished {
-        let latency = TimeDelta(self.attempt.sent_at.elapsed().as_micros() as i64);
+        let latency = TimeDelta::from(self.attempt.sent_at.elapsed());
         let Self { attempt, mut connection, exchange, slot, .. } = self;
         let (written_at, position, role) = (exchange.written_at, exchange.position, exchange.role);
         let large_row = match (exchange.large_row_bytes, slot, ending) {
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -6,6 +6,7 @@
 use super::tds::Tds;
 use super::HostAddress;
 use crate::interface::Outcome;
+use crate::net::clock::sleep_until_some;
 use crate::net::local_faults;
 use crate::net::socket::{peek, Socket};
 use crate::protocol::Protocol;
@@ -14,7 +15,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::OwnedSemaphorePermit;
-use tokio::time::{sleep_until, timeout_at, Instant};
+use tokio::time::{timeout_at, Instant};
 
 /// A buffer that has grown beyond this many bytes is released after its answer.
 const MAX_RETAINED_BUFFER_BYTES: usize = 4 * 1024;
@@ -179,13 +180,6 @@
     }
 }
 
-async fn sleep_until_some(at: Option<Instant>) {
-    match at {
-        Some(at) => sleep_until(at).await,
-        None => std::future::pending().await,
-    }
-}
-
 fn connect_outcome(error: &io::Error) -> Outcome {
     if local_faults::is_local_fault(error) {
         Outcome::NotSent
--- a/src/net/upstream/health_check.rs
+++ b/src/net/upstream/health_check.rs
@@ -22,7 +22,7 @@
         Err(_) => (Outcome::Timeout, ConnectionStatus::Unusable),
     };
     let report = exchange.load_report().filter(|_| outcome == Outcome::Ok);
-    let latency = TimeDelta(sent_at.elapsed().as_micros() as i64);
+    let latency = TimeDelta::from(sent_at.elapsed());
     Finished {
         connection: connection.filter(|_| status == ConnectionStatus::Reusable),
         event: CoreEvent::HealthChecked(HealthCheckResult { host, outcome, latency, report }),
--- a/src/net/upstream/host_actor.rs
+++ b/src/net/upstream/host_actor.rs
@@ -64,7 +64,7 @@
 impl PendingWork {
     /// Returns the end of a task that panicked. An attempt may have run.
     fn into_failed(self, host: HostId) -> Finished {
-        let since = |sent_at: Instant| TimeDelta(sent_at.elapsed().as_micros() as i64);
+        let since = |sent_at: Instant| TimeDelta::from(sent_at.elapsed());
         let event = match self {
             Self::Attempt { id, attempt, sent_at } => CoreEvent::AttemptEnded(Box::new(AttemptEnd {
                 id,
