--- a/crates/decisions/src/load/circuit_breaker.rs
+++ b/crates/decisions/src/load/circuit_breaker.rs
@@ -49,7 +49,7 @@
 
     /// Records that an attempt starts. A failing host gets one at a time, so its breaker is open for `span`
     /// anew.
-    pub fn probe_started(&mut self, now: Timestamp, span: TimeDelta) {
+    pub fn record_attempt(&mut self, now: Timestamp, span: TimeDelta) {
         if self.is_failing() {
             self.open_until = now + span;
         }
--- a/crates/decisions/src/load/circuit_breaker/tests.rs
+++ b/crates/decisions/src/load/circuit_breaker/tests.rs
@@ -39,9 +39,9 @@
 #[test]
 fn an_attempt_opens_the_breaker_anew_only_at_a_host_that_has_failed() {
     let mut breaker = failed(1);
-    breaker.probe_started(Timestamp(400), BASE);
+    breaker.record_attempt(Timestamp(400), BASE);
     assert!(breaker.is_open(Timestamp(699)));
     let mut healthy = CircuitBreaker::default();
-    healthy.probe_started(Timestamp(400), BASE);
+    healthy.record_attempt(Timestamp(400), BASE);
     assert!(!healthy.is_open(Timestamp(401)));
 }
--- a/crates/decisions/src/routing/dispatch.rs
+++ b/crates/decisions/src/routing/dispatch.rs
@@ -98,7 +98,7 @@
         host.attempt_forwarded(self.now, request.deadline);
         // A read that asks an unheard host for its role does not rely on it.
         let relies_on_role = !hosts_check_reads && freshness::relies_on_role(host, requirement, self.now);
-        host.circuit_breaker.probe_started(self.now, outlier::BASE_EJECTION);
+        host.circuit_breaker.record_attempt(self.now, outlier::BASE_EJECTION);
         let (class, group) = (request.class, request.group);
         let is_write = self.settings.classes[class].freshness == Freshness::Write;
         let is_tracked = self.settings.write_positions_tracked && is_write;
