--- a/crates/decisions/src/state/host_clock.rs
+++ b/crates/decisions/src/state/host_clock.rs
@@ -215,7 +215,7 @@
     }
 
     /// Returns whether several samples of a host were ahead of the clock, so that its positions prove nothing for now.
-    pub fn distrusts(&self, host: HostId) -> bool {
+    pub fn has_implausible_positions(&self, host: HostId) -> bool {
         let evidence = self.evidence.get(&host);
         evidence.is_some_and(|evidence| {
             evidence.is_ahead_of(self.offset.0) && evidence.lower.samples >= MIN_SAMPLES_PER_HOST
--- a/src/net/core/positions.rs
+++ b/src/net/core/positions.rs
@@ -40,7 +40,8 @@
         let Some(position) = report.position else { return report };
         let sample = Sample { position, role: report.role, sent: None, received: self.clock.now() };
         self.observe_host_clock(host, sample);
-        let position = self.applied_position(position).filter(|_| !self.host_clock.distrusts(host));
+        let position =
+            self.applied_position(position).filter(|_| !self.host_clock.has_implausible_positions(host));
         LoadReport { position, ..report }
     }
 
