--- a/crates/decisions/src/interface/settings.rs
+++ b/crates/decisions/src/interface/settings.rs
@@ -20,7 +20,7 @@
 impl Idempotency {
     /// Returns whether a repeat does no harm whichever host gets it. A client may then be told to retry a request that may
     /// have been executed.
-    pub fn is_harmless_to_repeat_anywhere(self) -> bool {
+    pub fn is_safe_to_retry_on_any_host(self) -> bool {
         matches!(self, Self::Idempotent | Self::WithKey(KeyScope::All))
     }
 }
--- a/crates/decisions/src/routing/queue.rs
+++ b/crates/decisions/src/routing/queue.rs
@@ -87,7 +87,7 @@
 
 /// Returns how a request that is given up ends.
 pub(super) fn ending(class: &RequestClass, request: &PendingRequest) -> Ending {
-    match class.idempotency.is_harmless_to_repeat_anywhere() || request.possible_execution.is_none() {
+    match class.idempotency.is_safe_to_retry_on_any_host() || request.possible_execution.is_none() {
         true => Ending::Reject,
         false => Ending::Fail,
     }
--- a/src/net/core/requests.rs
+++ b/src/net/core/requests.rs
@@ -190,7 +190,7 @@
     fn client_may_retry(&self, request: &InFlightRequest) -> bool {
         let class = self.config.settings.classes.get(request.class);
         request.attempt_hosts.is_empty()
-            || class.is_some_and(|class| class.idempotency.is_harmless_to_repeat_anywhere())
+            || class.is_some_and(|class| class.idempotency.is_safe_to_retry_on_any_host())
     }
 
     /// Returns the longest Retry-After of the settings; none where the settings allow none.
