--- a/crates/decisions/src/membership/member/admission.rs
+++ b/crates/decisions/src/membership/member/admission.rs
@@ -78,7 +78,7 @@
         let durable =
             DurableState { view: Some(view).filter(|view| view.epoch > 0), ..DurableState::default() };
         self.consensus =
-            Consensus::new(self.me.clone(), self.config.terms, &self.config.seeds, durable.clone(), now);
+            Consensus::new(self.me.clone(), self.config.terms, &self.config.founders, durable.clone(), now);
         self.failure_detector =
             FailureDetector::new(self.me.clone(), self.config.failure_detector, self.random_seed, now);
         out.push(Output::IncarnationChanged(self.me.clone()));
@@ -150,7 +150,7 @@
             }
         }
         // All voters of the view known here may have been replaced: the seeds are asked for the latest as well.
-        for name in self.config.seeds.iter().filter(|name| **name != self.me.name && epoch > 0) {
+        for name in self.config.founders.iter().filter(|name| **name != self.me.name && epoch > 0) {
             let seed = Identity { name: Name::clone(name), incarnation: 0 };
             out.push(Output::Send(seed, view_request.clone()));
         }
--- a/crates/decisions/src/membership/member/message.rs
+++ b/crates/decisions/src/membership/member/message.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetConfig {
     /// The names of the members that found the fleet, all of them together.
-    pub seeds: Vec<Name>,
+    pub founders: Vec<Name>,
     /// Terms of the leases.
     pub terms: LeaseTerms,
     /// Intervals and timeouts of the failure detector.
--- a/crates/decisions/src/membership/member/mod.rs
+++ b/crates/decisions/src/membership/member/mod.rs
@@ -63,7 +63,7 @@
         random_seed: u64,
         now: Timestamp,
     ) -> Self {
-        let consensus = Consensus::new(me.clone(), config.terms, &config.seeds, durable, now);
+        let consensus = Consensus::new(me.clone(), config.terms, &config.founders, durable, now);
         let failure_detector = FailureDetector::new(me.clone(), config.failure_detector, random_seed, now);
         let join = JoinProgress::new(Timestamp(now.0 + config.terms.ballot_timeout_us));
         Self {
--- a/crates/testbench/src/members.rs
+++ b/crates/testbench/src/members.rs
@@ -172,7 +172,7 @@
         self.boots += 1;
         let name = self.names[n].clone();
         let rules = FleetConfig {
-            seeds: self.seeds.clone(),
+            founders: self.seeds.clone(),
             terms: LeaseTerms::default(),
             failure_detector: FailureDetectorConfig::default(),
         };
--- a/fuzz/fuzz_targets/peers.rs
+++ b/fuzz/fuzz_targets/peers.rs
@@ -23,7 +23,7 @@
         }
     }
     let config = FleetConfig {
-        seeds: vec!["a".into(), "b".into(), "c".into()],
+        founders: vec!["a".into(), "b".into(), "c".into()],
         terms: LeaseTerms::default(),
         failure_detector: FailureDetectorConfig::default(),
     };
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -112,7 +112,7 @@
         // will do: if the view has a higher one, the process continues as the incarnation after that.
         let me = Identity::new(&start.name, 1 + (random_number()? >> 32));
         let config = FleetConfig {
-            seeds: peers.founders.keys().cloned().collect(),
+            founders: peers.founders.keys().cloned().collect(),
             terms: LeaseTerms::default(),
             failure_detector: FailureDetectorConfig::default(),
         };
