--- a/src/counters/mod.rs
+++ b/src/counters/mod.rs
@@ -208,7 +208,7 @@
             let _ = writeln!(lines, "gw.turned.{reason}={}", load(counter));
         }
         if let Some(peers) = self.peers.get() {
-            peers.figures(&mut lines);
+            peers.write_metrics(&mut lines);
         }
         lines
     }
--- a/src/peer_metrics.rs
+++ b/src/peer_metrics.rs
@@ -56,7 +56,7 @@
     }
 
     /// The figures, `gw.fleet.NAME=VALUE` a line.
-    pub fn figures(&self, out: &mut String) {
+    pub fn write_metrics(&self, out: &mut String) {
         let get = |counter: &AtomicU64| counter.load(Relaxed);
         let mut line = |name: &str, value: u64| _ = writeln!(out, "gw.fleet.{name}={value}");
         line("epoch", get(&self.epoch));
