--- a/src/net/core/requests.rs
+++ b/src/net/core/requests.rs
@@ -54,7 +54,7 @@
             return Err(AdmissionError::Invalid(InvalidRequest::DuplicateId));
         }
         let statement_bytes = request.statement.text.len();
-        self.memory.request(request.class, request.tenant, statement_bytes).map_err(|error| {
+        self.memory.reserve_request(request.class, request.tenant, statement_bytes).map_err(|error| {
             self.requests.release_name(&request.name);
             AdmissionError::OutOfMemory(error)
         })
--- a/src/net/frontend/admission.rs
+++ b/src/net/frontend/admission.rs
@@ -176,8 +176,10 @@
         if self.slots.taken() >= self.context.max_clients + OVERFLOW {
             return Err(RejectionReason::NoConnectionSlot);
         }
-        let connection = self.context.memory.connection().map_err(|_| RejectionReason::MemoryExceeded)?;
-        let buffers = self.context.memory.client_buffers().map_err(|_| RejectionReason::MemoryExceeded)?;
+        let connection =
+            self.context.memory.reserve_connection().map_err(|_| RejectionReason::MemoryExceeded)?;
+        let buffers =
+            self.context.memory.reserve_client_buffers().map_err(|_| RejectionReason::MemoryExceeded)?;
         Ok((connection, buffers))
     }
 }
--- a/src/net/frontend/client/dispatch.rs
+++ b/src/net/frontend/client/dispatch.rs
@@ -61,7 +61,7 @@
         let StartedRequest { id, is_behind_others, effective_deadline, request: pending } = started;
         let PendingRequest { mut request, arrived_at } = pending;
         if is_behind_others {
-            match self.context.memory.pending_answer(request.class, request.tenant) {
+            match self.context.memory.reserve_pending_answer(request.class, request.tenant) {
                 Ok(reservation) => self.answer_reservations.insert(id, reservation),
                 Err(_) => {
                     self.pipeline.requeue(id, PendingRequest { request, arrived_at });
--- a/src/net/memory.rs
+++ b/src/net/memory.rs
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// When the budget has none left.
-    pub fn connection(&self) -> Result<Reservation, BudgetExceeded> {
+    pub fn reserve_connection(&self) -> Result<Reservation, BudgetExceeded> {
         self.reserve(Purpose::Connections, SOLE_ACCOUNT, CONNECTION_BYTES)
     }
 
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// Never: zero bytes always fit.
-    pub fn client_buffers(&self) -> Result<Reservation, BudgetExceeded> {
+    pub fn reserve_client_buffers(&self) -> Result<Reservation, BudgetExceeded> {
         self.reserve(Purpose::ClientBuffers, self.unidentified_clients(), 0)
     }
 
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     /// When the budget has too little left.
-    pub fn request(
+    pub fn reserve_request(
         &self,
         class: usize,
         tenant: usize,
@@ -121,13 +121,13 @@
     ///
     /// # Errors
     /// When the budget has too little left.
-    pub fn pending_answer(&self, class: usize, tenant: usize) -> Result<Reservation, BudgetExceeded> {
+    pub fn reserve_pending_answer(&self, class: usize, tenant: usize) -> Result<Reservation, BudgetExceeded> {
         let bytes = pgwire::MOST_ANSWER as u64;
         self.reserve(Purpose::UpstreamBuffers, self.account(class, tenant), bytes)
     }
 
     /// Returns how many bytes all large answers together may take: half of what is planned for buffers of hosts.
-    pub fn large_answers_bytes(&self) -> u64 {
+    pub fn max_large_answers_bytes(&self) -> u64 {
         self.plan.limits[Purpose::UpstreamBuffers as usize].cap / 2
     }
 
@@ -136,7 +136,7 @@
     ///
     /// # Errors
     /// When the budget has too little left.
-    pub fn large_answer(&self, bytes: usize) -> Result<Reservation, BudgetExceeded> {
+    pub fn reserve_large_answer(&self, bytes: usize) -> Result<Reservation, BudgetExceeded> {
         self.reserve(Purpose::UpstreamBuffers, self.unidentified_clients(), bytes as u64)
     }
 
--- a/src/net/upstream/large.rs
+++ b/src/net/upstream/large.rs
@@ -32,7 +32,7 @@
 impl LargeAnswers {
     /// Provides as many slots as the memory planned for large answers allows, at least one.
     pub fn new(memory: Memory) -> Self {
-        let bytes = usize::try_from(memory.large_answers_bytes()).unwrap_or(usize::MAX);
+        let bytes = usize::try_from(memory.max_large_answers_bytes()).unwrap_or(usize::MAX);
         let slots = (bytes / MAX_BUFFERED_BYTES).clamp(1, Semaphore::MAX_PERMITS);
         Self { memory, slots: Arc::new(Semaphore::new(slots)) }
     }
@@ -40,7 +40,7 @@
     /// Waits for a slot, first come first served. Returns none where memory is used up otherwise.
     pub(super) async fn acquire(&self) -> Option<Slot> {
         let permit = Arc::clone(&self.slots).acquire_owned().await.ok()?;
-        let memory_reservation = self.memory.large_answer(MAX_BUFFERED_BYTES).ok()?;
+        let memory_reservation = self.memory.reserve_large_answer(MAX_BUFFERED_BYTES).ok()?;
         Some(Slot { _permit: permit, _memory_reservation: memory_reservation })
     }
 }
