--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -21,7 +21,7 @@
     for (protocol, address) in proxy.addresses()? {
         tracing::info!(name, %address, %protocol, "listener for clients bound");
     }
-    if let Some(address) = proxy.console()? {
+    if let Some(address) = proxy.console_address()? {
         tracing::info!(name, %address, "console listener bound");
     }
     proxy.serve(control).await
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     /// When the system cannot tell the address.
-    pub fn console(&self) -> io::Result<Option<SocketAddr>> {
+    pub fn console_address(&self) -> io::Result<Option<SocketAddr>> {
         self.console.as_ref().map(TcpListener::local_addr).transpose()
     }
 
