--- a/src/net/core/requests.rs
+++ b/src/net/core/requests.rs
@@ -50,12 +50,12 @@
         if !self.hosts.has_group(request.group) {
             return Err(AdmissionError::Invalid(InvalidRequest::UnknownGroup(request.group)));
         }
-        if !self.requests.reserve_name(&request.name) {
+        if !self.requests.reserve_name(&request.client_request_id) {
             return Err(AdmissionError::Invalid(InvalidRequest::DuplicateId));
         }
         let statement_bytes = request.statement.text.len();
         self.memory.reserve_request(request.class, request.tenant, statement_bytes).map_err(|error| {
-            self.requests.release_name(&request.name);
+            self.requests.release_name(&request.client_request_id);
             AdmissionError::OutOfMemory(error)
         })
     }
@@ -85,7 +85,15 @@
         let deadline = request_deadline(arrived_at, request.timeout);
         let final_reply_at = final_reply_at(arrived_at, reply_due.min(arrived_at + request.timeout));
         let Request {
-            class, tenant, group, session, is_client_retry, last_write_at, name, statement, ..
+            class,
+            tenant,
+            group,
+            session,
+            is_client_retry,
+            last_write_at,
+            client_request_id: name,
+            statement,
+            ..
         } = request;
         let router_request = interface::Request {
             id,
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -46,7 +46,7 @@
         is_client_retry: comment.again,
         last_write_at,
         timeout: timeout.map_or(MAX_TIMEOUT, |timeout| timeout.min(MAX_TIMEOUT)),
-        name: comment.id,
+        client_request_id: comment.id,
         statement: Statement { timeout_range: comment.wait_at, value_range: value_at, text },
     })
 }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -87,8 +87,8 @@
     pub last_write_at: Option<Timestamp>,
     /// How long the client waits.
     pub timeout: Duration,
-    /// The client's name for it, unique among the requests in flight.
-    pub name: String,
+    /// The id that the client gave it, unique among the requests in flight.
+    pub client_request_id: String,
     /// What is forwarded to the host.
     pub statement: Statement,
 }
