--- a/src/config/descriptors.rs
+++ b/src/config/descriptors.rs
@@ -16,7 +16,7 @@
 /// Calls to discovery, and the watch before them that is about to close.
 const DISCOVERY: usize = DiscoveryRetry::MAX_CONCURRENT_CALLS + 1;
 /// Client connections above their limit that are answered instead of being closed unread.
-pub const OVERFLOW: usize = 8;
+pub const MAX_OVERFLOW_CONNECTIONS: usize = 8;
 /// A descriptor that was inherited from the parent process.
 const INHERITED: usize = 1;
 /// Descriptors that neither serve a client within its limit nor a host.
@@ -25,7 +25,7 @@
     + LISTENERS
     + TRANSIENT
     + DISCOVERY
-    + OVERFLOW
+    + MAX_OVERFLOW_CONNECTIONS
     + MIN_CONSOLE_CALLERS
     + INHERITED;
 
@@ -58,7 +58,7 @@
 /// Largest number of connections of each kind at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// Client connections, without the [`OVERFLOW`].
+    /// Client connections, without the [`MAX_OVERFLOW_CONNECTIONS`].
     pub clients: usize,
     /// Connections to hosts.
     pub upstream: usize,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -11,7 +11,7 @@
 mod read;
 mod reload;
 
-pub use descriptors::{ConnectionLimits, OVERFLOW};
+pub use descriptors::{ConnectionLimits, MAX_OVERFLOW_CONNECTIONS};
 pub use error::ConfigError;
 pub use names::{ClassName, Names, TenantName};
 pub use operator::{HostProtocols, Listener, MemorySettings, Operator, OperatorError, Peers};
--- a/src/net/frontend/admission.rs
+++ b/src/net/frontend/admission.rs
@@ -1,13 +1,13 @@
 //! Which connections are admitted: client connection slots, eviction of clients that have not sent a request, and the
 //! signal that slots run short.
 //!
-//! Up to [`OVERFLOW`] connections beyond the slots are admitted so that their requests can be rejected with a reason; the
-//! actors of these reject every request while all slots are taken.
+//! Up to [`MAX_OVERFLOW_CONNECTIONS`] connections beyond the slots are admitted so that their requests can be
+//! rejected with a reason; the actors of these reject every request while all slots are taken.
 
 use super::client::AdmittedConnection;
 use super::context::ClientContext;
 use crate::budget::Reservation;
-use crate::config::OVERFLOW;
+use crate::config::MAX_OVERFLOW_CONNECTIONS;
 use crate::protocol::Protocol;
 use crate::rejection_reason::RejectionReason;
 use std::collections::VecDeque;
@@ -173,7 +173,7 @@
     /// # Errors
     /// When too many connections are open, or the memory budget has none left.
     fn reserve(&self) -> Result<(Reservation, Reservation), RejectionReason> {
-        if self.slots.taken() >= self.context.max_clients + OVERFLOW {
+        if self.slots.taken() >= self.context.max_clients + MAX_OVERFLOW_CONNECTIONS {
             return Err(RejectionReason::NoConnectionSlot);
         }
         let connection = self.context.memory.connection().map_err(|_| RejectionReason::MemoryExceeded)?;
--- a/tests/sockets/descriptors.rs
+++ b/tests/sockets/descriptors.rs
@@ -3,7 +3,7 @@
 
 use crate::scenario::{play_limited, settings, settings_with};
 use rstest::rstest;
-use wheelpier::config::{Config, Listener, Operator, OVERFLOW};
+use wheelpier::config::{Config, Listener, Operator, MAX_OVERFLOW_CONNECTIONS};
 use wheelpier::protocol::Protocol;
 
 /// Discovery is silent and its calls hang, idle clients and the console's callers fill what they may, all connections to
@@ -78,7 +78,7 @@
     let limits = config.with_operator(operator).unwrap().limits;
     let listeners = 2 + more_listeners + if peers { 2 } else { 0 };
     let held = limits.clients
-        + OVERFLOW
+        + MAX_OVERFLOW_CONNECTIONS
         + limits.upstream
         + limits.console_callers
         + 2 * limits.peer_streams
