--- a/src/net/frontend/tds/mod.rs
+++ b/src/net/frontend/tds/mod.rs
@@ -64,7 +64,7 @@
     /// Returns a session before its startup.
     pub fn new() -> Self {
         let open = OpenRequest { is_call: false, acknowledges_reset: false, test_value: None };
-        let assembler = Assembler::new(Protocol::Tds.longest_statement());
+        let assembler = Assembler::new(Protocol::Tds.max_statement_bytes());
         Self { assembler, stage: Stage::Prelogin, packet_size: PACKET_SIZE, open }
     }
 
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -19,7 +19,7 @@
 
 impl Protocol {
     /// Returns the largest size of a statement that is accepted from a client, in bytes of this protocol.
-    pub fn longest_statement(self) -> usize {
+    pub fn max_statement_bytes(self) -> usize {
         match self {
             Self::Postgres => wheelpier_pgwire::MOST_STATEMENT,
             // TDS encodes text as UTF-16.
