--- a/crates/testbench/src/rig.rs
+++ b/crates/testbench/src/rig.rs
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 use tokio::sync::{mpsc, oneshot};
 use wheelpier::budget::Budget;
-use wheelpier::config::{Config, Operator};
+use wheelpier::config::{Config, OperatorSettings};
 use wheelpier::counters::Counters;
 use wheelpier::net::{Control, Proxy};
 use wheelpier::protocol::Protocol;
@@ -61,7 +61,7 @@
             "seed": format!("{seed:x}"), "known": installation.known, "settings": spec.settings(rate),
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
         });
-        let operator = Operator::read(&operator(spec.kind), "the lab's own")?;
+        let operator = OperatorSettings::read(&operator(spec.kind), "the lab's own")?;
         let config = Config::read(&config.to_string(), |_| None)?.with_operator(operator)?;
         let proxy = ProxyThread::start(config).await?;
         Ok(Self { clock, installation, proxy })
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -6,7 +6,7 @@
 mod log_writer;
 mod serve;
 
-use crate::config::{Config, ConfigError, Operator, OperatorError};
+use crate::config::{Config, ConfigError, OperatorError, OperatorSettings};
 use clap::{Parser, Subcommand, ValueEnum};
 use event_loop::EventLoopMonitor;
 use fleet::FleetCommand;
@@ -118,7 +118,8 @@
         let can_act = runtime()?.block_on(fleet::status(status))?;
         return Ok(if can_act { ExitCode::SUCCESS } else { ExitCode::from(EXIT_CANNOT_ACT) });
     }
-    let operator = arguments.operator.as_deref().map(Operator::from_file).transpose()?.unwrap_or_default();
+    let operator =
+        arguments.operator.as_deref().map(OperatorSettings::from_file).transpose()?.unwrap_or_default();
     let config = Config::from_env(operator)?;
     match arguments.command.unwrap_or(Command::Serve) {
         Command::Check => check::print(&config),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -14,7 +14,7 @@
 pub use descriptors::{ConnectionLimits, MAX_OVERFLOW_CONNECTIONS};
 pub use error::ConfigError;
 pub use names::{ClassName, Names, TenantName};
-pub use operator::{HostProtocols, Listener, MemorySettings, Operator, OperatorError, Peers};
+pub use operator::{HostProtocols, Listener, MemorySettings, OperatorError, OperatorSettings, Peers};
 
 use crate::budget::plan::{Plan, PlanInputs};
 use crate::budget::Purpose;
@@ -48,7 +48,7 @@
     /// Where clients connect with PostgreSQL's protocol.
     pub listen: SocketAddr,
     /// What the operator's file adds.
-    pub operator: Operator,
+    pub operator: OperatorSettings,
     /// The address of discovery.
     pub discovery: SocketAddr,
     /// Where the operators' console listens (`$GW_CONSOLE`, else the key `console`); `None` switches it off.
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// Returns the first key that is missing or has an invalid value.
-    pub fn from_env(operator: Operator) -> Result<Self, ConfigError> {
+    pub fn from_env(operator: OperatorSettings) -> Result<Self, ConfigError> {
         let variable = |name: &'static str| Some((name, std::env::var(name).ok()?));
         let env: HashMap<&str, String> = VARIABLES.into_iter().filter_map(variable).collect();
         let path = env.get("GW_CONFIG").ok_or_else(|| ConfigError::new("GW_CONFIG", "is not set"))?;
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     /// Returns an error if that does not fit the rest.
-    pub fn with_operator(mut self, operator: Operator) -> Result<Self, ConfigError> {
+    pub fn with_operator(mut self, operator: OperatorSettings) -> Result<Self, ConfigError> {
         self.limits = self.limits_with(&operator)?;
         if operator.peers.is_some() && !self.peers_allowed {
             let problem =
@@ -118,7 +118,7 @@
         Ok(self)
     }
 
-    fn limits_with(&self, operator: &Operator) -> Result<ConnectionLimits, ConfigError> {
+    fn limits_with(&self, operator: &OperatorSettings) -> Result<ConnectionLimits, ConfigError> {
         let further_listeners = operator.listeners.len();
         let limits = ConnectionLimits::divide_with(self.sockets, further_listeners, operator.peers.is_some());
         if limits.clients < MIN_CONNECTIONS {
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -16,7 +16,7 @@
 
 /// What the operator's file sets.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Further listeners for clients.
     pub listeners: Vec<Listener>,
     /// The protocols of the hosts.
@@ -181,7 +181,7 @@
     }
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Reads the file at `path`.
     ///
     /// # Errors
--- a/src/config/read.rs
+++ b/src/config/read.rs
@@ -2,7 +2,7 @@
 
 use super::descriptors::{ConnectionLimits, DEFAULT_SOCKETS, MIN_SOCKETS};
 use super::file::{Customer, File, FileLimits, SettingsNames};
-use super::{ClassName, Config, ConfigError, Names, Operator, TenantName};
+use super::{ClassName, Config, ConfigError, Names, OperatorSettings, TenantName};
 use crate::budget::plan::{ClassWeight, Plan, PlanInputs};
 use crate::endpoint_list::{EndpointList, RawListing};
 use crate::interface::{Freshness, HostState, LagPolicy, Settings};
@@ -61,7 +61,7 @@
             message_memory_bytes,
             plan_inputs,
             plan,
-            operator: Operator::default(),
+            operator: OperatorSettings::default(),
             cached_endpoints,
             settings,
             report_format,
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -2,13 +2,13 @@
 
 use rstest::rstest;
 use std::process::Command;
-use wheelpier::config::Operator;
+use wheelpier::config::OperatorSettings;
 use wheelpier::protocol::Protocol;
 
 #[test]
 fn the_example_is_good() {
     let text = std::fs::read_to_string("deploy/operator/tds.yaml").unwrap();
-    let operator = Operator::read(&text, "tds.yaml").unwrap();
+    let operator = OperatorSettings::read(&text, "tds.yaml").unwrap();
     let listeners: Vec<_> = operator.listeners.iter().map(|l| (l.protocol, l.address.to_string())).collect();
     assert_eq!(listeners, [(Protocol::Tds, "127.0.0.1:1433".to_owned())]);
     assert_eq!(operator.hosts.protocol("m2-tds"), Protocol::Tds);
@@ -18,7 +18,7 @@
 #[test]
 fn the_example_of_a_fleet_is_good_and_check_says_what_it_can_lose() {
     let text = std::fs::read_to_string("deploy/operator/fleet.yaml").unwrap();
-    let peers = Operator::read(&text, "fleet.yaml").unwrap().peers.unwrap();
+    let peers = OperatorSettings::read(&text, "fleet.yaml").unwrap().peers.unwrap();
     assert_eq!((peers.fleet.as_str(), peers.founders.len(), peers.second_key), ("north", 3, None));
 }
 
@@ -55,7 +55,7 @@
 )]
 fn a_fleet_that_makes_no_sense_is_refused(#[case] peers: &str, #[case] key: &str) {
     let text = format!("peers: {}", peers.replace('K', "deploy/operator/fleet.key.example"));
-    let told = Operator::read(&text, "f").unwrap_err().to_string();
+    let told = OperatorSettings::read(&text, "f").unwrap_err().to_string();
     assert!(told.starts_with(&format!("f:1: {key}: ")) && told.lines().count() == 1, "{told}");
 }
 
@@ -64,7 +64,7 @@
 #[case::remarks_only("# nothing\n\n")]
 #[case::of_no_keys("{}")]
 fn what_sets_nothing_is_the_default(#[case] text: &str) {
-    assert_eq!(Operator::read(text, "f").unwrap(), Operator::default());
+    assert_eq!(OperatorSettings::read(text, "f").unwrap(), OperatorSettings::default());
 }
 
 #[rstest]
@@ -105,7 +105,7 @@
 #[case::lacks_a_key("listeners:\n- protocol: postgres", "f:2: file", "missing field `address`")]
 #[case::no_yaml("listeners: [", "f:1: file", "")]
 fn what_makes_no_sense_is_refused(#[case] text: &str, #[case] place: &str, #[case] problem: &str) {
-    let told = Operator::read(text, "f").unwrap_err().to_string();
+    let told = OperatorSettings::read(text, "f").unwrap_err().to_string();
     assert!(told.starts_with(place) && told.contains(problem) && told.lines().count() == 1, "{told}");
 }
 
--- a/tests/sockets/descriptors.rs
+++ b/tests/sockets/descriptors.rs
@@ -3,7 +3,7 @@
 
 use crate::scenario::{play_limited, settings, settings_with};
 use rstest::rstest;
-use wheelpier::config::{Config, Listener, Operator, MAX_OVERFLOW_CONNECTIONS};
+use wheelpier::config::{Config, Listener, OperatorSettings, MAX_OVERFLOW_CONNECTIONS};
 use wheelpier::protocol::Protocol;
 
 /// Discovery is silent and its calls hang, idle clients and the console's callers fill what they may, all connections to
@@ -71,8 +71,11 @@
     let text = format!(r#"{{"limits":{{"sockets":{sockets}}},"settings":{}}}"#, settings());
     let config = Config::read(&text, |_| Some("127.0.0.1:1".to_owned())).unwrap();
     let fleet = std::fs::read_to_string("deploy/operator/fleet.yaml").unwrap();
-    let mut operator =
-        if peers { Operator::read(&fleet, "fleet.yaml").unwrap() } else { Operator::default() };
+    let mut operator = if peers {
+        OperatorSettings::read(&fleet, "fleet.yaml").unwrap()
+    } else {
+        OperatorSettings::default()
+    };
     let listener = Listener { protocol: Protocol::Tds, address: "127.0.0.1:2".parse().unwrap() };
     operator.listeners = vec![listener; more_listeners];
     let limits = config.with_operator(operator).unwrap().limits;
