--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,7 +1,7 @@
 //! `wheelpier check`: prints what the configuration amounts to.
 
 use crate::budget::PURPOSES;
-use crate::config::{ClassName, Config, Names, Peers};
+use crate::config::{ClassName, Config, Names, PeerSettings};
 use crate::membership::MAX_VOTERS;
 use bytesize::ByteSize;
 
@@ -48,7 +48,7 @@
 }
 
 /// Returns the lines about the fleet and the losses that it survives.
-fn fleet_lines(peers: &Peers) -> Vec<String> {
+fn fleet_lines(peers: &PeerSettings) -> Vec<String> {
     let keys = if peers.second_key.is_some() { "two keys, of which the first seals" } else { "one key" };
     let founders: Vec<&str> = peers.founders.keys().map(AsRef::as_ref).collect();
     let voters = founders.len().min(MAX_VOTERS);
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -14,7 +14,7 @@
 pub use descriptors::{ConnectionLimits, MAX_OVERFLOW_CONNECTIONS};
 pub use error::ConfigError;
 pub use names::{ClassName, Names, TenantName};
-pub use operator::{HostProtocols, Listener, MemorySettings, OperatorError, OperatorSettings, Peers};
+pub use operator::{HostProtocols, Listener, MemorySettings, OperatorError, OperatorSettings, PeerSettings};
 
 use crate::budget::plan::{Plan, PlanInputs};
 use crate::budget::Purpose;
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -24,12 +24,12 @@
     /// The division of memory.
     pub memory: MemorySettings,
     /// The fleet that this proxy belongs to; `None` if it has no peers.
-    pub peers: Option<Peers>,
+    pub peers: Option<PeerSettings>,
 }
 
 /// The fleet that a proxy belongs to (`docs/operate/fleet.md`).
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Peers {
+pub struct PeerSettings {
     /// The fleet's name, the same at each member.
     pub fleet: String,
     /// Where this proxy receives datagrams and streams of its peers.
@@ -255,7 +255,7 @@
 /// Most founders of a fleet: all of them have to be present at its foundation.
 const MAX_FOUNDERS: usize = 32;
 
-fn peers(raw: &Spanned<RawPeers>, reader: &ValueReader<'_>) -> Result<Peers, OperatorError> {
+fn peers(raw: &Spanned<RawPeers>, reader: &ValueReader<'_>) -> Result<PeerSettings, OperatorError> {
     let RawPeers { fleet, listen, founders, members, key_files } = &raw.value;
     if fleet.value.is_empty() || fleet.value.len() > MAX_NAME_BYTES {
         let problem = format!("a fleet's name has 1 to {MAX_NAME_BYTES} bytes");
@@ -269,7 +269,7 @@
         return Err(reader.error(founders.referenced, "peers.founders", problem));
     }
     let (key, second_key) = keys(key_files, reader)?;
-    Ok(Peers {
+    Ok(PeerSettings {
         fleet: fleet.value.clone(),
         listen: reader.address(listen, "peers.listen")?,
         founders: founder_addresses,
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -9,7 +9,7 @@
 mod streams;
 
 use super::clock::Clock;
-use crate::config::Peers;
+use crate::config::PeerSettings;
 use crate::membership::consensus::Event;
 use crate::membership::transport::{
     AddressTable, Authenticator, DropReason, OutboundDatagram, Received, Transport, MAX_DATAGRAM_BYTES,
@@ -58,7 +58,7 @@
 /// What the actor is started with.
 pub(crate) struct Start {
     pub name: String,
-    pub peers: Peers,
+    pub peers: PeerSettings,
     /// Bound on the streams that are open at a time, in each direction.
     pub streams: usize,
     pub clock: Clock,
