--- a/crates/decisions/src/interface/action.rs
+++ b/crates/decisions/src/interface/action.rs
@@ -1,10 +1,10 @@
-//! What the router asks its caller to do.
+//! Commands that the router returns to its caller.
 
 use super::freshness::ReadRequirement;
 use super::id::{HostId, RequestId};
 use crate::time::{TimeDelta, Timestamp};
 
-/// A command to the caller, to be executed at the time of the event that it answers.
+/// A command to the caller, to be executed at the time of the event that caused it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Forwards a request to a host: its next attempt.
@@ -13,49 +13,51 @@
         id: RequestId,
         /// The host.
         host: HostId,
-        /// How long to wait for the answer; `None` means until the client's deadline.
+        /// Timeout of the attempt; `None` if only the client's deadline limits it.
         timeout: Option<TimeDelta>,
-        /// What the data behind the answer must meet, where answers are verified.
+        /// Required freshness of the answer's data, where the caller verifies answers.
         requirement: ReadRequirement,
-        /// Until when the request may be written; later nothing proves that its host is recent enough.
+        /// Latest time at which the request may be written: after it, nothing proves that the host's data are
+        /// recent enough. `None` if there is no limit.
         write_by: Option<Timestamp>,
     },
-    /// Ends a request with the promise that nothing was done.
+    /// Ends a request whose client may safely retry it: it was not executed, or repeating it has no further
+    /// effect.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should wait before it retries.
+        /// Time that the client should wait before it retries, if any is given.
         retry_after: Option<TimeDelta>,
     },
-    /// Ends a request without a promise about its effect.
+    /// Ends a request that may have been executed and is not safe to retry.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Stops waiting for an attempt.
+    /// Cancels an attempt; the host may have executed its request.
     CancelAttempt {
         /// The request.
         id: RequestId,
         /// Index of the attempt among those of its request, from 0.
         attempt: u32,
     },
-    /// Stops an attempt unless its request is written completely.
+    /// Withdraws an attempt, unless its request has been written completely.
     WithdrawAttempt {
         /// The request.
         id: RequestId,
         /// Index of the attempt among those of its request, from 0.
         attempt: u32,
     },
-    /// Checks a host; answered by [`Event::HealthChecked`](super::Event::HealthChecked).
+    /// Starts a health check, whose end [`Event::HealthChecked`](super::Event::HealthChecked) reports.
     HealthCheck {
         /// The host.
         host: HostId,
     },
-    /// Asks for an [`Event::Timer`](super::Event::Timer).
+    /// Sets a timer, which fires as [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// When it is due.
+        /// When the timer fires.
         at: Timestamp,
-        /// The number that the event carries.
+        /// Token that the event carries.
         token: u64,
     },
     /// Closes idle connections to a host.
@@ -63,7 +65,7 @@
         /// The host.
         host: HostId,
     },
-    /// Starts (`true`) or ends (`false`) the watch of the endpoint list.
+    /// Starts (`true`) or stops (`false`) watching the endpoint list.
     WatchEndpoints(bool),
     /// Fetches the complete endpoint list once.
     FetchEndpoints,
--- a/crates/decisions/src/interface/endpoint.rs
+++ b/crates/decisions/src/interface/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: what discovery says about hosts.
+//! The endpoint list: the hosts that discovery reports.
 
 use super::id::HostId;
 use crate::time::Timestamp;
@@ -12,12 +12,12 @@
     Replica,
 }
 
-/// What the endpoint list says about a host's process.
+/// State of a host's process according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HostState {
     /// Takes requests.
     Running,
-    /// Finishes the requests it has and must be sent no new one.
+    /// Finishes its requests in flight and must not be sent new ones.
     Draining,
     /// No longer listed.
     #[default]
@@ -29,17 +29,18 @@
 pub struct EndpointEntry {
     /// The host.
     pub host: HostId,
-    /// The replication group that it belongs to.
+    /// The replication group that the host belongs to.
     pub group: u32,
-    /// Index of its zone.
+    /// Index of the host's zone.
     pub zone: u32,
-    /// Its size relative to other hosts, without a unit; 1 where discovery gives no sizes.
+    /// Size relative to other hosts, without a unit; 1 where discovery gives no sizes.
     pub weight: f64,
-    /// Whether the list calls it its group's primary; see [`ListRole`](super::ListRole) on how late that may be.
+    /// Whether the list names the host as primary of its group; [`ListRole`](super::ListRole) says how
+    /// outdated that may be.
     pub listed_as_primary: bool,
-    /// The state of its process.
+    /// State of the host's process.
     pub state: HostState,
-    /// When it last started; `None` if that is long ago.
+    /// Last start of the host's process; `None` if it is long ago.
     pub started_at: Option<Timestamp>,
 }
 
@@ -50,14 +51,14 @@
     }
 }
 
-/// What the entries of a watch event stand for.
+/// Meaning of the entries of a watch event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
     /// The entries that changed since the last update.
     Delta,
-    /// The complete list; a host that it lacks is removed.
+    /// The complete list; hosts that are not in it are removed.
     Snapshot,
-    /// The complete list as it was last cached; it may be outdated.
+    /// The complete list from the cache, which may be outdated.
     Cached,
     /// No entries: the call to discovery failed, or the watch broke.
     Unavailable,
--- a/crates/decisions/src/interface/event.rs
+++ b/crates/decisions/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! What the router is told.
+//! Events that the router handles.
 
 use super::endpoint::{EndpointEntry, EndpointUpdate, Role};
 use super::freshness::LogPosition;
@@ -6,10 +6,10 @@
 use super::outcome::Outcome;
 use crate::time::TimeDelta;
 
-/// A client's request that has arrived.
+/// A client's request on its arrival.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its number.
+    /// Identifier of the request.
     pub id: RequestId,
     /// Index of its class in [`Settings::classes`](super::Settings::classes).
     pub class: usize,
@@ -17,14 +17,14 @@
     pub group: u32,
     /// Index of its tenant in [`Settings::tenant_quotas`](super::Settings::tenant_quotas).
     pub tenant: usize,
-    /// Time between the commit of the session's last write and the arrival of the request; `None` if the client
-    /// gives none.
+    /// Time between the commit of the session's last write and the arrival of the request; `None` if the
+    /// client gives none.
     pub time_since_write: Option<TimeDelta>,
     /// Whether the client marked it as a retry of its own.
     pub is_client_retry: bool,
-    /// How long the client waits for the answer, from the arrival on.
+    /// Time from the arrival until the client stops waiting for the answer.
     pub timeout: TimeDelta,
-    /// Its session, if its class has sessions.
+    /// The client's session, if the class has sessions.
     pub session: Option<SessionId>,
 }
 
@@ -45,12 +45,12 @@
     }
 }
 
-/// What a host reports about itself; it may be some time old.
+/// A host's report about itself, possibly some time old.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// The position that it had applied, if reported.
+    /// Log position that the host had applied, if reported.
     pub position: Option<LogPosition>,
-    /// Its role, if reported.
+    /// Role of the host, if reported.
     pub role: Option<Role>,
 }
 
@@ -61,30 +61,30 @@
     pub id: RequestId,
     /// Index of the attempt among those of its request, from 0.
     pub attempt: u32,
-    /// The host that it was sent to.
+    /// The host that the attempt was sent to.
     pub host: HostId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
     /// Time from the send to the end.
     pub latency: TimeDelta,
-    /// Whether the request has ended, with this attempt or before.
+    /// Whether the request has ended, with this attempt or earlier.
     pub request_closed: bool,
-    /// The applied position that the answer carries; for a write, the position of its commit.
+    /// Applied position that the answer carries; for a write, the position of its commit.
     pub position: Option<LogPosition>,
     /// The host's role, if the answer carries it.
     pub role: Option<Role>,
-    /// Whether the query was written, and the part of its answer that tells the role did not arrive.
+    /// Whether the query was written, but the part of the answer that carries the host's role did not arrive.
     pub answer_lost: bool,
     /// The load report that came with the answer.
     pub report: Option<LoadReport>,
 }
 
-/// Something that happened; given to the router with the time at which it did.
+/// An event, passed to the router together with the time at which it happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A watch event of the endpoint list, with its entries.
     EndpointList(EndpointUpdate, Vec<EndpointEntry>),
-    /// A client's request arrived; one final answer is due from now on.
+    /// A client's request arrived; the router owes it exactly one final reply.
     RequestArrived(Request),
     /// An attempt ended.
     AttemptEnded(AttemptResult),
@@ -99,22 +99,23 @@
         /// The load report that came with the answer.
         report: Option<LoadReport>,
     },
-    /// The client of a request disconnected; no answer is due any more.
+    /// The client of a request disconnected; the request needs no final reply any more.
     ClientDisconnected(RequestId),
-    /// The answer of a streamed request began: neither its timeout nor its deadline holds any more.
+    /// The answer to a streamed request started; the attempt's timeout and the request's deadline no longer
+    /// apply.
     ResponseStarted {
         /// The request.
         id: RequestId,
         /// Index of the attempt among those of its request, from 0.
         attempt: u32,
     },
-    /// A timer fired that [`Action::SetTimer`](super::Action::SetTimer) had set with this token.
+    /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) with this token fired.
     Timer(u64),
     /// A message from another router arrived.
     PeerMessage {
         /// Index of the sender.
         from: u32,
-        /// Its bytes.
+        /// The encoded message.
         data: Vec<u8>,
     },
 }
--- a/crates/decisions/src/interface/freshness.rs
+++ b/crates/decisions/src/interface/freshness.rs
@@ -1,4 +1,4 @@
-//! Positions in the replication log, and how recent the data behind an answer has to be.
+//! Positions in the replication log, and the required freshness of answers.
 
 use crate::time::{TimeDelta, Timestamp};
 
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LogPosition(pub i64);
 
-/// How recent the data behind the answers of a request class has to be.
+/// Required freshness of the answers of a request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
     /// A write: only the primary accepts it.
@@ -28,21 +28,21 @@
     }
 }
 
-/// How recent the data behind the answer of one request has to be.
+/// Required freshness of the answer to one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReadRequirement {
     /// Data of any age.
     #[default]
     Any,
-    /// All commits up to that position.
+    /// Data with all commits up to this position.
     AtLeast(LogPosition),
-    /// All commits up to so long before the last byte of the request was written.
+    /// Data no older than this when the last byte of the request was written.
     MaxStaleness(TimeDelta),
 }
 
 impl ReadRequirement {
-    /// Returns what a class requires of a request whose session wrote last at `session_position`;
-    /// `i64::MIN` stands for a session without writes.
+    /// Returns the requirement for a request of a class with this freshness, whose session last wrote at
+    /// `session_position`; `i64::MIN` stands for a session without writes.
     pub fn for_class(freshness: Freshness, session_position: LogPosition) -> Self {
         match freshness {
             Freshness::Bounded(bound) => Self::MaxStaleness(bound),
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Returns the position that a host must have applied for a request written at `written`: the lowest of all
-    /// where data of any age will do.
+    /// Returns the lowest position that a host must have applied to serve a request written at `written`;
+    /// `i64::MIN` if data of any age will do.
     pub fn required_position(self, written: Timestamp) -> LogPosition {
         match self {
             Self::Any => LogPosition(i64::MIN),
@@ -61,14 +61,14 @@
         }
     }
 
-    /// Returns whether an answer that carries the position `answered` is recent enough for a request written at
-    /// `written`. An answer without a position is so only where data of any age will do.
+    /// Returns whether an answer that carries the position `answered` is recent enough for a request written
+    /// at `written`. An answer without a position meets only [`Self::Any`].
     pub fn is_met_by(self, answered: Option<LogPosition>, written: Timestamp) -> bool {
         self == Self::Any || answered.is_some_and(|answered| answered >= self.required_position(written))
     }
 
-    /// Returns until when a request may be written to a host that is known to have applied the position `applied`;
-    /// `None` where no time limit follows.
+    /// Returns the latest time at which a request may be written to a host known to have applied the position
+    /// `applied`; `None` if there is no limit.
     pub fn latest_write(self, applied: LogPosition) -> Option<Timestamp> {
         match self {
             Self::MaxStaleness(bound) => Some(Timestamp(applied.0.saturating_add(bound.0))),
--- a/crates/decisions/src/interface/id.rs
+++ b/crates/decisions/src/interface/id.rs
@@ -1,20 +1,20 @@
 //! Identifiers of hosts, requests and client sessions.
 
-/// A database host, numbered by the caller; the number of one host never changes.
+/// Identifier of a database host, assigned by the caller; it never changes for one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostId(pub u32);
 
-/// A request, numbered by the caller; numbers are not reused.
+/// Identifier of a request, assigned by the caller and never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A client session, as a hash of its key.
+/// Identifier of a client session: a hash of its key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// Start value of the 64-bit FNV-1a hash.
+/// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// Multiplier of the 64-bit FNV-1a hash.
+/// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
 impl SessionId {
--- a/crates/decisions/src/interface/mod.rs
+++ b/crates/decisions/src/interface/mod.rs
@@ -1,6 +1,6 @@
-//! The router's input and output: its settings, the events it is given and the actions it answers with.
+//! Types of the router's input and output: settings, events and actions.
 //!
-//! Types, and what follows from the settings alone; the decisions themselves are made elsewhere.
+//! [`Router`](crate::Router) makes the decisions; functions here depend on their arguments alone.
 
 mod action;
 mod endpoint;
--- a/crates/decisions/src/interface/settings.rs
+++ b/crates/decisions/src/interface/settings.rs
@@ -1,31 +1,29 @@
-//! The operator's settings, in the terms of the code.
-//!
-//! [`crate::settings`] reads them from their JSON text and validates them.
+//! Types of the operator's settings. [`crate::settings`] reads them from JSON and validates them.
 
 use super::freshness::Freshness;
 use crate::time::TimeDelta;
 use thiserror::Error;
 
-/// What a repeat of a request does.
+/// Effect of executing a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It has no further effect.
+    /// A repeat has no further effect.
     Idempotent,
-    /// Hosts that share the memory of its idempotency key drop it.
+    /// Hosts within the scope of the idempotency key recognise a repeat and drop it.
     WithKey(KeyScope),
-    /// It has a second effect.
+    /// A repeat takes effect again.
     NotIdempotent,
 }
 
 impl Idempotency {
-    /// Returns whether a repeat does no harm whichever host gets it. A client may then be told to retry a request that may
-    /// have been executed.
+    /// Returns whether a request can be repeated on any host without taking effect again. If so, a client may
+    /// be told to retry it even after it may have been executed.
     pub fn is_safe_to_retry_on_any_host(self) -> bool {
         matches!(self, Self::Idempotent | Self::WithKey(KeyScope::All))
     }
 }
 
-/// The hosts that recognise each other's requests by their idempotency key.
+/// The hosts that share their records of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// Every host.
@@ -36,14 +34,14 @@
     Group,
 }
 
-/// What a replica does with a read that it is too far behind for.
+/// Behaviour of a replica that lags too far behind for a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LagPolicy {
-    /// It answers from the data it has.
+    /// Answers from the data it has.
     ServeStale,
-    /// It rejects the read at once.
+    /// Rejects the read at once.
     Reject,
-    /// It waits up to this long for the log, then rejects the read.
+    /// Waits up to this long for the log, then rejects the read.
     WaitThenReject(TimeDelta),
 }
 
@@ -52,90 +50,95 @@
 pub enum LoadReports {
     /// With the answers to requests and to health checks.
     Inline,
-    /// With the answers to health checks alone.
+    /// Only with the answers to health checks.
     OnHealthCheck,
     /// Never.
     Off,
 }
 
-/// How the endpoint list names the primary of a group.
+/// Which primary of a group the endpoint list names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRole {
-    /// As it was some seconds ago.
+    /// The one of some seconds ago.
     Late,
-    /// As it was when the fleet started.
+    /// The one at the start of the fleet.
     AtStart,
-    /// Not at all.
+    /// None.
     Off,
 }
 
-/// One class of requests.
+/// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Latency up to which an answer has the full priority weight. Above zero.
+    /// Latency up to which an answer counts with the full priority weight. Above zero.
     pub latency_objective: TimeDelta,
-    /// How long a client waits in all, over all its retries. Above zero.
+    /// Total time that a client waits, over all its retries. Above zero.
     pub deadline: TimeDelta,
-    /// Weight of a request that is answered within its latency objective; a number without a unit, 0 or more.
+    /// Weight of a request that is answered within its latency objective; without a unit, 0 or more.
     pub priority_weight: f64,
-    /// Part of the priority weight that an answer after the objective and before the deadline still has, 0 or more.
+    /// Factor on the priority weight for an answer after the latency objective but before the deadline, 0 or
+    /// more.
     pub late_priority_weight: f64,
-    /// What a repeat of a request does.
+    /// Effect of executing a request more than once.
     pub idempotency: Idempotency,
-    /// How long hosts recognise a repeat by its key, from the send of the first attempt that may have been executed.
-    /// Used with [`Idempotency::WithKey`] alone.
+    /// Time for which hosts recognise a repeat by its key, from the send of the first attempt that may have
+    /// been executed. Used only with [`Idempotency::WithKey`].
     pub idempotency_key_window: TimeDelta,
-    /// How recent the data behind an answer has to be.
+    /// Required freshness of the answers.
     pub freshness: Freshness,
 }
 
-/// What a router is given when it starts.
+/// Settings that a router starts with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Routers that send to the same hosts, this one included. At least 1.
+    /// Number of routers that send to the same hosts, including this one. At least 1.
     pub router_count: u32,
-    /// Index of the zone that this router runs in.
+    /// Index of this router's zone.
     pub zone: u32,
     /// Shortest time between two events that the router can tell apart.
     pub timer_resolution: TimeDelta,
-    /// The request classes; requests name theirs by its index. Not empty.
+    /// The request classes, which requests refer to by index. Not empty.
     pub classes: Vec<RequestClass>,
-    /// Requests per second that each tenant may send through all routers together. Empty without tenants.
+    /// Quota of each tenant, in requests per second through all routers together. Empty without tenants.
     pub tenant_quotas: Vec<f64>,
-    /// Part of its priority weight, between 0 and 1, that a request beyond its tenant's quota has.
+    /// Factor on the priority weight of a request beyond its tenant's quota, from 0 to 1.
     pub over_quota_weight: f64,
-    /// Part of the operator's rating, between 0 and 1, that the worst served class makes up. No rule reads it.
-    pub goal_worst_class: f64,
-    /// What a replica does with a read that it is too far behind for.
+    /// Share of the worst served class in the operator's rating, from 0 to 1. Not used by any rule.
+    pub worst_class_rating_share: f64,
+    /// Behaviour of a replica that lags too far behind for a read.
     pub lag_policy: LagPolicy,
-    /// Whether every answer carries the position that its host had applied.
+    /// Whether every answer carries the log position that its host had applied.
     pub responses_carry_position: bool,
-    /// Whether the caller withholds an answer whose position is too old; needed where hosts
+    /// Whether the caller verifies the positions of answers and discards stale answers; needed where hosts
     /// [serve stale data](LagPolicy::ServeStale).
     pub responses_verified: bool,
-    /// Whether the router itself remembers the positions of its sessions' writes; clients carry them otherwise.
+    /// Whether the router tracks the positions of its sessions' writes; otherwise clients send them.
     pub write_positions_tracked: bool,
-    /// How the endpoint list names primaries. No rule reads it: each takes the list for late.
+    /// Which primaries the endpoint list names. Not used: all rules assume [`ListRole::Late`].
     pub list_role: ListRole,
     /// When hosts send load reports.
     pub load_reports: LoadReports,
-    /// Whether discovery sends changes on demand only, rather than unasked.
+    /// Whether the router has to poll discovery for changes; otherwise discovery pushes them.
     pub discovery_is_polled: bool,
-    /// Whether a host that was removed from the list without having been listed as draining may still be sent requests.
+    /// Whether a host that was removed from the list without having been listed as draining may still be sent
+    /// requests.
     pub removal_is_advisory: bool,
-    /// How long after a request's deadline its final answer is still in time.
+    /// Time after a request's deadline within which its final reply still counts as in time.
     pub response_deadline_slack: TimeDelta,
-    /// How long after its last poll a router without a watch counts as up to date. Validated, and read by no rule.
+    /// Time after its last poll for which a router without a watch counts as up to date. Validated, but not
+    /// used by any rule.
     pub discovery_poll_timeout: TimeDelta,
     /// Time from a host's start until it has its full capacity.
     pub slow_start_window: TimeDelta,
-    /// Part of its capacity, between 0 and 1, that a host has at its start.
+    /// Fraction of its capacity, from 0 to 1, that a host has at its start.
     pub slow_start_initial_fraction: f64,
-    /// Window over which the load of a warming host is limited: overload that lasts this long makes it fail.
+    /// Window over which the load of a host that is warming up is limited: overload of this length makes it
+    /// fail.
     pub slow_start_budget_window: TimeDelta,
-    /// How many times its current capacity a warming host can take over one budget window, 0 or more.
+    /// Load that a host that is warming up can take over one budget window, as a multiple of its current
+    /// capacity, 0 or more.
     pub slow_start_budget_multiple: f64,
-    /// Most attempts of one request. At least 1.
+    /// Maximum number of attempts per request. At least 1.
     pub max_attempts: u32,
     /// Longest Retry-After that clients honour.
     pub max_retry_after: TimeDelta,
@@ -149,21 +152,21 @@
     pub retry_after_allowed: bool,
     /// Price of an attempt in another zone, relative to the weight of a request.
     pub price_cross_zone: f64,
-    /// Price of a health check, relative to the weight of a request. No rule reads it.
+    /// Price of a health check, relative to the weight of a request. Not used by any rule.
     pub price_health_check: f64,
-    /// Price of host work that produces no answer, as a part of the offered work. No rule reads it.
-    pub price_waste: f64,
+    /// Price of host work that produces no answer, as a fraction of the offered work. Not used by any rule.
+    pub price_wasted_work: f64,
     /// Price of a new connection to a host, relative to the weight of a request.
     pub price_handshake: f64,
 }
 
-/// Largest number of routers of which each meets every host all the time: limits and health checks of one router
-/// are set for a fleet of this size.
+/// Largest number of routers in a fleet where each router sends requests to every host all the time. The
+/// limits and the health-check rate of a router are chosen for a fleet of this size.
 pub const SMALL_FLEET_MAX_ROUTERS: u32 = 6;
 
 impl Settings {
-    /// Returns how long a host that is too far behind for a read waits for the log before it rejects the read;
-    /// `None` where it answers from the data it has.
+    /// Returns how long a replica that lags too far behind for a read waits for the log before it rejects the
+    /// read; `None` if it answers from the data it has.
     pub fn replica_lag_wait(&self) -> Option<TimeDelta> {
         match self.lag_policy {
             LagPolicy::ServeStale => None,
@@ -172,22 +175,23 @@
         }
     }
 
-    /// Returns the least part of its capacity, between 0 and 1, that a host has `age` after its start.
+    /// Returns the minimum fraction of its capacity, from 0 to 1, that a host has `age` after its start.
     pub fn slow_start_fraction(&self, age: TimeDelta) -> f64 {
         let progress = age.0 as f64 / self.slow_start_window.0.max(1) as f64;
         let gained = (1.0 - self.slow_start_initial_fraction) * progress.clamp(0.0, 1.0);
         self.slow_start_initial_fraction + gained
     }
 
-    /// Returns whether there are so many routers that the requests of one tell it little about a single host.
+    /// Returns whether the fleet has so many routers that each gets little information about a single host
+    /// from its own requests.
     pub fn is_large_fleet(&self) -> bool {
         self.router_count > SMALL_FLEET_MAX_ROUTERS
     }
 
-    /// Returns whether hosts may be health checked.
+    /// Returns whether the router sends health checks.
     ///
-    /// In a large fleet the checks of all routers cost a host more than its requests do, so there is none where answers
-    /// carry the same information and a request that reaches the wrong host does no harm.
+    /// In a large fleet the checks of all routers cost a host more than its requests do. So there are none if
+    /// answers carry the same information and a request sent to the wrong host does no harm.
     pub fn can_health_check(&self) -> bool {
         let answers_suffice = self.responses_carry_position && self.replica_lag_wait().is_some();
         let harmless = self.classes.iter().all(|class| class.idempotency != Idempotency::NotIdempotent);
@@ -196,7 +200,7 @@
             && !(answers_suffice && harmless && self.is_large_fleet())
     }
 
-    /// Returns how many times larger the fleet is than a small one; at least 1.
+    /// Returns the size of the fleet as a multiple of [`SMALL_FLEET_MAX_ROUTERS`], at least 1.
     pub fn fleet_size_factor(&self) -> f64 {
         f64::from(self.router_count.max(SMALL_FLEET_MAX_ROUTERS)) / f64::from(SMALL_FLEET_MAX_ROUTERS)
     }
@@ -207,17 +211,17 @@
     }
 }
 
-/// A setting whose value no router could work with.
+/// A setting with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("setting `{key}`: {problem}")]
 pub struct SettingsError {
-    /// The setting's key, as operators are shown it.
+    /// Key of the setting, as shown to operators.
     pub key: String,
-    /// What is wrong with its value.
+    /// Why the value is invalid.
     pub problem: SettingsProblem,
 }
 
-/// What is wrong with the value of a setting.
+/// Why the value of a setting is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SettingsProblem {
     /// A count is zero.
@@ -238,10 +242,10 @@
     /// A number is negative or not finite.
     #[error("must be a number not below zero")]
     NotANonNegativeNumber,
-    /// A number of a list is negative or not finite.
+    /// A number in a list is negative or not finite.
     #[error("must be numbers not below zero")]
     NotNonNegativeNumbers,
-    /// A number does not lie between 0 and 1.
+    /// A number is not between 0 and 1.
     #[error("must lie between 0 and 1")]
     NotAFraction,
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,6 +1,7 @@
-//! The decisions of wheelpier, without I/O, clock and runtime: events and the current time go in, actions come out.
+//! Decision logic of wheelpier, without I/O, clock or runtime: callers pass in events and the current time
+//! and execute the returned actions.
 //!
-//! [`Router`] decides which host gets a request, whether it is retried and whether it is rejected.
+//! [`Router`] selects the host for each request and decides on retries and rejections.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
--- a/crates/decisions/src/settings/example.rs
+++ b/crates/decisions/src/settings/example.rs
@@ -29,7 +29,7 @@
             classes: vec![RequestClass::example()],
             tenant_quotas: Vec::new(),
             over_quota_weight: 1.0,
-            goal_worst_class: 0.0,
+            worst_class_rating_share: 0.0,
             lag_policy: LagPolicy::ServeStale,
             responses_carry_position: true,
             responses_verified: false,
@@ -52,7 +52,7 @@
             retry_after_allowed: true,
             price_cross_zone: 0.0,
             price_health_check: 0.0,
-            price_waste: 0.0,
+            price_wasted_work: 0.0,
             price_handshake: 0.0,
         }
     }
--- a/crates/decisions/src/settings/wire/convert.rs
+++ b/crates/decisions/src/settings/wire/convert.rs
@@ -34,7 +34,7 @@
             classes: self.request_classes()?,
             tenant_quotas: self.tenants.iter().map(|tenant| tenant.requests_per_second).collect(),
             over_quota_weight: self.over_quota_weight,
-            goal_worst_class: self.goal.worst_class,
+            worst_class_rating_share: self.goal.worst_class,
             lag_policy: self.replication.lag_policy(),
             responses_carry_position: self.replication.responses_carry_position,
             // Not part of the format: a caller that verifies answers sets it.
@@ -58,7 +58,7 @@
             retry_after_allowed: self.limits.retry_after_allowed,
             price_cross_zone: self.prices.cross_zone,
             price_health_check: self.prices.health_check,
-            price_waste: self.prices.waste,
+            price_wasted_work: self.prices.waste,
             price_handshake: self.prices.handshake,
         })
     }
--- a/crates/decisions/src/time.rs
+++ b/crates/decisions/src/time.rs
@@ -1,10 +1,11 @@
-//! Points and spans of time as the decisions count them: whole microseconds, signed.
+//! Points in time and time spans in whole microseconds, both signed.
 //!
-//! [`std::time::Duration`] cannot be negative and is used at sockets; [`TimeDelta`] is what the decisions compute with.
+//! The decisions compute with [`TimeDelta`]; [`std::time::Duration`], which cannot be negative, is used at
+//! sockets.
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time, in microseconds. Its origin is the caller's; the proxy counts from the Unix epoch.
+/// A point in time, in microseconds since an origin chosen by the caller; the proxy uses the Unix epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Timestamp(pub i64);
 
@@ -13,24 +14,24 @@
 pub struct TimeDelta(pub i64);
 
 impl TimeDelta {
-    /// The span of so many milliseconds.
+    /// Returns a span of `millis` milliseconds.
     pub const fn from_millis(millis: i64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// The span of so many whole seconds.
+    /// Returns a span of `secs` seconds.
     pub const fn from_secs(secs: i64) -> Self {
         Self(secs * 1_000_000)
     }
 
-    /// The span as whole microseconds.
+    /// Returns the span in microseconds.
     pub const fn as_micros(self) -> i64 {
         self.0
     }
 }
 
 impl From<std::time::Duration> for TimeDelta {
-    /// The duration in whole microseconds, rounded down.
+    /// Converts a duration to whole microseconds, rounded down.
     fn from(duration: std::time::Duration) -> Self {
         Self(duration.as_micros() as i64)
     }
