--- a/crates/decisions/src/settings/error.rs
+++ b/crates/decisions/src/settings/error.rs
@@ -1,17 +1,17 @@
-//! Errors of reading the settings.
+//! Errors from reading settings.
 
 use thiserror::Error;
 
-/// Why a text is no settings object.
+/// An error from reading settings from JSON.
 #[derive(Debug, Error)]
 pub enum SettingsReadError {
-    /// The text is no JSON, or a key is missing or has a value of the wrong type.
+    /// The text is not valid JSON, a key is missing, or a value has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// There are more or fewer freshness words than request classes.
-    #[error("familyInfo.freshness: must have one word for each of grades")]
+    /// There are more or fewer freshness values than request classes.
+    #[error("familyInfo.freshness: must have as many entries as grades")]
     FreshnessCount,
-    /// A class of bounded staleness has no bound.
+    /// A class with bounded staleness has no bound.
     #[error("familyInfo.classBound: no bound for class {class}")]
     MissingBound {
         /// Index of the class.
--- a/crates/decisions/src/settings/example.rs
+++ b/crates/decisions/src/settings/example.rs
@@ -1,4 +1,4 @@
-//! Settings to start from in examples and tests.
+//! Example settings for documentation and tests.
 
 use crate::interface::{
     Freshness, Idempotency, LagPolicy, ListRole, LoadReports, RequestClass, Settings, TimeDelta,
--- a/crates/decisions/src/settings/mod.rs
+++ b/crates/decisions/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! Settings as operators write them: read from JSON by [`read`], checked by [`validate`].
+//! Reading of the operator's settings from JSON ([`read`]), and their validation ([`validate`]).
 //!
-//! The proxy reads them from its configuration, the simulator adapter from the simulator's first message. Their types
-//! are in [`crate::interface`].
+//! The proxy reads settings from its configuration, the simulator adapter from the simulator's first message.
+//! Their types are in [`crate::interface`].
 
 mod error;
 mod example;
--- a/crates/decisions/src/settings/validate.rs
+++ b/crates/decisions/src/settings/validate.rs
@@ -1,4 +1,4 @@
-//! Validation of settings; their values are judged nowhere else.
+//! Validation of settings: the only place that checks their values.
 
 use crate::interface::{
     Freshness, LagPolicy, RequestClass, Settings, SettingsError, SettingsProblem, TimeDelta,
@@ -7,7 +7,7 @@
 /// Checks that a router can work with the settings.
 ///
 /// # Errors
-/// Returns the first setting that it could not work with.
+/// Returns the first invalid setting.
 pub fn validate(settings: &Settings) -> Result<(), SettingsError> {
     require(settings.router_count > 0, "routers", SettingsProblem::BelowOne)?;
     require(!settings.classes.is_empty(), "classes", SettingsProblem::Empty)?;
@@ -21,8 +21,8 @@
 fn validate_class(index: usize, class: &RequestClass) -> Result<(), SettingsError> {
     use SettingsProblem::{Negative, NotANonNegativeNumber, NotPositive};
     let zero = TimeDelta(0);
-    let require_field = |holds: bool, field: &str, problem: SettingsProblem| {
-        require(holds, &format!("classes[{index}].{field}"), problem)
+    let require_field = |is_valid: bool, field: &str, problem: SettingsProblem| {
+        require(is_valid, &format!("classes[{index}].{field}"), problem)
     };
     require_field(class.latency_objective > zero, "aim", NotPositive)?;
     require_field(class.deadline > zero, "deadline", NotPositive)?;
@@ -61,8 +61,8 @@
     require(quotas_are_valid, "quotas", NotNonNegativeNumbers)
 }
 
-fn require(holds: bool, key: &str, problem: SettingsProblem) -> Result<(), SettingsError> {
-    if holds {
+fn require(is_valid: bool, key: &str, problem: SettingsProblem) -> Result<(), SettingsError> {
+    if is_valid {
         return Ok(());
     }
     Err(SettingsError { key: key.to_owned(), problem })
--- a/crates/decisions/src/settings/wire/convert.rs
+++ b/crates/decisions/src/settings/wire/convert.rs
@@ -1,4 +1,4 @@
-//! Conversion of the format's structures and words to the types of the interface.
+//! Conversion of the JSON format's types to those of [`crate::interface`].
 
 use super::{
     span_from_seconds, Discovery, FamilyInfo, FreshnessWord, Grade, IdempotencyWord, KeyScopeWord,
@@ -9,9 +9,9 @@
 };
 use crate::settings::SettingsReadError;
 
-/// Name of the load report's value that holds the applied position.
+/// Name of the load report field that holds the applied position.
 const POSITION_FIELD: &str = "x0";
-/// Name of the load report's value that holds the role.
+/// Name of the load report field that holds the role.
 const ROLE_FIELD: &str = "x1";
 
 impl Params {
@@ -37,7 +37,7 @@
             worst_class_rating_share: self.goal.worst_class,
             lag_policy: self.replication.lag_policy(),
             responses_carry_position: self.replication.responses_carry_position,
-            // Not part of the format: a caller that verifies answers sets it.
+            // Not part of the format: callers that verify answers set it.
             responses_verified: false,
             write_positions_tracked: self.replication.tracks_write_positions(),
             list_role: self.replication.list_role.into(),
@@ -99,7 +99,8 @@
 }
 
 impl FamilyInfo {
-    /// Returns what the class with this index requires. There has to be a freshness word for the class.
+    /// Returns the required freshness of the class with this index, which must have an entry in
+    /// `class_freshness`.
     fn freshness(&self, class: usize) -> Result<Freshness, SettingsReadError> {
         Ok(match self.class_freshness[class] {
             FreshnessWord::Write => Freshness::Write,
--- a/crates/decisions/src/settings/wire/mod.rs
+++ b/crates/decisions/src/settings/wire/mod.rs
@@ -1,7 +1,7 @@
-//! The JSON format of the settings: the one place that maps its keys and words to the terms of the code.
+//! The JSON format of the settings, and the mapping of its keys and values to the terms of the code.
 //!
-//! Spans are seconds with a fraction. Keys that are not named here are ignored. The structures bear the names of the
-//! format, since messages about malformed settings show them.
+//! Time spans are fractional seconds. Unknown keys are ignored. The structs are named after the format
+//! because error messages about malformed settings contain their names.
 
 mod convert;
 
@@ -9,23 +9,23 @@
 use crate::interface::{Settings, TimeDelta, Timestamp};
 use serde::{Deserialize, Deserializer};
 
-/// How hosts write load reports and positions.
+/// Format of load reports and positions as hosts write them.
 #[derive(Clone, Debug, Default)]
 pub struct ReportFormat {
-    /// The point in time that positions are counted from.
+    /// Point in time that positions are relative to.
     pub position_origin: Timestamp,
-    /// Index of the position among a report's values.
+    /// Index of the applied position among a report's values.
     pub position_field: Option<usize>,
-    /// Index of the role among a report's values.
+    /// Index of the host's role among a report's values.
     pub role_field: Option<usize>,
-    /// Values in a report.
+    /// Number of values in a report.
     pub field_count: usize,
 }
 
-/// Reads the settings of a router from their JSON text, without judging their values; see [`validate`](super::validate).
+/// Parses the settings of a router from JSON. [`validate`](super::validate) checks their values.
 ///
 /// # Errors
-/// Returns what is wrong with the text if it is no settings object.
+/// Returns an error if the text is not a valid settings object.
 pub fn read(text: &str) -> Result<(Settings, ReportFormat), SettingsReadError> {
     let params: Params = serde_json::from_str(text)?;
     let report_format = params.report_format();
@@ -41,6 +41,7 @@
     TimeDelta(micros_from_seconds(seconds))
 }
 
+/// Deserializes a number of seconds as a time span.
 fn seconds<'de, D: Deserializer<'de>>(deserializer: D) -> Result<TimeDelta, D::Error> {
     f64::deserialize(deserializer).map(span_from_seconds)
 }
@@ -49,6 +50,7 @@
     1.0
 }
 
+/// The settings object.
 #[derive(Deserialize)]
 struct Params {
     #[serde(rename = "balancers")]
@@ -76,6 +78,7 @@
     timer_resolution: TimeDelta,
 }
 
+/// A request class.
 #[derive(Deserialize)]
 struct Grade {
     #[serde(rename = "credit")]
@@ -115,6 +118,7 @@
     Group,
 }
 
+/// A tenant.
 #[derive(Deserialize)]
 struct Customer {
     #[serde(rename = "quotaPerS")]
@@ -129,13 +133,14 @@
     Polled,
 }
 
+/// Replication: freshness of each class, roles, log positions and the lag policy.
 #[derive(Deserialize)]
 struct FamilyInfo {
     #[serde(rename = "answersStamped", default)]
     responses_carry_position: bool,
     #[serde(rename = "baseTime", default, deserialize_with = "seconds")]
     position_origin: TimeDelta,
-    /// For each class; read for the classes of bounded staleness alone.
+    /// One value for each class; used only for classes with bounded staleness.
     #[serde(rename = "classBound", default)]
     staleness_bounds_seconds: Vec<f64>,
     #[serde(rename = "freshness")]
@@ -182,6 +187,7 @@
     WaitThenReject,
 }
 
+/// Where the positions of a session's writes are kept.
 #[derive(Deserialize, Default)]
 enum WritePositions {
     #[default]
@@ -191,6 +197,7 @@
     TrackedByRouter,
 }
 
+/// Guarantees about deadlines, discovery and slow start.
 #[derive(Deserialize)]
 struct Guarantees {
     #[serde(rename = "answerSlack", default, deserialize_with = "seconds")]
@@ -209,6 +216,7 @@
     removal_is_advisory: bool,
 }
 
+/// Limits on what a router may do.
 #[derive(Deserialize)]
 struct Limits {
     #[serde(rename = "maxAttempts")]
@@ -243,6 +251,7 @@
     worst_class: f64,
 }
 
+/// Contents and delivery of load reports.
 #[derive(Deserialize)]
 struct ReportInfo {
     #[serde(default)]
--- a/crates/decisions/tests/settings.rs
+++ b/crates/decisions/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The operator's settings: what their keys and words mean, and which message each mistake gets.
+//! Reading and validation of the operator's settings, with the error message for each mistake.
 
 use rstest::rstest;
 use serde_json::{json, Value};
@@ -11,14 +11,18 @@
     json!({
         "balancers": 2,
         "grades": [
-            {"credit": 1.0, "deadline": 1.0, "onTime": 0.5, "lateWorth": 0.1, "repeat": "token", "group": "cell", "window": 3.0},
+            {
+                "credit": 1.0, "deadline": 1.0, "onTime": 0.5, "lateWorth": 0.1, "repeat": "token",
+                "group": "cell", "window": 3.0,
+            },
             {"credit": 2.0, "deadline": 1.5, "onTime": 0.25, "repeat": "pure"},
         ],
         "customers": [{"quotaPerS": 3.0}],
         "discovery": "on_request",
         "familyInfo": {
-            "answersStamped": true, "baseTime": 12.5, "classBound": [0.0, 0.7], "freshness": ["write", "bounded"],
-            "roleInList": "start", "wait": 0.3, "whenBehind": "wait", "writeMarks": "remembered",
+            "answersStamped": true, "baseTime": 12.5, "classBound": [0.0, 0.7],
+            "freshness": ["write", "bounded"], "roleInList": "start", "wait": 0.3, "whenBehind": "wait",
+            "writeMarks": "remembered",
         },
         "guarantees": {"answerSlack": 0.02, "cold": 18.0, "coldFrom": 0.15, "fall": 3.0, "fallMultiple": 2.0},
         "limits": {"maxAttempts": 8, "maxRetryAfter": 0.5, "probes": true, "secondCopies": true},
@@ -28,7 +32,7 @@
     })
 }
 
-fn message(document: &Value) -> String {
+fn error_message(document: &Value) -> String {
     match read(&document.to_string()) {
         Ok((settings, _)) => validate(&settings).unwrap_err().to_string(),
         Err(error) => error.to_string(),
@@ -70,34 +74,58 @@
 }
 
 #[rstest]
-#[case::too_few_words("/familyInfo/freshness", json!(["any"]), "familyInfo.freshness: must have one word for each of grades")]
+#[case::too_few_freshness_values(
+    "/familyInfo/freshness",
+    json!(["any"]),
+    "familyInfo.freshness: must have as many entries as grades"
+)]
 #[case::no_bound("/familyInfo/classBound", json!([0.0]), "familyInfo.classBound: no bound for class 1")]
-#[case::unknown_word("/grades/0/repeat", json!("safe"), "unknown variant `safe`, expected one of `pure`, `token`, `side_effect` at line 1 column 356")]
-#[case::no_object("", json!(1), "invalid type: integer `1`, expected struct Params at line 1 column 1")]
-#[case::too_short_a_list("", json!([]), "invalid length 0, expected struct Params with 13 elements at line 1 column 2")]
+#[case::unknown_variant(
+    "/grades/0/repeat",
+    json!("safe"),
+    "unknown variant `safe`, expected one of `pure`, `token`, `side_effect` at line 1 column 356"
+)]
+#[case::not_an_object("", json!(1), "invalid type: integer `1`, expected struct Params at line 1 column 1")]
+#[case::empty_list(
+    "",
+    json!([]),
+    "invalid length 0, expected struct Params with 13 elements at line 1 column 2"
+)]
 #[case::no_routers("/balancers", json!(0), "setting `routers`: must be at least 1")]
 #[case::no_objective("/grades/1/onTime", json!(0), "setting `classes[1].aim`: must be above zero")]
 #[case::no_deadline("/grades/0/deadline", json!(0), "setting `classes[0].deadline`: must be above zero")]
 #[case::weight("/grades/1/credit", json!(-1), "setting `classes[1].worth`: must be a number not below zero")]
-#[case::late_weight("/grades/0/lateWorth", json!(-1), "setting `classes[0].late_worth`: must be a number not below zero")]
+#[case::late_weight(
+    "/grades/0/lateWorth",
+    json!(-1),
+    "setting `classes[0].late_worth`: must be a number not below zero"
+)]
 #[case::key_window("/grades/0/window", json!(-1), "setting `classes[0].key_window`: must not be negative")]
 #[case::bound("/familyInfo/classBound/1", json!(-1), "setting `classes[1].bound`: must not be negative")]
 #[case::slack("/guarantees/answerSlack", json!(-1), "setting `answer_slack`: must not be negative")]
 #[case::wait("/familyInfo/wait", json!(-1), "setting `when_behind`: the wait must not be negative")]
 #[case::fraction("/guarantees/coldFrom", json!(2), "setting `cold_from`: must lie between 0 and 1")]
-#[case::multiple("/guarantees/fallMultiple", json!(-1), "setting `fall_multiple`: must be a number not below zero")]
+#[case::multiple(
+    "/guarantees/fallMultiple",
+    json!(-1),
+    "setting `fall_multiple`: must be a number not below zero"
+)]
 #[case::attempts("/limits/maxAttempts", json!(0), "setting `max_attempts`: must be at least 1")]
 #[case::quota("/customers/0/quotaPerS", json!(-1), "setting `quotas`: must be numbers not below zero")]
-fn a_mistake_gets_its_message(#[case] pointer: &str, #[case] value: Value, #[case] expected: &str) {
+fn an_invalid_setting_gets_its_error_message(
+    #[case] pointer: &str,
+    #[case] value: Value,
+    #[case] expected: &str,
+) {
     let mut document = document();
     *document.pointer_mut(pointer).unwrap() = value;
-    assert_eq!(message(&document), expected);
+    assert_eq!(error_message(&document), expected);
 }
 
 #[test]
-fn a_router_without_classes_is_refused() {
+fn settings_without_classes_are_rejected() {
     let mut document = document();
     document["grades"] = json!([]);
     document["familyInfo"]["freshness"] = json!([]);
-    assert_eq!(message(&document), "setting `classes`: must not be empty");
+    assert_eq!(error_message(&document), "setting `classes`: must not be empty");
 }
