--- a/crates/decisions/src/pipeline/access.rs
+++ b/crates/decisions/src/pipeline/access.rs
@@ -1,15 +1,15 @@
-//! Which requests of one connection conflict.
+//! Conflicts between requests of one connection.
 
 use crate::interface::SessionId;
 
-/// What a request reads or writes.
+/// The key that a request reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Access {
     /// The group that holds the key.
     pub group: u32,
-    /// The key, as a hash.
+    /// Hash of the key.
     pub key: SessionId,
-    /// Whether the request writes it.
+    /// Whether the request writes the key.
     pub is_write: bool,
 }
 
--- a/crates/decisions/src/pipeline/entry.rs
+++ b/crates/decisions/src/pipeline/entry.rs
@@ -6,32 +6,32 @@
 /// Time reserved for writing one answer: encoding a value and one system call.
 const ANSWER_WRITE_TIME: TimeDelta = TimeDelta(100);
 
-/// How far an entry has come; `R` is a request, `A` an answer.
+/// State of an entry; `R` is a request, `A` an answer.
 #[derive(Debug)]
 pub(super) enum EntryState<R, A> {
-    /// The request was read and has not been started.
+    /// The request was read, but not started.
     Waiting(R),
     /// The request was started and has to be answered by this effective deadline.
     Running {
         /// The effective deadline as last reported.
         effective_deadline: Timestamp,
     },
-    /// The answer is known.
+    /// The answer is known, but not yet taken from the pipeline.
     Answered(A),
 }
 
-/// One request or answer, in its place among the others.
+/// One request or answer in a pipeline.
 #[derive(Debug)]
 pub(super) struct Entry<R, A> {
-    /// The request's number; `None` for an answer without one.
+    /// Identifier of the request; `None` for an answer without a request.
     pub id: Option<RequestId>,
-    /// What the request reads or writes, if it names a key.
+    /// The key that the request reads or writes, if it names one.
     pub access: Option<Access>,
-    /// When its client stops waiting.
+    /// Time at which the client stops waiting for the answer.
     pub deadline: Timestamp,
-    /// Bytes that it takes while it waits to run.
+    /// Size of the request in bytes while it waits to run.
     pub bytes: usize,
-    /// How far it has come.
+    /// State of the entry.
     pub state: EntryState<R, A>,
 }
 
@@ -52,23 +52,23 @@
         Self { id: None, access: None, deadline, bytes: 0, state: EntryState::Answered(answer) }
     }
 
-    /// Returns whether it waits to run.
+    /// Returns whether the request waits to run.
     pub fn is_waiting(&self) -> bool {
         matches!(self.state, EntryState::Waiting(_))
     }
 
-    /// Returns whether it was started and has no answer.
+    /// Returns whether the request was started and has no answer yet.
     pub fn is_running(&self) -> bool {
         matches!(self.state, EntryState::Running { .. })
     }
 
-    /// Returns whether its answer is known.
+    /// Returns whether the answer is known.
     pub fn is_answered(&self) -> bool {
         matches!(self.state, EntryState::Answered(_))
     }
 
-    /// Returns its effective deadline, where the entry behind it has this one.
-    pub fn effective_deadline(&self, behind: Timestamp) -> Timestamp {
-        self.deadline.min(Timestamp(behind.0.saturating_sub(ANSWER_WRITE_TIME.as_micros())))
+    /// Returns the effective deadline of the entry, given that of the entry behind it.
+    pub fn effective_deadline(&self, deadline_behind: Timestamp) -> Timestamp {
+        self.deadline.min(Timestamp(deadline_behind.0.saturating_sub(ANSWER_WRITE_TIME.as_micros())))
     }
 }
--- a/crates/decisions/src/pipeline/limits.rs
+++ b/crates/decisions/src/pipeline/limits.rs
@@ -1,29 +1,30 @@
-//! How much one connection may have in its pipeline.
+//! Limits on the pipeline of one connection.
 
-/// The most requests of one connection that run at the same time, so that one connection doesn't take the capacity of all
-/// others at the hosts.
+/// Maximum number of requests of one connection that run at the same time, so that one connection does not
+/// use the capacity of all others at the hosts.
 const MAX_RUNNING: usize = 16;
-/// Requests that may be read ahead for each one that may run. A request that waits in the pipeline has its deadline and its
-/// answer; one that is left in the socket has neither.
+/// Entries that a pipeline may hold for each request that may run. The deadline of a request that waits in
+/// the pipeline is enforced and the request is answered; neither holds for a request that is left unread in
+/// the socket.
 const ENTRIES_PER_RUNNING: usize = 4;
 
-/// Bounds of one connection's pipeline.
+/// Limits on the pipeline of one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PipelineLimits {
-    /// The most requests and answers in the pipeline.
+    /// Maximum number of requests and answers in the pipeline.
     pub max_entries: usize,
-    /// The most requests that run at the same time.
+    /// Maximum number of requests that run at the same time.
     pub max_running: usize,
-    /// Bytes of requests that wait to run: once they are reached no further request is read.
+    /// Size of waiting requests in bytes at which no further request is read.
     pub max_waiting_bytes: usize,
 }
 
 impl PipelineLimits {
-    /// The limits of a protocol that takes one request at a time.
+    /// Limits for a protocol that serves one request at a time.
     pub const SEQUENTIAL: Self = Self { max_entries: 1, max_running: 1, max_waiting_bytes: usize::MAX };
 
-    /// Returns the limits of one of `max_connections` connections to a proxy that has at most `max_in_flight_requests`
-    /// requests at once.
+    /// Returns the limits for each of up to `max_connections` connections to a proxy that has at most
+    /// `max_in_flight_requests` requests in flight.
     pub fn per_connection(
         max_in_flight_requests: usize,
         max_connections: usize,
--- a/crates/decisions/src/pipeline/mod.rs
+++ b/crates/decisions/src/pipeline/mod.rs
@@ -1,22 +1,25 @@
-//! The requests of one client connection whose answers are not written yet: which of them may run now, and by when each
-//! has to be answered.
+//! The pipeline of one client connection: requests whose answers have not been written yet, which of them may
+//! run now, and the time by which each has to be answered.
 //!
-//! Answers are written in the order of their requests (PostgreSQL protocol 3, "Pipelining"), so a slow request delays the
-//! answers behind it. Each request therefore has an *effective deadline*: the earliest deadline among its own and those of
-//! all requests behind it, less the time that it takes to write the answers in between. A request is given up at its
-//! effective deadline and never before, so that it is not sacrificed while the requests behind it can still be met.
+//! Answers are written in the order of their requests (PostgreSQL protocol 3, "Pipelining"), so a slow
+//! request delays the answers behind it. Each request therefore has an *effective deadline*: the earliest
+//! deadline among its own and those of all requests behind it, less the time that it takes to write the
+//! answers in between. A request is given up at its effective deadline, but never earlier: until then the
+//! requests behind it can still be answered in time.
 //!
-//! Requests run concurrently unless they conflict ([`Access::conflicts_with`]): they concern the same key of the same group
-//! and at least one of them writes. Conflicting requests run in order, so a read sees the write that was sent ahead of it.
+//! Requests run concurrently unless they conflict ([`Access::conflicts_with`]), that is, unless they use the
+//! same key of the same group and at least one of them writes. Conflicting requests run in order, so a read
+//! sees the write that was sent ahead of it.
 //!
-//! No I/O and no clock: the caller reads requests, executes them and writes the answers.
+//! The module does no I/O and reads no clock: the caller reads requests, executes them and writes the
+//! answers.
 //!
-//! | file | decides |
+//! | file | contents |
 //! | --- | --- |
-//! | `mod.rs` | which request runs next, effective deadlines, the order of answers |
-//! | `access.rs` | which requests conflict |
-//! | `entry.rs` | the state of one request |
-//! | `limits.rs` | how much one connection may have in its pipeline |
+//! | `mod.rs` | the request to run next, effective deadlines, the order of answers |
+//! | `access.rs` | conflicts between requests |
+//! | `entry.rs` | the state of one request or answer |
+//! | `limits.rs` | limits on the pipeline of one connection |
 
 mod access;
 mod entry;
@@ -29,27 +32,27 @@
 use entry::{Entry, EntryState};
 use std::collections::VecDeque;
 
-/// A request as the pipeline sees it.
+/// The properties of a request that the pipeline uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PipelinedRequest {
-    /// Its number.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// What it reads or writes, if it names a key: without one it conflicts with nothing.
+    /// The key that the request reads or writes; without one it conflicts with no other request.
     pub access: Option<Access>,
-    /// When its client stops waiting for the answer.
+    /// Time at which the client stops waiting for the answer.
     pub deadline: Timestamp,
-    /// Bytes that it takes while it waits to run.
+    /// Size of the request in bytes while it waits to run.
     pub bytes: usize,
 }
 
-/// A request that is to run now.
+/// A request that the caller has to execute now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartedRequest<R> {
-    /// Its number.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Whether requests ahead of it have no written answer yet.
+    /// Whether requests ahead of it are still in the pipeline.
     pub is_behind_others: bool,
-    /// Its effective deadline as of now.
+    /// Effective deadline at the start.
     pub effective_deadline: Timestamp,
     /// The request itself.
     pub request: R,
@@ -60,29 +63,29 @@
 pub struct ShortenedDeadline {
     /// The request.
     pub id: RequestId,
-    /// By when its answer is due now.
+    /// The new effective deadline.
     pub effective_deadline: Timestamp,
 }
 
-/// An answer whose turn has come.
+/// The next answer to write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadyAnswer<A> {
-    /// The request that it answers; `None` for what was answered as it was read.
+    /// The request that it answers; `None` for one that was answered as it was read.
     pub id: Option<RequestId>,
     /// The answer itself.
     pub answer: A,
 }
 
-/// The requests of one connection, in the order in which they came; `R` is a request, `A` an answer.
+/// The requests of one connection in the order of their arrival; `R` is a request, `A` an answer.
 #[derive(Debug)]
 pub struct Pipeline<R, A> {
     entries: VecDeque<Entry<R, A>>,
     limits: PipelineLimits,
-    /// Requests that were started and have no answer.
+    /// Number of requests that were started and have no answer yet.
     running: usize,
-    /// Bytes of the requests that wait to run.
+    /// Size of the requests that wait to run, in bytes.
     waiting_bytes: usize,
-    /// Whether an entry was added since [`Self::take_shortened_deadlines`] was last called.
+    /// Whether an entry was added since the last call of [`Self::take_shortened_deadlines`].
     has_grown: bool,
 }
 
@@ -92,7 +95,7 @@
         Self { entries: VecDeque::new(), limits, running: 0, waiting_bytes: 0, has_grown: false }
     }
 
-    /// Returns whether every answer has been taken.
+    /// Returns whether all answers have been taken.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -112,7 +115,7 @@
         self.running
     }
 
-    /// Returns the bytes of the requests that wait to run.
+    /// Returns the size of the requests that wait to run, in bytes.
     pub fn waiting_bytes(&self) -> usize {
         self.waiting_bytes
     }
@@ -124,28 +127,30 @@
         self.entries.push_back(Entry::waiting(pipelined, request));
     }
 
-    /// Adds an answer that is known already, such as an error, to be written in its turn and by that deadline.
+    /// Adds an answer that is known already, such as an error, to be written in its turn and by this
+    /// deadline.
     pub fn push_answer(&mut self, answer: A, deadline: Timestamp) {
         self.has_grown = true;
         self.entries.push_back(Entry::answered(answer, deadline));
     }
 
-    /// Starts the first request that may run now. Returns `None` if there is none, or if as many run as the limits allow.
+    /// Starts the first request that may run now. Returns `None` if there is none or the limit on running
+    /// requests is reached.
     pub fn start_next(&mut self) -> Option<StartedRequest<R>> {
-        let at = self.next_to_start()?;
-        let effective_deadline = self.effective_deadline(at);
-        let entry = self.entries.get_mut(at)?;
+        let index = self.next_to_start()?;
+        let effective_deadline = self.effective_deadline(index);
+        let entry = self.entries.get_mut(index)?;
         let state = std::mem::replace(&mut entry.state, EntryState::Running { effective_deadline });
         let EntryState::Waiting(request) = state else { return None };
         self.running += 1;
         self.waiting_bytes -= entry.bytes;
-        Some(StartedRequest { id: entry.id?, is_behind_others: at > 0, effective_deadline, request })
+        Some(StartedRequest { id: entry.id?, is_behind_others: index > 0, effective_deadline, request })
     }
 
-    /// Puts a request back that could not be started after all: it waits to run again.
+    /// Puts a started request back to wait again, because it could not be executed now.
     pub fn requeue(&mut self, id: RequestId, request: R) {
-        let Some(at) = self.position(id) else { return };
-        let entry = &mut self.entries[at];
+        let Some(index) = self.position(id) else { return };
+        let entry = &mut self.entries[index];
         if entry.is_running() {
             entry.state = EntryState::Waiting(request);
             self.running -= 1;
@@ -153,30 +158,31 @@
         }
     }
 
-    /// Returns the started requests whose effective deadlines have become earlier since this was last called.
+    /// Returns the running requests whose effective deadlines have become earlier since the last call.
     pub fn take_shortened_deadlines(&mut self) -> Vec<ShortenedDeadline> {
         let mut shortened = Vec::new();
         if !std::mem::take(&mut self.has_grown) || self.running == 0 || self.entries.len() < 2 {
             return shortened;
         }
-        let mut behind = Timestamp(i64::MAX);
+        let mut earliest = Timestamp(i64::MAX);
         for entry in self.entries.iter_mut().rev() {
-            behind = entry.effective_deadline(behind);
+            earliest = entry.effective_deadline(earliest);
             let (EntryState::Running { effective_deadline }, Some(id)) = (&mut entry.state, entry.id) else {
                 continue;
             };
-            if behind < *effective_deadline {
-                *effective_deadline = behind;
-                shortened.push(ShortenedDeadline { id, effective_deadline: behind });
+            if earliest < *effective_deadline {
+                *effective_deadline = earliest;
+                shortened.push(ShortenedDeadline { id, effective_deadline: earliest });
             }
         }
         shortened
     }
 
-    /// Gives a request its answer, to be written in its turn. Returns whether the request was still without one.
+    /// Records the answer to a request, to be written in its turn. Returns `false` if the request is unknown
+    /// or has an answer already.
     pub fn finish(&mut self, id: RequestId, answer: A) -> bool {
-        let Some(at) = self.position(id) else { return false };
-        let entry = &mut self.entries[at];
+        let Some(index) = self.position(id) else { return false };
+        let entry = &mut self.entries[index];
         match entry.state {
             EntryState::Answered(_) => return false,
             EntryState::Running { .. } => self.running -= 1,
@@ -186,8 +192,8 @@
         true
     }
 
-    /// Gives the first request without an answer this one, since its client has cancelled it. Returns its number if it was
-    /// running.
+    /// Ends the first request without an answer with this one, because its client has cancelled it. Returns
+    /// its identifier if it was running.
     pub fn cancel_first(&mut self, answer: A) -> Option<RequestId> {
         let entry = self.entries.iter().find(|entry| !entry.is_answered())?;
         let (id, was_running) = (entry.id?, entry.is_running());
@@ -195,7 +201,8 @@
         was_running.then_some(id)
     }
 
-    /// Removes all requests, which their client has cancelled: none gets an answer. Returns those that were running.
+    /// Removes all requests, because the client has cancelled them: none gets an answer. Returns those that
+    /// were running.
     pub fn cancel_all(&mut self) -> Vec<RequestId> {
         let running = self.running_ids();
         self.entries.clear();
@@ -203,7 +210,8 @@
         running
     }
 
-    /// Gives this answer to all requests without one, since their client has left. Returns those that were running.
+    /// Ends all requests without an answer with this one, because the client has left. Returns those that
+    /// were running.
     pub fn abandon(&mut self, mut answer: impl FnMut() -> A) -> Vec<RequestId> {
         let running = self.running_ids();
         for entry in self.entries.iter_mut().filter(|entry| !entry.is_answered()) {
@@ -213,7 +221,7 @@
         running
     }
 
-    /// Takes the next answer in the order of requests; `None` while it isn't known.
+    /// Takes the next answer in the order of requests; `None` while it is not known.
     pub fn pop_answer(&mut self) -> Option<ReadyAnswer<A>> {
         if !self.entries.front()?.is_answered() {
             return None;
@@ -223,24 +231,25 @@
         Some(ReadyAnswer { id: entry.id, answer })
     }
 
-    /// Returns the position of the first request that waits and conflicts with no unanswered request ahead of it.
+    /// Returns the index of the first request that waits and conflicts with no unanswered request ahead of
+    /// it.
     fn next_to_start(&self) -> Option<usize> {
         if self.running >= self.limits.max_running {
             return None;
         }
-        let mut positions = 0..self.entries.len();
-        positions.find(|at| self.entries[*at].is_waiting() && !self.has_conflict_ahead(*at))
+        let mut indices = 0..self.entries.len();
+        indices.find(|index| self.entries[*index].is_waiting() && !self.has_conflict_ahead(*index))
     }
 
-    fn has_conflict_ahead(&self, at: usize) -> bool {
-        let Some(access) = self.entries[at].access else { return false };
-        let unanswered = self.entries.iter().take(at).filter(|entry| !entry.is_answered());
+    fn has_conflict_ahead(&self, index: usize) -> bool {
+        let Some(access) = self.entries[index].access else { return false };
+        let unanswered = self.entries.iter().take(index).filter(|entry| !entry.is_answered());
         unanswered.filter_map(|entry| entry.access).any(|ahead| access.conflicts_with(ahead))
     }
 
-    fn effective_deadline(&self, at: usize) -> Timestamp {
-        let entries = self.entries.iter().skip(at).rev();
-        entries.fold(Timestamp(i64::MAX), |behind, entry| entry.effective_deadline(behind))
+    fn effective_deadline(&self, index: usize) -> Timestamp {
+        let entries = self.entries.iter().skip(index).rev();
+        entries.fold(Timestamp(i64::MAX), |earliest, entry| entry.effective_deadline(earliest))
     }
 
     fn running_ids(&self) -> Vec<RequestId> {
--- a/crates/decisions/tests/pipeline.rs
+++ b/crates/decisions/tests/pipeline.rs
@@ -1,11 +1,12 @@
-//! Pipelines of one connection against a plain model: every request gets one answer, in its turn and in its time.
+//! The pipeline of one connection: conflicts, effective deadlines and limits; and a simulation of random
+//! connections, in which every request must get exactly one answer, in order and by its deadline.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use wheelpier_decisions::pipeline::{Access, Pipeline, PipelineLimits, PipelinedRequest, ShortenedDeadline};
 use wheelpier_decisions::{RequestId, SessionId, Timestamp};
 
-/// Far beyond any deadline of these tests.
+/// A deadline later than any other in these tests.
 const NEVER: Timestamp = Timestamp(i64::MAX);
 
 fn access(key: u64, is_write: bool) -> Access {
@@ -25,7 +26,7 @@
     PipelineLimits { max_entries, max_running, max_waiting_bytes: 10_000 }
 }
 
-/// A pipeline of these requests: key, whether it writes, deadline; numbered from 0 on.
+/// Returns a pipeline of requests given as (key, is write, deadline), with identifiers from 0.
 fn pipeline(requests: &[(u64, bool, i64)]) -> Pipeline<(), &'static str> {
     let mut pipeline = Pipeline::new(limits(64, 16));
     for (id, (key, write, deadline)) in requests.iter().enumerate() {
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn requests_run_beside_each_other_and_answers_keep_their_order() {
+fn requests_run_concurrently_and_answers_keep_their_order() {
     let mut pipeline = pipeline(&[(1, false, 100), (2, true, 100), (3, false, 100)]);
     assert_eq!(start_all(&mut pipeline), [0, 1, 2]);
     assert!(pipeline.finish(RequestId(2), "c") && pipeline.finish(RequestId(1), "b"));
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_read_waits_for_the_write_of_its_key_and_others_do_not() {
+fn a_read_waits_for_an_earlier_write_to_its_key_only() {
     let mut pipeline =
         pipeline(&[(1, true, 100), (1, false, 100), (1, false, 100), (2, false, 100), (1, true, 100)]);
     assert_eq!(start_all(&mut pipeline), [0, 3]);
@@ -75,31 +76,35 @@
 }
 
 #[test]
-fn keys_of_other_groups_do_not_conflict() {
+fn equal_keys_of_different_groups_do_not_conflict() {
     let write = access(1, true);
     assert!(write.conflicts_with(access(1, false)) && !write.conflicts_with(Access { group: 1, ..write }));
     assert!(!access(1, false).conflicts_with(access(1, false)));
 }
 
 #[test]
-fn a_request_is_due_before_those_behind_it() {
+fn a_request_is_due_before_the_requests_behind_it() {
     let mut pipeline = pipeline(&[(1, true, 5_000_000), (2, false, 400_000), (3, false, 900_000)]);
-    let dues: Vec<_> =
+    let deadlines: Vec<_> =
         std::iter::from_fn(|| pipeline.start_next()).map(|started| started.effective_deadline.0).collect();
-    assert_eq!(dues, [399_900, 400_000, 900_000]);
-    assert_eq!(pipeline.take_shortened_deadlines(), [], "what was said at the start is not said again");
+    assert_eq!(deadlines, [399_900, 400_000, 900_000]);
+    assert_eq!(
+        pipeline.take_shortened_deadlines(),
+        [],
+        "deadlines reported at the start are not reported again"
+    );
     pipeline.push(request(3, 4, false, 200_000), ());
-    let tightened = pipeline.take_shortened_deadlines();
+    let shortened = pipeline.take_shortened_deadlines();
     let expected = [(2, 199_900), (1, 199_800), (0, 199_700)];
     assert_eq!(
-        tightened,
+        shortened,
         expected.map(|(id, due)| ShortenedDeadline { id: RequestId(id), effective_deadline: Timestamp(due) })
     );
     assert_eq!(pipeline.take_shortened_deadlines(), []);
 }
 
 #[test]
-fn an_error_behind_a_request_bounds_it_and_is_written_in_its_turn() {
+fn an_error_limits_the_request_ahead_and_is_written_after_its_answer() {
     let mut pipeline = pipeline(&[(1, false, 5_000_000)]);
     pipeline.push_answer("error", Timestamp(2_500_000));
     assert_eq!(pipeline.start_next().map(|started| started.effective_deadline), Some(Timestamp(2_499_900)));
@@ -110,7 +115,7 @@
 }
 
 #[test]
-fn what_is_requeued_waits_and_what_is_cancelled_gets_no_answer() {
+fn requeued_requests_wait_and_cancelled_requests_get_no_answer() {
     let mut pipeline = pipeline(&[(1, false, 100), (2, false, 100)]);
     assert_eq!(start_all(&mut pipeline), [0, 1]);
     pipeline.requeue(RequestId(1), ());
@@ -126,7 +131,7 @@
 }
 
 #[test]
-fn an_abandoned_pipeline_answers_each_request_once_and_names_those_that_ran() {
+fn an_abandoned_pipeline_answers_each_request_once_and_returns_the_running_ones() {
     let mut pipeline = pipeline(&[(1, true, 100), (1, false, 100), (2, false, 100)]);
     assert_eq!(start_all(&mut pipeline), [0, 2]);
     pipeline.finish(RequestId(2), "value");
@@ -138,7 +143,7 @@
 }
 
 #[test]
-fn limits_follow_from_what_a_proxy_may_hold_for_each_connection() {
+fn limits_depend_on_in_flight_requests_per_connection() {
     assert_eq!(
         PipelineLimits::per_connection(30_000, 600, 1 << 16),
         PipelineLimits { max_entries: 64, max_running: 16, max_waiting_bytes: 1 << 16 }
@@ -151,153 +156,180 @@
     assert_eq!(PipelineLimits::per_connection(100, 0, 1 << 16).max_running, 16);
 }
 
-/// A request of the model: when it is sent, how long its client waits, and how long it would run.
+/// A simulated request, with times in microseconds.
 #[derive(Clone, Debug)]
-struct Planned {
-    sent: i64,
-    wait: i64,
-    runs: i64,
+struct SimulatedRequest {
+    sent_at: i64,
+    timeout: i64,
+    /// Time that the request runs unless it is given up.
+    run_time: i64,
     key: u64,
-    write: bool,
+    is_write: bool,
 }
 
-fn planned() -> impl Strategy<Value = Vec<Planned>> {
+fn simulated_requests() -> impl Strategy<Value = Vec<SimulatedRequest>> {
     let gap = prop_oneof![4 => Just(0), 2 => 1i64..50_000, 1 => 50_000i64..2_000_000];
     let one = (gap, 20_000i64..3_000_000, 500i64..4_000_000, 0u64..4, any::<bool>());
     prop::collection::vec(one, 1..60).prop_map(|all| {
         let mut now = 0;
-        let plan = |(gap, wait, runs, key, write)| {
+        let request = |(gap, timeout, run_time, key, is_write)| {
             now += gap;
-            Planned { sent: now, wait, runs, key, write }
+            SimulatedRequest { sent_at: now, timeout, run_time, key, is_write }
         };
-        all.into_iter().map(plan).collect()
+        all.into_iter().map(request).collect()
     })
 }
 
-/// What became of a request.
+/// Times of a request's steps, in microseconds; `None` for a step that was not reached.
 #[derive(Clone, Copy, Debug, Default)]
-struct Outcome {
-    read: Option<i64>,
-    started: Option<i64>,
-    ended: Option<i64>,
-    given_up: bool,
-    answered: Option<i64>,
+struct RequestHistory {
+    read_at: Option<i64>,
+    started_at: Option<i64>,
+    ended_at: Option<i64>,
+    was_given_up: bool,
+    answered_at: Option<i64>,
 }
 
-/// Plays a connection in virtual time: requests are read while there is room, run as long as planned, and are given up at
-/// their effective deadlines. Answers are written as their turn comes.
-fn play(plan: &[Planned], limits: PipelineLimits) -> Vec<Outcome> {
-    let mut outcomes = vec![Outcome::default(); plan.len()];
+/// Simulates a connection in virtual time. Requests are read while the pipeline has capacity, run for their
+/// run times and are given up at their effective deadlines; answers are written in order.
+fn simulate(requests: &[SimulatedRequest], limits: PipelineLimits) -> Vec<RequestHistory> {
+    let mut histories = vec![RequestHistory::default(); requests.len()];
     let mut pipeline: Pipeline<usize, ()> = Pipeline::new(limits);
-    // When each running request would end by itself, and by when it is given up.
+    // The end of each running request and its effective deadline.
     let mut running: BTreeMap<usize, (i64, i64)> = BTreeMap::new();
     let (mut now, mut next) = (0, 0);
     loop {
-        while next < plan.len() && plan[next].sent <= now && pipeline.has_capacity() {
-            let Planned { sent, wait, key, write, .. } = plan[next];
-            pipeline.push(request(next as u64, key, write, sent + wait), next);
-            outcomes[next].read = Some(now);
+        while next < requests.len() && requests[next].sent_at <= now && pipeline.has_capacity() {
+            let SimulatedRequest { sent_at, timeout, key, is_write, .. } = requests[next];
+            pipeline.push(request(next as u64, key, is_write, sent_at + timeout), next);
+            histories[next].read_at = Some(now);
             next += 1;
         }
         while let Some(started) = pipeline.start_next() {
-            outcomes[started.request].started = Some(now);
+            histories[started.request].started_at = Some(now);
             running.insert(
                 started.request,
-                (now + plan[started.request].runs, started.effective_deadline.0.max(now)),
+                (now + requests[started.request].run_time, started.effective_deadline.0.max(now)),
             );
         }
         assert!(pipeline.running() <= limits.max_running);
         for ShortenedDeadline { id, effective_deadline } in pipeline.take_shortened_deadlines() {
-            running.get_mut(&(id.0 as usize)).expect("only what runs is tightened").1 =
+            running.get_mut(&(id.0 as usize)).expect("only running requests have shortened deadlines").1 =
                 effective_deadline.0.max(now);
         }
-        let over: Vec<usize> =
-            running.iter().filter(|(_, (ends, due))| *(ends.min(due)) <= now).map(|(n, _)| *n).collect();
-        for request in &over {
-            let (ends, _) = running.remove(request).expect("it runs");
-            (outcomes[*request].ended, outcomes[*request].given_up) = (Some(now), ends > now);
-            assert!(pipeline.finish(RequestId(*request as u64), ()));
+        let ended: Vec<usize> = running
+            .iter()
+            .filter(|(_, (end, deadline))| *(end.min(deadline)) <= now)
+            .map(|(index, _)| *index)
+            .collect();
+        for index in &ended {
+            let (end, _) = running.remove(index).expect("the request is running");
+            (histories[*index].ended_at, histories[*index].was_given_up) = (Some(now), end > now);
+            assert!(pipeline.finish(RequestId(*index as u64), ()));
         }
         while let Some(ready) = pipeline.pop_answer() {
-            let request = ready.id.expect("a request").0 as usize;
-            assert!(outcomes[request].answered.replace(now).is_none(), "{request} was answered twice");
+            let index = ready.id.expect("an answer to a request").0 as usize;
+            assert!(histories[index].answered_at.replace(now).is_none(), "{index} was answered twice");
         }
-        let is_readable = next < plan.len() && plan[next].sent <= now && pipeline.has_capacity();
-        if !over.is_empty() || is_readable {
+        let is_readable = next < requests.len() && requests[next].sent_at <= now && pipeline.has_capacity();
+        if !ended.is_empty() || is_readable {
             continue;
         }
-        let sent = plan.get(next).map(|planned| planned.sent).filter(|sent| *sent > now);
-        let ends = running.values().map(|(ends, due)| *ends.min(due));
-        match ends.chain(sent).min() {
+        let next_sent = requests.get(next).map(|request| request.sent_at).filter(|at| *at > now);
+        let ends = running.values().map(|(end, deadline)| *end.min(deadline));
+        match ends.chain(next_sent).min() {
             Some(at) => now = at,
             None => break,
         }
     }
     assert!(pipeline.is_empty());
-    outcomes
+    histories
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(512))]
 
     #[test]
-    fn every_request_is_answered_once_in_its_turn_and_in_its_time(
-        plan in planned(),
-        running in 1usize..20,
-        room in 1usize..5,
+    fn every_request_is_answered_once_in_order_and_by_its_deadline(
+        requests in simulated_requests(),
+        max_running in 1usize..20,
+        entries_per_running in 1usize..5,
     ) {
-        let limits = limits(running * room, running);
-        let outcomes = play(&plan, limits);
-        let mut last = i64::MIN;
-        for (n, (planned, outcome)) in plan.iter().zip(&outcomes).enumerate() {
-            let answered = outcome.answered.expect("an answer");
-            prop_assert!(answered >= last, "{n} was answered out of turn");
-            last = answered;
-            let (read, deadline) = (outcome.read.expect("read"), planned.sent + planned.wait);
-            // One that could not be read in its time came too late for an answer in its time.
-            prop_assert!(answered <= deadline.max(read), "{n}: answered {answered}, due {deadline}, read {read}");
+        let limits = limits(max_running * entries_per_running, max_running);
+        let histories = simulate(&requests, limits);
+        let mut last_answered_at = i64::MIN;
+        for (index, (request, history)) in requests.iter().zip(&histories).enumerate() {
+            let answered_at = history.answered_at.expect("an answer");
+            prop_assert!(answered_at >= last_answered_at, "{index} was answered out of order");
+            last_answered_at = answered_at;
+            let (read_at, deadline) =
+                (history.read_at.expect("the request was read"), request.sent_at + request.timeout);
+            // A request that is read after its deadline cannot be answered in time.
+            prop_assert!(
+                answered_at <= deadline.max(read_at),
+                "{index}: answered {answered_at}, due {deadline}, read {read_at}"
+            );
         }
     }
 
     #[test]
-    fn requests_that_conflict_run_in_order(plan in planned(), running in 1usize..20) {
-        let outcomes = play(&plan, limits(running * 4, running));
-        for behind in 0..plan.len() {
+    fn conflicting_requests_run_in_order(requests in simulated_requests(), max_running in 1usize..20) {
+        let histories = simulate(&requests, limits(max_running * 4, max_running));
+        for behind in 0..requests.len() {
             for ahead in 0..behind {
-                let (a, b) = (&plan[ahead], &plan[behind]);
-                if access(a.key, a.write).conflicts_with(access(b.key, b.write)) {
-                    prop_assert!(outcomes[ahead].ended <= outcomes[behind].started, "{behind} ran before {ahead} had ended");
+                let (first, second) = (&requests[ahead], &requests[behind]);
+                if access(first.key, first.is_write).conflicts_with(access(second.key, second.is_write)) {
+                    prop_assert!(
+                        histories[ahead].ended_at <= histories[behind].started_at,
+                        "{behind} ran before {ahead} had ended"
+                    );
                 }
             }
         }
     }
 
-    /// Nothing is given up while it and all that was read behind it by then can still be answered in time.
+    /// A request is not given up while it and all requests read behind it by then can still be answered in
+    /// time.
     #[test]
-    fn nothing_is_given_up_before_an_answer_behind_it_is_due(plan in planned(), running in 1usize..20) {
-        let outcomes = play(&plan, limits(running * 4, running));
-        for (n, outcome) in outcomes.iter().enumerate().filter(|(_, outcome)| outcome.given_up) {
-            let at = outcome.ended.expect("an end");
-            let known = (n..plan.len()).filter(|m| outcomes[*m].read.is_some_and(|read| read <= at));
-            let due = known.map(|m| plan[m].sent + plan[m].wait - 100 * (m - n) as i64).min();
-            prop_assert!(due.is_some_and(|due| at >= due), "{n} was given up at {at}, nothing was due before {due:?}");
+    fn no_request_is_given_up_before_an_answer_behind_it_is_due(
+        requests in simulated_requests(),
+        max_running in 1usize..20,
+    ) {
+        let histories = simulate(&requests, limits(max_running * 4, max_running));
+        for (index, history) in histories.iter().enumerate().filter(|(_, history)| history.was_given_up) {
+            let ended_at = history.ended_at.expect("the request ended");
+            let known = (index..requests.len())
+                .filter(|behind| histories[*behind].read_at.is_some_and(|read_at| read_at <= ended_at));
+            let due = known
+                .map(|behind| requests[behind].sent_at + requests[behind].timeout - 100 * (behind - index) as i64)
+                .min();
+            prop_assert!(
+                due.is_some_and(|due| ended_at >= due),
+                "{index} was given up at {ended_at}, no answer was due before {due:?}"
+            );
         }
     }
 
-    /// Where nobody waits to be read, a request starts as soon as nothing ahead conflicts and there is a place.
+    /// If no request waits to be read, each starts as soon as it conflicts with no unanswered request ahead
+    /// of it.
     #[test]
-    fn nothing_waits_without_need(plan in planned()) {
-        let outcomes = play(&plan, limits(1_000, 1_000));
-        for (n, outcome) in outcomes.iter().enumerate() {
-            let conflicts = |m: &usize| access(plan[*m].key, plan[*m].write).conflicts_with(access(plan[n].key, plan[n].write));
-            let free = (0..n).filter(conflicts).filter_map(|m| outcomes[m].ended).max().unwrap_or(0);
-            prop_assert_eq!(outcome.started, Some(free.max(plan[n].sent)));
+    fn requests_wait_only_for_conflicts(requests in simulated_requests()) {
+        let histories = simulate(&requests, limits(1_000, 1_000));
+        for (index, history) in histories.iter().enumerate() {
+            let request = &requests[index];
+            let conflicts = |ahead: &usize| {
+                access(requests[*ahead].key, requests[*ahead].is_write)
+                    .conflicts_with(access(request.key, request.is_write))
+            };
+            let may_start_at =
+                (0..index).filter(conflicts).filter_map(|ahead| histories[ahead].ended_at).max().unwrap_or(0);
+            prop_assert_eq!(history.started_at, Some(may_start_at.max(request.sent_at)));
         }
     }
 }
 
 #[test]
-fn a_pipeline_of_one_has_no_capacity_for_another() {
+fn a_sequential_pipeline_has_capacity_for_one_request() {
     let mut pipeline: Pipeline<(), ()> = Pipeline::new(PipelineLimits::SEQUENTIAL);
     assert!(pipeline.has_capacity());
     pipeline.push(PipelinedRequest { deadline: NEVER, ..request(0, 1, false, 0) }, ());
