--- a/crates/decisions/src/budget/error.rs
+++ b/crates/decisions/src/budget/error.rs
@@ -1,4 +1,4 @@
-//! Why a budget cannot be made, and why a reservation is rejected.
+//! Errors from the limits of a budget and from reservations.
 
 use super::purpose::Purpose;
 use crate::interface::TimeDelta;
@@ -25,12 +25,12 @@
     Purpose(Purpose, PoolError),
 }
 
-/// Why a pool rejects a reservation.
+/// Reason why a pool rejects a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolRejectionReason {
-    /// It is larger than the pool.
+    /// The reservation is larger than the pool's cap.
     TooLarge,
-    /// The account is entitled to the bytes; they are being reclaimed from those that borrowed them.
+    /// The account is entitled to the bytes; they are being reclaimed from the accounts that borrowed them.
     ReclaimPending,
     /// The account uses its fair share or more, and no bytes are available.
     Full,
@@ -39,29 +39,29 @@
 /// A reservation that a pool rejects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolRejection {
-    /// Why.
+    /// Reason for the rejection.
     pub reason: PoolRejectionReason,
-    /// How long to wait before a retry; `None` if a retry is pointless.
+    /// Time to wait before a retry; `None` if a retry cannot succeed.
     pub retry_after: Option<TimeDelta>,
 }
 
-/// Which limit a reservation exceeds.
+/// The limit that a reservation exceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExceededLimit {
     /// The cap of its purpose.
     Purpose,
-    /// The whole budget; its purpose has bytes available.
+    /// The cap of the whole budget; the purpose still has bytes available.
     Total,
 }
 
 /// A reservation that the budget rejects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("no room for {purpose}")]
+#[error("memory budget exceeded for {purpose}")]
 pub struct BudgetExceeded {
     /// The purpose of the reservation.
     pub purpose: Purpose,
     /// The limit that it exceeds.
     pub limit: ExceededLimit,
-    /// Why, and when to retry.
+    /// Reason for the rejection, and when to retry.
     pub rejection: PoolRejection,
 }
--- a/crates/decisions/src/budget/mod.rs
+++ b/crates/decisions/src/budget/mod.rs
@@ -1,8 +1,10 @@
-//! Memory budget: who may use how many bytes for which purpose, who has to release some, and who may retry when.
+//! The memory budget: caps and reserves by purpose and account, reclaims of borrowed memory, and retry times
+//! of rejected reservations.
 //!
-//! A [`Budget`] divides all accounted memory between [`Purpose`]s, and each purpose's [`Pool`] divides it between accounts.
-//! Unused memory may be borrowed, except for reserves; what was borrowed is reclaimed when an account entitled to it
-//! needs it. No I/O and no clock; the caller measures the bytes.
+//! A [`Budget`] divides all accounted memory between [`Purpose`]s, and the [`Pool`] of each purpose divides
+//! its memory between accounts. Unused memory may be borrowed, except for reserves; borrowed memory is
+//! reclaimed when an account that is entitled to it needs it. The module does no I/O and reads no clock; the
+//! caller measures the bytes.
 
 mod error;
 mod fair_share;
@@ -20,47 +22,48 @@
 use crate::interface::Timestamp;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What a purpose may use.
+/// Limits of a purpose.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PurposeLimits {
-    /// Bytes that it may use at most.
+    /// Maximum number of bytes that the purpose may use.
     pub cap: u64,
     /// Bytes that the other purposes never borrow.
     pub reserve: u64,
-    /// Its weight in the division of what is left beyond the reserves.
+    /// Weight of the purpose in the division of the bytes beyond the reserves.
     pub weight: u32,
-    /// The accounts that share it.
+    /// Limits of the accounts that share the purpose's bytes.
     pub accounts: Vec<AccountLimits>,
 }
 
-/// Memory that has to be released.
+/// Memory that a purpose or an account has to release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PendingReclaim {
-    /// The purpose that uses it.
+    /// The purpose that uses the memory.
     pub purpose: Purpose,
-    /// The account of the purpose that uses it; `None` where any account of the purpose will do.
+    /// The account that has to release it; `None` if any account of the purpose may.
     pub account: Option<AccountId>,
     /// Bytes to release.
     pub bytes: u64,
-    /// When they are due; from then on they may be taken.
+    /// When they have to be released; from then on they may be taken.
     pub due: Timestamp,
 }
 
-/// The memory budget of the process. Clones share it.
+/// The memory budget of the process. Clones share the same budget.
 #[derive(Clone, Debug)]
 pub struct Budget(Arc<Mutex<Pools>>);
 
 impl Budget {
-    /// Returns a budget of `cap` bytes that nobody uses yet, with the limits of each purpose in the order of
-    /// [`PURPOSES`].
+    /// Returns an unused budget of `cap` bytes, with the limits of each purpose in the order of [`PURPOSES`].
     ///
     /// # Errors
-    /// Returns an error if reserves add up to more than their cap.
+    /// Returns an error if the reserves of all purposes, or of the accounts of one, add up to more than their
+    /// cap.
     pub fn new(cap: u64, limits: &[PurposeLimits; PURPOSES.len()]) -> Result<Self, BudgetError> {
         Ok(Self(Arc::new(Mutex::new(Pools::new(cap, limits)?))))
     }
 
-    /// Every change under the lock is made completely or not at all, so a panic elsewhere leaves the pools intact.
+    /// Locks the pools. A poisoned lock is used all the same: every change under the lock is made completely
+    /// or not at all, so a panic elsewhere leaves the pools consistent.
     fn pools(&self) -> MutexGuard<'_, Pools> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -68,7 +71,7 @@
     /// Reserves bytes of a purpose for one of its accounts.
     ///
     /// # Errors
-    /// Returns which limit is exceeded, and when to retry.
+    /// Returns the limit that is exceeded, and when to retry.
     pub fn reserve(
         &self,
         purpose: Purpose,
@@ -95,7 +98,7 @@
         self.pools().total.used()
     }
 
-    /// Returns the most bytes that were ever in use at once.
+    /// Returns the largest number of bytes that was ever in use at once.
     pub fn peak_used(&self) -> u64 {
         self.pools().peak_used
     }
@@ -105,7 +108,7 @@
         self.pools().total.cap()
     }
 
-    /// Returns how many reservations of a purpose were rejected.
+    /// Returns the number of rejected reservations of a purpose.
     pub fn rejections(&self, purpose: Purpose) -> u64 {
         self.pools().rejections[purpose as usize]
     }
@@ -116,12 +119,12 @@
         pools.by_purpose.iter().chain([&pools.total]).filter_map(Pool::next_reclaim_due).min()
     }
 
-    /// Returns all memory that has to be released.
+    /// Returns the memory that has to be released, whether due or not.
     pub fn pending_reclaims(&self) -> Vec<PendingReclaim> {
         self.overdue_reclaims(Timestamp(i64::MAX))
     }
 
-    /// Returns the memory that was due by now and has not been released: it may be taken.
+    /// Returns the memory that was due for release by `now` and is still in use: it may be taken.
     pub fn overdue_reclaims(&self, now: Timestamp) -> Vec<PendingReclaim> {
         let pools = self.pools();
         let of_purposes = pools.total.overdue_reclaims(now).into_iter().map(|reclaim| {
@@ -140,22 +143,24 @@
         of_purposes.chain(of_accounts).collect()
     }
 
-    /// Changes the cap of a purpose, also to less than is in use.
+    /// Changes the cap of a purpose, possibly to less than is in use.
     ///
     /// # Errors
-    /// Returns an error if its reserves add up to more; the cap is then unchanged.
+    /// Returns an error if the reserves of its accounts add up to more than the new cap; the cap is then
+    /// unchanged.
     pub fn resize(&self, purpose: Purpose, cap: u64, now: Timestamp) -> Result<(), BudgetError> {
         let resized = self.pools().by_purpose[purpose as usize].resize(cap, now, &mut Vec::new());
         resized.map_err(|error| BudgetError::Purpose(purpose, error))
     }
 }
 
-/// The pools behind a budget. Invariant: what a purpose uses of the total is what its accounts use.
+/// The pools of a budget. Invariant: the bytes that a purpose uses in `total` are the sum of those that its
+/// accounts use.
 #[derive(Debug)]
 struct Pools {
-    /// All memory; its accounts are the purposes.
+    /// The pool of all memory, whose accounts are the purposes.
     total: Pool,
-    /// In the order of [`PURPOSES`].
+    /// The pool of each purpose, in the order of [`PURPOSES`].
     by_purpose: Vec<Pool>,
     rejections: [u64; PURPOSES.len()],
     peak_used: u64,
@@ -212,7 +217,7 @@
         self.total.release(account_of(purpose), bytes);
     }
 
-    /// Undoes a release under the same lock, whatever the reserves allow by now.
+    /// Undoes a release made under the same lock, without checking limits.
     fn restore(&mut self, purpose: Purpose, account: AccountId, bytes: u64) {
         self.by_purpose[purpose as usize].restore(account, bytes);
         self.total.restore(account_of(purpose), bytes);
--- a/crates/decisions/src/budget/plan.rs
+++ b/crates/decisions/src/budget/plan.rs
@@ -1,24 +1,26 @@
-//! The division of memory: from an installation's figures to the limits of each purpose.
+//! The division of an installation's memory into limits for each purpose and account.
 //!
-//! Defaults apply where the operator sets nothing; limits of the operator that contradict each other are errors.
+//! Defaults apply to limits that the operator does not set; contradictory limits are errors.
 
 use super::{AccountId, AccountLimits, Budget, BudgetError, Purpose, PurposeLimits, PURPOSES};
 use std::collections::BTreeMap;
 
-/// The only account of a purpose that is not divided.
+/// The only account of a purpose that is not divided between classes and tenants.
 pub const SOLE_ACCOUNT: AccountId = AccountId(0);
 
-/// Percentage of a purpose's cap that is reserved for classes that write.
+/// Percentage of a purpose's cap that is reserved for write classes.
 const WRITE_RESERVE_PERCENT: u64 = 25;
-/// Weights are whole numbers: the factor sets how finely priority weights and quotas are told apart.
+/// Factor from fractional weights to the whole numbers of [`AccountLimits::weight`]; it sets their
+/// resolution.
 const WEIGHT_SCALE: f64 = 1_000.0;
+/// Maximum weight of an account.
 const MAX_WEIGHT: f64 = 1e6;
-/// Smallest priority weight that a class counts with.
+/// Lower bound of a class's priority weight.
 const MIN_PRIORITY_WEIGHT: f64 = 0.01;
-/// Smallest share that a tenant counts with; the unnamed tenants together have it too.
+/// Lower bound of a tenant's share; also the share of all tenants without a name together.
 const MIN_TENANT_SHARE: f64 = 0.05;
 
-/// Percentages of all memory that a purpose has by default.
+/// Default limits of a purpose, as percentages of all memory.
 struct DefaultLimits {
     cap_percent: u64,
     reserve_percent: u64,
@@ -42,81 +44,85 @@
     }
 }
 
-/// What the division takes into account of a request class.
+/// The properties of a request class that its share of memory depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassWeight {
-    /// Weight of one of its requests, without a unit.
+    /// Weight of one request of the class, without a unit.
     pub priority_weight: f64,
-    /// Whether its requests write: writes have a reserve that reads cannot use up.
+    /// Whether the class writes: writes have a reserve that reads cannot use.
     pub is_write: bool,
 }
 
-/// What the operator sets for one purpose; defaults apply to the rest.
+/// The operator's limits for one purpose; defaults apply to those that are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LimitOverride {
-    /// Bytes that it may use at most.
+    /// Maximum number of bytes that the purpose may use.
     pub cap: Option<u64>,
     /// Bytes that the other purposes never borrow.
     pub reserve: Option<u64>,
 }
 
-/// The figures of an installation.
+/// The inputs of a plan, from the settings of an installation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlanInputs {
     /// Bytes of all accounted memory.
     pub total: u64,
     /// The request classes, in the order of the settings.
     pub classes: Vec<ClassWeight>,
-    /// The tenants' shares, in the order of the settings; one account more is for tenants without a name.
+    /// The tenants' shares, in the order of the settings. Tenants without a name share one further account.
     pub tenant_shares: Vec<f64>,
-    /// What the operator sets.
+    /// The operator's limits.
     pub overrides: BTreeMap<Purpose, LimitOverride>,
 }
 
-/// The limits of each purpose, and which account belongs to whom.
+/// The limits of each purpose, and the mapping of classes and tenants to accounts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// Bytes of all accounted memory.
     pub total: u64,
-    /// In the order of [`PURPOSES`].
+    /// Limits of each purpose, in the order of [`PURPOSES`].
     pub limits: [PurposeLimits; PURPOSES.len()],
-    classes: usize,
-    /// Those without a name count as one.
-    tenants: usize,
+    class_count: usize,
+    /// Number of tenants; all those without a name count as one.
+    tenant_count: usize,
 }
 
 impl Plan {
     /// Divides the memory of an installation.
     ///
     /// # Errors
-    /// Returns an error if reserves that the operator sets do not fit.
+    /// Returns an error if reserves set by the operator add up to more than their cap.
     pub fn new(inputs: &PlanInputs) -> Result<Self, BudgetError> {
         let plan = Self {
             total: inputs.total,
             limits: PURPOSES.map(|purpose| purpose_limits(purpose, inputs)),
-            classes: inputs.classes.len(),
-            tenants: inputs.tenant_shares.len() + 1,
+            class_count: inputs.classes.len(),
+            tenant_count: inputs.tenant_shares.len() + 1,
         };
         plan.budget()?;
         Ok(plan)
     }
 
-    /// Returns a budget with these limits that nobody uses yet.
+    /// Returns an unused budget with these limits.
     ///
     /// # Errors
-    /// Returns an error if reserves do not fit.
+    /// Returns an error if reserves add up to more than their cap.
     pub fn budget(&self) -> Result<Budget, BudgetError> {
         Budget::new(self.total, &self.limits)
     }
 
-    /// Returns the account of a class and a tenant in the purposes that are divided between these.
+    /// Returns the account of a class and a tenant in the purposes that are divided between classes and
+    /// tenants.
     pub fn account(&self, class: usize, tenant: usize) -> AccountId {
-        AccountId(class.min(self.classes.saturating_sub(1)) * self.tenants + tenant.min(self.tenants - 1))
+        AccountId(
+            class.min(self.class_count.saturating_sub(1)) * self.tenant_count
+                + tenant.min(self.tenant_count - 1),
+        )
     }
 
     /// Returns the account of clients that have not sent a request yet.
     pub fn unidentified_clients(&self) -> AccountId {
-        AccountId(self.classes * self.tenants)
+        AccountId(self.class_count * self.tenant_count)
     }
 }
 
@@ -126,12 +132,13 @@
 
 fn purpose_limits(purpose: Purpose, inputs: &PlanInputs) -> PurposeLimits {
     let defaults = DefaultLimits::of(purpose);
-    let set = inputs.overrides.get(&purpose).copied().unwrap_or_default();
-    let cap = set.cap.unwrap_or(percentage(inputs.total, defaults.cap_percent)).min(inputs.total);
-    let reserve = set.reserve.unwrap_or(percentage(inputs.total, defaults.reserve_percent)).min(cap);
+    let overrides = inputs.overrides.get(&purpose).copied().unwrap_or_default();
+    let cap = overrides.cap.unwrap_or(percentage(inputs.total, defaults.cap_percent)).min(inputs.total);
+    let reserve = overrides.reserve.unwrap_or(percentage(inputs.total, defaults.reserve_percent)).min(cap);
     PurposeLimits { cap, reserve, weight: 1, accounts: accounts(purpose, cap, inputs) }
 }
 
+/// Returns whether a purpose is divided between classes and tenants.
 fn is_divided(purpose: Purpose) -> bool {
     matches!(purpose, Purpose::ClientBuffers | Purpose::Requests | Purpose::UpstreamBuffers)
 }
@@ -144,23 +151,23 @@
     let write_reserve = percentage(cap, WRITE_RESERVE_PERCENT) / write_classes;
     let tenant_shares = inputs.tenant_shares.iter().copied().chain([0.0]);
     let tenant_shares: Vec<f64> = tenant_shares.map(|share| share.max(MIN_TENANT_SHARE)).collect();
-    let sum_of_shares: f64 = tenant_shares.iter().sum();
+    let total_share: f64 = tenant_shares.iter().sum();
     let mut accounts = Vec::with_capacity(inputs.classes.len() * tenant_shares.len() + 1);
     for class in &inputs.classes {
         for share in &tenant_shares {
-            accounts.push(account_limits(class, write_reserve, share / sum_of_shares));
+            accounts.push(account_limits(class, write_reserve, share / total_share));
         }
     }
-    // All unidentified clients together weigh as much as the smallest account.
-    let smallest = accounts.iter().map(|limits| limits.weight).min().unwrap_or(1);
-    accounts.push(AccountLimits { weight: smallest, reserve: 0 });
+    // All unidentified clients together have the weight of the account with the lowest.
+    let lowest_weight = accounts.iter().map(|limits| limits.weight).min().unwrap_or(1);
+    accounts.push(AccountLimits { weight: lowest_weight, reserve: 0 });
     accounts
 }
 
-/// Returns the limits of a class for a tenant with this fraction of all shares.
-fn account_limits(class: &ClassWeight, write_reserve: u64, fraction: f64) -> AccountLimits {
+/// Returns the limits of the account of a class and a tenant with this fraction of all tenants' shares.
+fn account_limits(class: &ClassWeight, write_reserve: u64, tenant_fraction: f64) -> AccountLimits {
     let priority_weight = class.priority_weight.max(MIN_PRIORITY_WEIGHT);
-    let weight = (priority_weight * fraction * WEIGHT_SCALE).round().clamp(1.0, MAX_WEIGHT) as u32;
+    let weight = (priority_weight * tenant_fraction * WEIGHT_SCALE).round().clamp(1.0, MAX_WEIGHT) as u32;
     let reserve = if class.is_write { write_reserve } else { 0 };
-    AccountLimits { weight, reserve: (reserve as f64 * fraction) as u64 }
+    AccountLimits { weight, reserve: (reserve as f64 * tenant_fraction) as u64 }
 }
--- a/crates/decisions/src/budget/pool.rs
+++ b/crates/decisions/src/budget/pool.rs
@@ -1,25 +1,26 @@
-//! A pool: a cap on bytes, and the accounts that share it.
+//! A pool of bytes with a cap, shared by accounts.
 //!
-//! An account may borrow what others do not use, except for their reserves. When an account is rejected although it is
-//! within its fair share, the bytes that others have borrowed are reclaimed.
+//! An account may borrow bytes that others do not use, except for their reserves. If a reservation is
+//! rejected although it keeps its account within its fair share, bytes that others have borrowed are
+//! reclaimed.
 
 use super::error::{PoolError, PoolRejection, PoolRejectionReason};
 use super::fair_share::{allocate, Claim};
 use crate::interface::{TimeDelta, Timestamp};
 
-/// How long borrowers have to release reclaimed bytes.
+/// Time that borrowers have to release reclaimed bytes.
 pub const RECLAIM_NOTICE: TimeDelta = TimeDelta::from_millis(250);
-/// Retry-After of an account that has its fair share.
+/// Retry-After for an account that already uses its fair share.
 const FULL_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(500);
 
-/// An account of a pool, by its index.
+/// Index of an account in its pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AccountId(pub usize);
 
-/// What an account is entitled to.
+/// Limits of an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AccountLimits {
-    /// Its weight in the division of what is left beyond the reserves; 0 counts as 1.
+    /// Weight of the account in the division of the bytes beyond the reserves; 0 counts as 1.
     pub weight: u32,
     /// Bytes that other accounts never borrow.
     pub reserve: u64,
@@ -32,7 +33,7 @@
     pub account: AccountId,
     /// Bytes to release.
     pub bytes: u64,
-    /// When they are due; from then on they may be taken.
+    /// When they have to be released; from then on they may be taken from the account.
     pub due: Timestamp,
 }
 
@@ -46,11 +47,11 @@
 struct Account {
     limits: AccountLimits,
     used: u64,
-    /// What it has been asked to release.
+    /// Bytes that the account has been asked to release.
     pending: Option<PendingBytes>,
 }
 
-/// Bytes shared by accounts.
+/// A pool of bytes shared by accounts.
 #[derive(Clone, Debug)]
 pub struct Pool {
     cap: u64,
@@ -104,7 +105,8 @@
         others.map(|(_, other)| other.limits.reserve.saturating_sub(other.used)).sum()
     }
 
-    /// Returns the fair share of each account if `account` used `more` bytes in addition.
+    /// Returns the fair share of each account, given that `account` demands `more` bytes in addition to those
+    /// it uses.
     fn fair_shares(&self, account: AccountId, more: u64) -> Vec<u64> {
         let claim = |(index, other): (usize, &Account)| Claim {
             weight: other.limits.weight,
@@ -116,11 +118,11 @@
         allocate(self.cap.saturating_sub(self.unused_reserves_of_others(account)), &claims)
     }
 
-    /// Reserves bytes for an account. If it is entitled to them and they are lacking, what is newly reclaimed for it is
-    /// appended to `reclaims`.
+    /// Reserves bytes for an account. If the account is entitled to more bytes than are available, new
+    /// reclaims are appended to `reclaims`.
     ///
     /// # Errors
-    /// Returns why the bytes are not available, and when to retry.
+    /// Returns the reason for the rejection and when to retry.
     pub fn reserve(
         &mut self,
         account: AccountId,
@@ -147,8 +149,8 @@
         Err(PoolRejection { reason: PoolRejectionReason::ReclaimPending, retry_after })
     }
 
-    /// Asks the accounts that use more than their fair share to release `lacking` bytes in all, the largest excess first.
-    /// Returns when all of them are due.
+    /// Asks the accounts that use more than their fair share to release `lacking` bytes in total, the largest
+    /// excess first. Returns the time by which all of these bytes have to be released.
     fn reclaim(
         &mut self,
         shares: &[u64],
@@ -169,7 +171,8 @@
         last_due
     }
 
-    /// Returns the accounts that use more than their share, with the excess in bytes, the largest first.
+    /// Returns the accounts that use more than their share, each with its excess in bytes, the largest excess
+    /// first.
     fn accounts_by_excess(&self, shares: &[u64]) -> Vec<(AccountId, u64)> {
         let accounts = self.accounts.iter().zip(shares).enumerate();
         let excesses =
@@ -179,7 +182,8 @@
         by_excess
     }
 
-    /// Asks an account to release bytes; returns when they are due. A further request for more keeps the first due time.
+    /// Asks an account to release bytes and returns when they are due. While a reclaim is pending, one for
+    /// more bytes keeps its due time.
     fn reclaim_from(
         &mut self,
         id: AccountId,
@@ -197,7 +201,7 @@
         due
     }
 
-    /// Counts bytes for an account without a check, as when a release is undone.
+    /// Counts bytes as used by an account without checking limits, for example to undo a release.
     pub(super) fn restore(&mut self, account: AccountId, bytes: u64) {
         if let Some(account) = self.accounts.get_mut(account.0) {
             account.used += bytes;
@@ -205,7 +209,7 @@
         }
     }
 
-    /// Releases bytes of an account; at most what it uses.
+    /// Releases bytes of an account, at most those that it uses.
     pub fn release(&mut self, account: AccountId, bytes: u64) {
         let Some(account) = self.accounts.get_mut(account.0) else { return };
         let bytes = bytes.min(account.used);
@@ -217,7 +221,7 @@
         });
     }
 
-    /// Returns the reclaims that are due: these bytes may be taken from their accounts.
+    /// Returns the reclaims that are due by `now`: their bytes may be taken from the accounts.
     pub fn overdue_reclaims(&self, now: Timestamp) -> Vec<Reclaim> {
         let overdue = |(index, account): (usize, &Account)| {
             let pending = account.pending.filter(|pending| pending.due <= now)?;
@@ -233,18 +237,18 @@
         pending.map(|pending| pending.due).min()
     }
 
-    /// Changes the cap, also to less than is in use: the excess is reclaimed, and no reservation is granted until enough
-    /// is released. New reclaims are appended to `reclaims`.
+    /// Changes the cap. If more than the new cap is in use, the excess is reclaimed, and no reservation is
+    /// granted until enough is released. New reclaims are appended to `reclaims`.
     ///
     /// # Errors
-    /// Returns an error if the reserves add up to more; the cap is then unchanged.
+    /// Returns an error if the reserves add up to more than the new cap; the cap is then unchanged.
     pub fn resize(&mut self, cap: u64, now: Timestamp, reclaims: &mut Vec<Reclaim>) -> Result<(), PoolError> {
         self.check_reserves(cap)?;
         self.cap = cap;
         let excess = self.used.saturating_sub(cap);
         if excess > 0 {
-            let nobody = AccountId(usize::MAX);
-            let shares = self.fair_shares(nobody, 0);
+            let no_account = AccountId(usize::MAX);
+            let shares = self.fair_shares(no_account, 0);
             self.reclaim(&shares, excess, now, reclaims);
         }
         Ok(())
--- a/crates/decisions/src/budget/purpose.rs
+++ b/crates/decisions/src/budget/purpose.rs
@@ -1,23 +1,23 @@
-//! What memory is used for.
+//! Purposes that memory is used for.
 
 use std::fmt;
 
-/// What memory is used for.
+/// Purpose that memory is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Purpose {
     /// Client connections: their actors and sockets.
     Connections,
-    /// Bytes received from clients that are not answered, and bytes for clients that they have not read.
+    /// Bytes of requests that have not been answered, and bytes of answers that clients have not read.
     ClientBuffers,
     /// The request table.
     Requests,
-    /// Requests and answers on their way to and from hosts.
+    /// Requests that are sent to hosts, and answers that are received from them.
     UpstreamBuffers,
-    /// Sessions, hosts and the router's own tables.
+    /// The router's tables of sessions, hosts and other state.
     Routing,
-    /// Attempts of a request beyond its first.
+    /// Further attempts of a request after its first.
     Copies,
-    /// Log lines and time series that are retained.
+    /// Retained log lines and time series.
     Logs,
 }
 
--- a/crates/decisions/src/budget/reservation.rs
+++ b/crates/decisions/src/budget/reservation.rs
@@ -1,4 +1,4 @@
-//! A reservation of memory, released when it is dropped.
+//! Reservations of memory.
 
 use super::error::BudgetExceeded;
 use super::pool::AccountId;
@@ -16,12 +16,12 @@
 }
 
 impl Reservation {
-    /// Returns the handle of bytes that have been reserved in the budget.
+    /// Returns a handle for bytes that have already been reserved in the budget.
     pub(super) fn new(budget: Budget, purpose: Purpose, account: AccountId, bytes: u64) -> Self {
         Self { budget, purpose, account, bytes }
     }
 
-    /// Returns the account that the bytes are reserved for.
+    /// Returns the account whose bytes are reserved.
     pub fn account(&self) -> AccountId {
         self.account
     }
@@ -34,7 +34,7 @@
     /// Changes the number of reserved bytes. Fewer bytes are always granted.
     ///
     /// # Errors
-    /// Returns an error if there is no capacity for more; the reservation is then unchanged.
+    /// Returns an error if not enough bytes are available; the reservation is then unchanged.
     pub fn resize(&mut self, bytes: u64, now: Timestamp) -> Result<(), BudgetExceeded> {
         let mut pools = self.budget.pools();
         match bytes.checked_sub(self.bytes) {
@@ -45,10 +45,11 @@
         Ok(())
     }
 
-    /// Moves the reservation to another account of its purpose, as when a client has been identified.
+    /// Moves the reservation to another account of its purpose, for example once a client has been
+    /// identified.
     ///
     /// # Errors
-    /// Returns an error if that account has no capacity for it; the reservation is then unchanged.
+    /// Returns an error if that account cannot reserve the bytes; the reservation is then unchanged.
     pub fn assign(&mut self, account: AccountId, now: Timestamp) -> Result<(), BudgetExceeded> {
         if account == self.account {
             return Ok(());
--- a/crates/decisions/tests/budget.rs
+++ b/crates/decisions/tests/budget.rs
@@ -1,4 +1,5 @@
-//! The budget against a reference implementation, over random sequences, and over all states of a small pool.
+//! The memory budget: fair shares against a reference implementation, random sequences of operations, and all
+//! states of a small pool.
 
 use proptest::prelude::*;
 use std::collections::{HashSet, VecDeque};
@@ -10,33 +11,34 @@
     prop::collection::vec(claim.prop_map(|(weight, reserve, demand)| Claim { weight, reserve, demand }), 1..8)
 }
 
-/// Max-min fairness by filling one unit at a time: always to the claim that has least in proportion to its weight.
-fn allocate_unit_by_unit(cap: u64, claims: &[Claim]) -> Vec<u64> {
-    let mut given: Vec<u64> = claims.iter().map(|c| c.reserve.min(c.demand)).collect();
-    let mut left = cap - given.iter().sum::<u64>();
-    while left > 0 {
-        let unsatisfied = (0..claims.len()).filter(|n| given[*n] < claims[*n].demand);
+/// Reference implementation of max-min fair shares: allocates one byte at a time to the unsatisfied claim
+/// that has the least in proportion to its weight.
+fn allocate_byte_by_byte(cap: u64, claims: &[Claim]) -> Vec<u64> {
+    let mut shares: Vec<u64> = claims.iter().map(|claim| claim.reserve.min(claim.demand)).collect();
+    let mut remaining = cap - shares.iter().sum::<u64>();
+    while remaining > 0 {
+        let unsatisfied = (0..claims.len()).filter(|index| shares[*index] < claims[*index].demand);
         let next = unsatisfied.min_by(|a, b| {
-            let level = |n: usize| (given[n] + 1) as f64 / f64::from(claims[n].weight);
+            let level = |index: usize| (shares[index] + 1) as f64 / f64::from(claims[index].weight);
             level(*a).total_cmp(&level(*b))
         });
         let Some(next) = next else { break };
-        given[next] += 1;
-        left -= 1;
+        shares[next] += 1;
+        remaining -= 1;
     }
-    given
+    shares
 }
 
 proptest! {
     #[test]
-    fn shares_are_those_of_the_reference(claims in claims(), extra in 0u64..900) {
-        let cap = claims.iter().map(|c| c.reserve).sum::<u64>() + extra;
-        let (fast, plain) = (allocate(cap, &claims), allocate_unit_by_unit(cap, &claims));
-        prop_assert!(fast.iter().sum::<u64>() <= cap);
-        for ((fast, plain), claim) in fast.iter().zip(&plain).zip(&claims) {
-            // Whole bytes: the level may leave one for each claim undealt.
-            prop_assert!(fast.abs_diff(*plain) <= claims.len() as u64, "{fast} against {plain}");
-            prop_assert!(*fast <= claim.demand && *fast >= claim.reserve.min(claim.demand));
+    fn shares_match_the_reference_implementation(claims in claims(), extra in 0u64..900) {
+        let cap = claims.iter().map(|claim| claim.reserve).sum::<u64>() + extra;
+        let (shares, expected) = (allocate(cap, &claims), allocate_byte_by_byte(cap, &claims));
+        prop_assert!(shares.iter().sum::<u64>() <= cap);
+        for ((share, expected), claim) in shares.iter().zip(&expected).zip(&claims) {
+            // Shares are rounded down to whole bytes, so up to one byte per claim stays unallocated.
+            prop_assert!(share.abs_diff(*expected) <= claims.len() as u64, "{share}, expected {expected}");
+            prop_assert!(*share <= claim.demand && *share >= claim.reserve.min(claim.demand));
         }
     }
 }
@@ -47,17 +49,19 @@
     Resize { reservation: usize, bytes: u64 },
     Assign { reservation: usize, account: usize },
     Drop { reservation: usize },
-    Cap { purpose: usize, cap: u64 },
+    SetCap { purpose: usize, cap: u64 },
 }
 
 fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
         4 => (0..7usize, 0..3usize, 0u64..60)
             .prop_map(|(purpose, account, bytes)| Operation::Reserve { purpose, account, bytes }),
-        2 => (any::<usize>(), 0u64..60).prop_map(|(reservation, bytes)| Operation::Resize { reservation, bytes }),
-        1 => (any::<usize>(), 0..3usize).prop_map(|(reservation, account)| Operation::Assign { reservation, account }),
+        2 => (any::<usize>(), 0u64..60)
+            .prop_map(|(reservation, bytes)| Operation::Resize { reservation, bytes }),
+        1 => (any::<usize>(), 0..3usize)
+            .prop_map(|(reservation, account)| Operation::Assign { reservation, account }),
         2 => any::<usize>().prop_map(|reservation| Operation::Drop { reservation }),
-        1 => (0..7usize, 40u64..160).prop_map(|(purpose, cap)| Operation::Cap { purpose, cap }),
+        1 => (0..7usize, 40u64..160).prop_map(|(purpose, cap)| Operation::SetCap { purpose, cap }),
     ]
 }
 
@@ -73,46 +77,54 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn any_sequence_keeps_the_caps_and_the_reserves_and_ends_at_zero(operations in prop::collection::vec(operation(), 1..120)) {
+    fn any_sequence_respects_caps_and_releases_all_bytes(
+        operations in prop::collection::vec(operation(), 1..120),
+    ) {
         let budget = budget();
         let mut caps = [100u64; 7];
         let mut reservations: Vec<(usize, usize, Reservation)> = Vec::new();
-        for (now, operation) in operations.into_iter().enumerate() {
-            let now = Timestamp(now as i64 * 10_000);
-            let before = PURPOSES.map(|purpose| budget.used(purpose));
+        for (step, operation) in operations.into_iter().enumerate() {
+            let now = Timestamp(step as i64 * 10_000);
+            let used_before = PURPOSES.map(|purpose| budget.used(purpose));
             match operation {
                 Operation::Reserve { purpose, account, bytes } => {
-                    if let Ok(reservation) = budget.reserve(PURPOSES[purpose], AccountId(account), bytes, now) {
+                    let reserved = budget.reserve(PURPOSES[purpose], AccountId(account), bytes, now);
+                    if let Ok(reservation) = reserved {
                         reservations.push((purpose, account, reservation));
                     }
                 }
                 Operation::Resize { reservation, bytes } if !reservations.is_empty() => {
-                    let at = reservation % reservations.len();
-                    let less = bytes <= reservations[at].2.bytes();
-                    prop_assert!(reservations[at].2.resize(bytes, now).is_ok() || !less);
+                    let index = reservation % reservations.len();
+                    let shrinks = bytes <= reservations[index].2.bytes();
+                    prop_assert!(reservations[index].2.resize(bytes, now).is_ok() || !shrinks);
                 }
                 Operation::Assign { reservation, account } if !reservations.is_empty() => {
-                    let at = reservation % reservations.len();
-                    if reservations[at].2.assign(AccountId(account), now).is_ok() {
-                        reservations[at].1 = account;
+                    let index = reservation % reservations.len();
+                    if reservations[index].2.assign(AccountId(account), now).is_ok() {
+                        reservations[index].1 = account;
                     }
                 }
-                Operation::Drop { reservation } if !reservations.is_empty() => drop(reservations.swap_remove(reservation % reservations.len())),
-                Operation::Cap { purpose, cap } => {
+                Operation::Drop { reservation } if !reservations.is_empty() => {
+                    drop(reservations.swap_remove(reservation % reservations.len()))
+                }
+                Operation::SetCap { purpose, cap } => {
                     budget.resize(PURPOSES[purpose], cap, now).unwrap();
                     caps[purpose] = cap;
                 }
                 _ => {}
             }
-            // What is in use is the sum of the reservations, account by account.
-            for (n, purpose) in PURPOSES.into_iter().enumerate() {
+            // The bytes that an account uses are the sum of its reservations.
+            for (index, purpose) in PURPOSES.into_iter().enumerate() {
                 for account in 0..3 {
-                    let held = reservations.iter().filter(|t| (t.0, t.1) == (n, account)).map(|t| t.2.bytes());
-                    prop_assert_eq!(budget.used_by(purpose, AccountId(account)), held.sum::<u64>());
+                    let reserved = reservations
+                        .iter()
+                        .filter(|(purpose, of, _)| (*purpose, *of) == (index, account))
+                        .map(|(_, _, reservation)| reservation.bytes());
+                    prop_assert_eq!(budget.used_by(purpose, AccountId(account)), reserved.sum::<u64>());
                 }
                 let used = budget.used(purpose);
-                // Beyond a cap only what was there before it fell.
-                prop_assert!(used <= caps[n] || used <= before[n]);
+                // Use exceeds a cap only after the cap has been lowered, and then does not grow.
+                prop_assert!(used <= caps[index] || used <= used_before[index]);
             }
             prop_assert!(budget.total_used() <= 400);
         }
@@ -123,21 +135,21 @@
     #[test]
     fn a_reserve_is_always_available(others in prop::collection::vec((0..3usize, 1u64..50), 0..60)) {
         let budget = budget();
-        let held: Vec<_> = others
+        let reservations: Vec<_> = others
             .into_iter()
             .filter(|(account, _)| *account != 2)
             .filter_map(|(account, bytes)| {
                 budget.reserve(Purpose::ClientBuffers, AccountId(account), bytes, Timestamp(0)).ok()
             })
             .collect();
-        // The third account's 20 bytes have not been lent.
+        // The other accounts have not borrowed the 20 bytes that the third one has in reserve.
         prop_assert!(budget.reserve(Purpose::ClientBuffers, AccountId(2), 20, Timestamp(0)).is_ok());
-        drop(held);
+        drop(reservations);
     }
 }
 
 #[test]
-fn reserves_that_do_not_fit_are_rejection_by_name() {
+fn reserves_above_a_purposes_cap_are_rejected() {
     let accounts = vec![AccountLimits { weight: 1, reserve: 101 }];
     let mut limits =
         PURPOSES.map(|_| PurposeLimits { cap: 100, reserve: 0, weight: 1, accounts: Vec::new() });
@@ -166,25 +178,25 @@
         rejection,
         PoolRejection { reason: PoolRejectionReason::ReclaimPending, retry_after: Some(RECLAIM_NOTICE) }
     );
-    let by = Timestamp(RECLAIM_NOTICE.0);
-    assert_eq!(reclaims, [Reclaim { account: AccountId(0), bytes: 30, due: by }]);
+    let due = Timestamp(RECLAIM_NOTICE.0);
+    assert_eq!(reclaims, [Reclaim { account: AccountId(0), bytes: 30, due }]);
     let rejection = pool.reserve(AccountId(1), 30, Timestamp(100_000), &mut reclaims).unwrap_err();
     assert_eq!(rejection.retry_after, Some(TimeDelta(RECLAIM_NOTICE.0 - 100_000)));
     assert_eq!(reclaims.len(), 1);
     assert_eq!(
-        (pool.overdue_reclaims(Timestamp(by.0 - 1)), pool.overdue_reclaims(by)),
+        (pool.overdue_reclaims(Timestamp(due.0 - 1)), pool.overdue_reclaims(due)),
         (vec![], reclaims.clone())
     );
     pool.release(AccountId(0), 30);
-    assert!(pool.overdue_reclaims(by).is_empty());
-    pool.reserve(AccountId(1), 30, by, &mut reclaims).unwrap();
-    // Beyond its half it is not entitled to anything.
-    let rejection = pool.reserve(AccountId(1), 21, by, &mut reclaims).unwrap_err();
+    assert!(pool.overdue_reclaims(due).is_empty());
+    pool.reserve(AccountId(1), 30, due, &mut reclaims).unwrap();
+    // The account's fair share is half of the pool, and it is not entitled to more.
+    let rejection = pool.reserve(AccountId(1), 21, due, &mut reclaims).unwrap_err();
     assert_eq!(rejection.reason, PoolRejectionReason::Full);
 }
 
 #[test]
-fn a_cap_below_what_is_in_use_reclaims_the_excess() {
+fn a_cap_below_the_bytes_in_use_reclaims_the_excess() {
     let mut pool =
         Pool::new(100, &[AccountLimits { weight: 1, reserve: 10 }, AccountLimits { weight: 3, reserve: 0 }])
             .unwrap();
@@ -192,47 +204,52 @@
     pool.reserve(AccountId(0), 50, Timestamp(0), &mut reclaims).unwrap();
     pool.reserve(AccountId(1), 40, Timestamp(0), &mut reclaims).unwrap();
     pool.resize(40, Timestamp(0), &mut reclaims).unwrap();
-    let back: u64 = reclaims.iter().map(|reclaim| reclaim.bytes).sum();
-    assert!((50..=52).contains(&back), "{reclaims:?}");
+    let reclaimed: u64 = reclaims.iter().map(|reclaim| reclaim.bytes).sum();
+    assert!((50..=52).contains(&reclaimed), "{reclaims:?}");
     assert!(pool.reserve(AccountId(0), 1, Timestamp(0), &mut reclaims).is_err());
     assert!(pool.resize(9, Timestamp(0), &mut reclaims).is_err());
 }
 
-/// Every state of a pool of 6 bytes with three accounts that reserve and release one or two bytes: an account within its
-/// fair share gets what it reserves once the borrowers have released what was reclaimed; no other account has to release.
+/// Visits every state of a pool of 6 bytes with three accounts that reserve and release one or two bytes. An
+/// account within its fair share must get its bytes once the borrowers have released the reclaimed ones, and
+/// only other accounts may have to release bytes.
 #[test]
-fn in_all_states_of_a_small_pool_borrowed_bytes_are_reclaimed() {
+fn borrowed_bytes_are_reclaimed_in_all_states_of_a_small_pool() {
     let limits = [(1, 1), (1, 0), (2, 2)].map(|(weight, reserve)| AccountLimits { weight, reserve });
-    let mut seen = HashSet::from([[0u64; 3]]);
-    let mut todo = VecDeque::from([Pool::new(6, &limits).unwrap()]);
-    let (mut rejection, mut returned) = (0, 0);
-    let state = |pool: &Pool| [0, 1, 2].map(|n| pool.used_by(AccountId(n)));
-    while let Some(pool) = todo.pop_front() {
-        for (account, bytes) in (0..3).flat_map(|n| [(AccountId(n), 1), (AccountId(n), 2)]) {
+    let mut visited = HashSet::from([[0u64; 3]]);
+    let mut queue = VecDeque::from([Pool::new(6, &limits).unwrap()]);
+    let (mut rejected, mut reclaimed) = (0, 0);
+    let state = |pool: &Pool| [0, 1, 2].map(|index| pool.used_by(AccountId(index)));
+    while let Some(pool) = queue.pop_front() {
+        for (account, bytes) in (0..3).flat_map(|index| [(AccountId(index), 1), (AccountId(index), 2)]) {
             let (mut next, mut reclaims) = (pool.clone(), Vec::new());
             match next.reserve(account, bytes, Timestamp(0), &mut reclaims) {
                 Ok(()) => assert!(reclaims.is_empty() && next.used() <= 6),
                 Err(PoolRejection { reason: PoolRejectionReason::ReclaimPending, .. }) => {
-                    returned += 1;
+                    reclaimed += 1;
                     let total: u64 = reclaims.iter().map(|reclaim| reclaim.bytes).sum();
                     assert!(
                         total >= bytes - pool.available(account)
-                            && reclaims.iter().all(|r| r.account != account)
+                            && reclaims.iter().all(|reclaim| reclaim.account != account)
                     );
                     reclaims.iter().for_each(|reclaim| next.release(reclaim.account, reclaim.bytes));
                     next.reserve(account, bytes, Timestamp(0), &mut Vec::new())
                         .expect("the account is entitled to it");
                 }
-                Err(_) => rejection += 1,
+                Err(_) => rejected += 1,
             }
-            let mut less = pool.clone();
-            less.release(account, bytes);
-            for pool in [next, less] {
-                if seen.insert(state(&pool)) {
-                    todo.push_back(pool);
+            let mut released = pool.clone();
+            released.release(account, bytes);
+            for pool in [next, released] {
+                if visited.insert(state(&pool)) {
+                    queue.push_back(pool);
                 }
             }
         }
     }
-    assert!(seen.len() > 30 && rejection > 10 && returned > 10, "{} {rejection} {returned}", seen.len());
+    assert!(
+        visited.len() > 30 && rejected > 10 && reclaimed > 10,
+        "{} {rejected} {reclaimed}",
+        visited.len()
+    );
 }
--- a/crates/decisions/tests/pipeline.rs
+++ b/crates/decisions/tests/pipeline.rs
@@ -301,7 +301,9 @@
             let known = (index..requests.len())
                 .filter(|behind| histories[*behind].read_at.is_some_and(|read_at| read_at <= ended_at));
             let due = known
-                .map(|behind| requests[behind].sent_at + requests[behind].timeout - 100 * (behind - index) as i64)
+                .map(|behind| {
+                    requests[behind].sent_at + requests[behind].timeout - 100 * (behind - index) as i64
+                })
                 .min();
             prop_assert!(
                 due.is_some_and(|due| ended_at >= due),
