--- a/crates/decisions/src/drain/connection.rs
+++ b/crates/decisions/src/drain/connection.rs
@@ -1,47 +1,50 @@
-//! What a drain lets one client connection do, and until when: the only place that decides whether a connection may still
-//! take requests, how long its startup and its writes may take, and by when its answers are due.
+//! The effect of drains on one client connection: whether it may still read requests, how long its startup
+//! and its writes may take, and when its answers are due. No other module decides this.
 //!
-//! A drain reaches a connection in three steps. From `close_idle_after` on a connection that is found idle is closed. From
-//! `stop_reading_after` on a connection that has sent a request reads nothing further: what was read is answered, then it
-//! is closed, even if its client has sent more. From `answers_due_after` on a client that has sent more meanwhile gets its
-//! answers at once. So every connection ends whatever its client does, also if the client never pauses between requests.
+//! A drain affects a connection in three steps. From `close_idle_after` on it is closed once it is idle. From
+//! `stop_reading_after` on a connection that has sent a request reads nothing further: requests that were
+//! read are answered, then it is closed, even if its client has sent more. From `answers_due_after` on, a
+//! client that has sent more in the meantime gets its answers at once. So every connection ends, even if its
+//! client never pauses between requests.
 
 use super::shutdown::DRAIN_FIRST_REQUEST_TIMEOUT;
 use super::ShutdownSchedule;
 use crate::interface::{TimeDelta, Timestamp};
 use std::time::Duration;
 
-/// From this long after a quiesce call on, a connection may only be open for requests older than
+/// Time after a quiesce call from which connections may only be open for requests older than
 /// [`QUIESCE_MIN_REQUEST_AGE`].
 const QUIESCE_LIMIT: Duration = Duration::from_secs(4);
-/// The age of a request that may still be in flight at [`QUIESCE_LIMIT`].
+/// Minimum age of requests that may still be in flight at [`QUIESCE_LIMIT`].
 const QUIESCE_MIN_REQUEST_AGE: Duration = Duration::from_secs(2);
-/// Idle connections are closed this long after a quiesce call: load balancers send new connections elsewhere within 0.2 s,
-/// and as much again is left to those on their way.
+/// Time after a quiesce call from which idle connections are closed. Load balancers send new connections
+/// elsewhere within 0.2 s; another 0.2 s is for connections that are being established.
 const QUIESCE_CLOSE_IDLE_AFTER: Duration = Duration::from_millis(400);
-/// Kept free for a process that is held up: between the operator's call and the drain's start, and during a read that was
-/// admitted just before the end.
+/// Margin for delays of the process between the operator's call and the start of the drain, and during a read
+/// that begins just before `stop_reading_after`.
 const QUIESCE_START_MARGIN: Duration = Duration::from_millis(500);
-/// Answers are due this long before [`QUIESCE_LIMIT`]: time for the network and a busy machine.
+/// Margin between the time at which answers are due and [`QUIESCE_LIMIT`], for the network and a busy
+/// machine.
 const QUIESCE_ANSWER_MARGIN: Duration = Duration::from_millis(500);
 
-/// The schedule of a drain for one connection, in spans from the drain's start.
+/// The schedule of a drain for one connection, as times after the start of the drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionSchedule {
-    /// From when on idle connections are closed.
+    /// Time from which idle connections are closed.
     pub close_idle_after: Duration,
-    /// From when on a connection that has sent a request reads nothing further.
+    /// Time from which a connection that has sent a request reads nothing further.
     pub stop_reading_after: Duration,
-    /// From when on a connection does not wait for answers while its client sends more.
+    /// Time from which a connection whose client sends more no longer waits for answers.
     pub answers_due_after: Duration,
-    /// By when a connection is closed, whatever it waits for, if the process ends.
+    /// Time by which a connection is closed, whatever it waits for; `None` if the process does not end.
     pub force_close_after: Option<Duration>,
-    /// How long a connection without a request, or with part of a message, may take from its last activity.
+    /// Time from its last activity within which a connection must send its first request, or the rest of a
+    /// message.
     pub first_request_timeout: Duration,
 }
 
 impl ConnectionSchedule {
-    /// The schedule of a quiesce call, which does not end the process.
+    /// Schedule of a quiesce call, which does not end the process.
     pub const QUIESCE: Self = Self {
         close_idle_after: QUIESCE_CLOSE_IDLE_AFTER,
         stop_reading_after: QUIESCE_LIMIT
@@ -65,56 +68,56 @@
     }
 }
 
-/// A drain that has begun.
+/// A drain that has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ActiveDrain {
-    /// When it began.
+    /// Start of the drain.
     pub started_at: Timestamp,
-    /// What it does when.
+    /// Schedule of the drain.
     pub schedule: ConnectionSchedule,
-    /// Whether the process ends with it. If so, connections without a request are closed by `stop_reading_after` too, and
-    /// answers are due by `answers_due_after`.
+    /// Whether the process ends after the drain. If so, connections without a request are closed by
+    /// `stop_reading_after` too, and answers are due by `answers_due_after`.
     pub ends_process: bool,
 }
 
-/// The state of a connection, as far as a drain depends on it.
+/// The state of a connection that the effect of a drain depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionState {
-    /// When bytes were last read, or an answer was last written.
+    /// Time at which bytes were last read or an answer was last written.
     pub last_activity_at: Timestamp,
-    /// Whether it has sent a request since it was opened.
+    /// Whether the client has sent a request on this connection.
     pub has_sent_request: bool,
-    /// Whether part of a message was read.
+    /// Whether only part of a message has been read.
     pub has_partial_message: bool,
 }
 
-/// What a connection may do; a later one is stricter.
+/// Permission of a connection to read and to wait, in order of strictness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Permission {
-    /// It reads and takes requests.
+    /// Reads and accepts requests.
     Open,
-    /// It reads nothing further and is closed once all requests are answered.
+    /// Reads nothing further and is closed once all requests are answered.
     Finishing,
-    /// As `Finishing`; once its client sends more, all requests are answered at once.
+    /// As `Finishing`, but once the client sends more, all requests are answered at once.
     Overdue,
 }
 
-/// What the active drains mean for a connection now.
+/// The effect of the active drains on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainDecision {
-    /// What it may do.
+    /// Current permission of the connection.
     pub permission: Permission,
-    /// When to close it if no request is open by then and nothing more is read.
+    /// Time at which the connection is closed if no request is open by then and nothing more is read.
     pub close_idle_at: Option<Timestamp>,
-    /// When to decide again, if nothing else happens before.
+    /// Time at which to decide again, unless the connection's state changes before.
     pub reevaluate_at: Option<Timestamp>,
 }
 
 impl DrainDecision {
-    /// The decision without a drain.
+    /// The decision if no drain is active.
     pub const OPEN: Self = Self { permission: Permission::Open, close_idle_at: None, reevaluate_at: None };
 
-    /// Returns the stricter of two decisions, field by field.
+    /// Returns the stricter value of each field of two decisions.
     fn stricter(self, other: Self) -> Self {
         let earlier = |a: Option<Timestamp>, b: Option<Timestamp>| a.into_iter().chain(b).min();
         Self {
@@ -125,25 +128,25 @@
     }
 }
 
-/// Returns the point in time `span` later than `start`, without overflow.
-fn later(start: Timestamp, span: Duration) -> Timestamp {
+/// Returns the point in time `span` after `start`, saturating on overflow.
+fn add_saturating(start: Timestamp, span: Duration) -> Timestamp {
     Timestamp(start.0.saturating_add(TimeDelta::from(span).0))
 }
 
 impl ActiveDrain {
-    /// Returns the point in time `span` after the drain's start.
+    /// Returns the point in time `span` after the start of the drain.
     fn at(&self, span: Duration) -> Timestamp {
-        later(self.started_at, span)
+        add_saturating(self.started_at, span)
     }
 
-    /// Decides for this drain alone.
+    /// Returns the effect of this drain alone.
     fn decide(&self, state: ConnectionState, now: Timestamp) -> DrainDecision {
         let close_idle_at = self.at(self.schedule.close_idle_after);
         let stop_reading_at = self.at(self.schedule.stop_reading_after);
         let answers_due_at = self.at(self.schedule.answers_due_after);
         let steps = [close_idle_at, stop_reading_at, answers_due_at];
         let is_bounded = state.has_sent_request || self.ends_process;
-        let idle_until = close_idle_at.max(later(state.last_activity_at, self.idle_grace(state)));
+        let idle_until = close_idle_at.max(add_saturating(state.last_activity_at, self.idle_grace(state)));
         let permission = match state.has_sent_request {
             true if now >= answers_due_at => Permission::Overdue,
             true if now >= stop_reading_at => Permission::Finishing,
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Returns how long a connection may be without activity before it counts as idle.
+    /// Returns the time without activity after which a connection counts as idle.
     fn idle_grace(&self, state: ConnectionState) -> Duration {
         if state.has_sent_request && !state.has_partial_message {
             Duration::ZERO
@@ -165,28 +168,29 @@
         }
     }
 
-    /// Returns until when the startup of a connection may take that is accepted now, or is in its startup as the drain
-    /// begins.
+    /// Returns the startup deadline of a connection that is accepted now, or whose startup is in progress as
+    /// the drain starts.
     fn startup_deadline(&self, now: Timestamp) -> Timestamp {
-        let patient = later(now, self.schedule.first_request_timeout);
+        let deadline = add_saturating(now, self.schedule.first_request_timeout);
         if self.ends_process {
-            patient.min(self.at(self.schedule.stop_reading_after))
+            deadline.min(self.at(self.schedule.stop_reading_after))
         } else {
-            patient
+            deadline
         }
     }
 
-    /// Returns when a client that takes nothing of what is written is given up.
+    /// Returns the time at which a write that makes no progress is given up.
     fn write_deadline(&self, last_progress_at: Timestamp, stall_timeout: Duration) -> Timestamp {
-        let patient = self.at(self.schedule.answers_due_after).max(later(last_progress_at, stall_timeout));
+        let deadline =
+            self.at(self.schedule.answers_due_after).max(add_saturating(last_progress_at, stall_timeout));
         match self.schedule.force_close_after {
-            Some(force_close_after) => patient.min(self.at(force_close_after)),
-            None => patient,
+            Some(force_close_after) => deadline.min(self.at(force_close_after)),
+            None => deadline,
         }
     }
 }
 
-/// Decides what the active drains mean for a connection. The strictest counts.
+/// Returns the effect of the active drains on a connection. For each field the strictest drain counts.
 pub fn decide(
     drains: impl IntoIterator<Item = ActiveDrain>,
     state: ConnectionState,
@@ -196,22 +200,22 @@
     decisions.fold(DrainDecision::OPEN, DrainDecision::stricter)
 }
 
-/// Returns until when the startup of a connection may take that is accepted now, or is in its startup as a drain begins;
-/// `None` without a drain.
+/// Returns the startup deadline of a connection that is accepted now, or whose startup is in progress as a
+/// drain starts; `None` without a drain.
 pub fn startup_deadline(drains: impl IntoIterator<Item = ActiveDrain>, now: Timestamp) -> Option<Timestamp> {
     drains.into_iter().map(|drain| drain.startup_deadline(now)).min()
 }
 
-/// Returns by when the requests that are read now have to be answered; `None` unless the process ends.
+/// Returns the time by which requests that are read now have to be answered; `None` unless the process ends.
 pub fn answers_due_at(drains: impl IntoIterator<Item = ActiveDrain>) -> Option<Timestamp> {
     let ending = drains.into_iter().filter(|drain| drain.ends_process);
     ending.map(|drain| drain.at(drain.schedule.answers_due_after)).min()
 }
 
-/// Returns when a client that takes nothing of what is written is given up; `None` without a drain.
+/// Returns the time at which a write that makes no progress is given up; `None` without a drain.
 ///
-/// The client has `stall_timeout` since it last took something (`last_progress_at`), and at least until the drain's answers
-/// are due; at the latest until connections are closed by force.
+/// That is `stall_timeout` after the client last read some of the data (`last_progress_at`), but not before
+/// the drain's answers are due, and no later than connections are closed by force.
 pub fn write_deadline(
     drains: impl IntoIterator<Item = ActiveDrain>,
     last_progress_at: Timestamp,
@@ -220,7 +224,7 @@
     drains.into_iter().map(|drain| drain.write_deadline(last_progress_at, stall_timeout)).min()
 }
 
-/// Returns when connections are closed, whatever they wait for; `None` unless the process ends.
+/// Returns the time at which connections are closed, whatever they wait for; `None` unless the process ends.
 pub fn force_close_at(drains: impl IntoIterator<Item = ActiveDrain>) -> Option<Timestamp> {
     drains.into_iter().filter_map(|drain| Some(drain.at(drain.schedule.force_close_after?))).min()
 }
--- a/crates/decisions/src/drain/mod.rs
+++ b/crates/decisions/src/drain/mod.rs
@@ -1,9 +1,9 @@
-//! Draining: when a proxy that is to end, or that is taken out of rotation, does what.
+//! Draining of client connections when the proxy shuts down or is quiesced.
 //!
-//! | file | decides |
+//! | file | contents |
 //! | --- | --- |
 //! | `shutdown.rs` | the schedule of a graceful shutdown, from SIGTERM to the expected SIGKILL |
-//! | `connection.rs` | what a drain lets one client connection do, and until when |
+//! | `connection.rs` | the effect of drains on one client connection |
 
 pub mod connection;
 mod shutdown;
--- a/crates/decisions/src/drain/shutdown.rs
+++ b/crates/decisions/src/drain/shutdown.rs
@@ -1,53 +1,57 @@
-//! The schedule of a graceful shutdown, in spans from SIGTERM, derived from the longest request deadline: a platform whose
-//! longest deadline is 0.2 s sends SIGKILL long before one whose longest is 3 s.
+//! The schedule of a graceful shutdown, as times after SIGTERM.
 //!
-//! Invariant: each step leaves time for what the step before it admits. A request that arrives just before idle
-//! connections are closed still has its complete deadline (at most [`MAX_REQUEST_TIME`]), and its answer is due before
-//! SIGKILL.
+//! It is derived from the longest request deadline: a platform whose longest deadline is 0.2 s sends SIGKILL
+//! long before one whose longest deadline is 3 s.
+//!
+//! Invariant: each step leaves enough time to finish what the step before it still admits. A request that
+//! arrives just before idle connections are closed still has its complete deadline (at most
+//! [`MAX_REQUEST_TIME`]), and its answer is due before SIGKILL.
 
 use std::time::Duration;
 
-/// SIGKILL is expected this long after SIGTERM plus the longest deadline.
+/// Time from SIGTERM until the expected SIGKILL, in addition to the longest deadline.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// The longest deadline counts as this much at most for the moment of SIGKILL.
+/// Upper bound of the longest deadline in the calculation of the expected SIGKILL.
 const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
-/// Clients still connect and send requests for this long after SIGTERM.
+/// Time after SIGTERM in which clients still connect and send requests.
 const ACCEPT_WINDOW: Duration = Duration::from_millis(400);
-/// An answer is due this long before SIGKILL, or a tenth of the span to SIGKILL if that is less: time for the network,
-/// timers and a busy machine.
+/// Margin between the time at which answers are due and the expected SIGKILL, for the network, timers and a
+/// busy machine. A tenth of the time from SIGTERM to SIGKILL if that is less.
 const ANSWER_MARGIN: Duration = Duration::from_millis(200);
-/// Time that a request has when idle connections are closed, unless the longest deadline is shorter.
+/// Time for a request that arrives just before idle connections are closed, unless the longest deadline is
+/// shorter.
 const MAX_REQUEST_TIME: Duration = Duration::from_secs(1);
-/// The proxy accepts connections for at least this long after SIGTERM, unless answers are due earlier.
+/// Minimum time after SIGTERM in which the proxy accepts connections, unless answers are due earlier.
 const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(750);
-/// The proxy accepts connections for at least this long after the last one, unless answers are due earlier.
+/// Minimum time after the last accepted connection in which the proxy accepts more, unless answers are due
+/// earlier.
 const ACCEPT_IDLE_TIME: Duration = Duration::from_millis(350);
-/// Time that a connection without a request has to send its first one, from its last activity.
+/// Time from a connection's last activity within which it must send its first request.
 pub(super) const DRAIN_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The schedule of a graceful shutdown, in spans from SIGTERM unless a field says otherwise.
+/// The schedule of a graceful shutdown, as times after SIGTERM unless a field says otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// From when on idle connections are closed.
+    /// Time from which idle connections are closed.
     pub close_idle_after: Duration,
-    /// From when on connections read no further requests, and those without a request are closed too.
+    /// Time from which connections read no further requests, and those that have not sent any are closed too.
     pub stop_reading_after: Duration,
-    /// By when every request that was read is answered.
+    /// Time by which every request that was read is answered.
     pub answers_due_after: Duration,
-    /// By when every connection is closed, whatever it waits for.
+    /// Time by which every connection is closed, whatever it waits for.
     pub force_close_after: Duration,
-    /// When SIGKILL has to be expected.
+    /// Time of the expected SIGKILL.
     pub sigkill_after: Duration,
-    /// The earliest exit of the process.
+    /// Earliest exit of the process.
     pub earliest_exit_after: Duration,
-    /// The earliest exit of the process, from the last connection that was accepted.
+    /// Earliest exit of the process, as a time after the last accepted connection.
     pub accept_idle_time: Duration,
-    /// How long a connection may take to send its first request, from its last activity.
+    /// Time from a connection's last activity within which it must send its first request.
     pub first_request_timeout: Duration,
 }
 
 impl ShutdownSchedule {
-    /// Returns the schedule of a proxy whose requests have this longest deadline.
+    /// Returns the schedule of a proxy whose longest request deadline is `longest_deadline`.
     pub fn with_longest_deadline(longest_deadline: Duration) -> Self {
         let sigkill_after = longest_deadline.min(MAX_KILL_DEADLINE) + KILL_GRACE;
         let answers_due_after = sigkill_after - ANSWER_MARGIN.min(sigkill_after / 10);
@@ -67,8 +71,8 @@
         }
     }
 
-    /// Returns the earliest exit, as a span from SIGTERM, after one more connection was accepted `accepted_after` SIGTERM;
-    /// `exit_after` is the earliest exit before that.
+    /// Returns the new earliest exit after one more connection was accepted, given the previous one. All
+    /// times are after SIGTERM.
     pub fn exit_after_accept(&self, exit_after: Duration, accepted_after: Duration) -> Duration {
         exit_after.max(accepted_after + self.accept_idle_time).min(self.answers_due_after)
     }
--- a/crates/decisions/src/drain/shutdown/tests.rs
+++ b/crates/decisions/src/drain/shutdown/tests.rs
@@ -4,31 +4,39 @@
     Duration::from_millis(ms)
 }
 
-/// In the order in which they have to come, whatever the settings say.
+/// For any longest deadline the steps are in order, and a request admitted by one step can be finished before
+/// the next.
 #[test]
-fn each_step_leaves_time_for_what_the_one_before_admits() {
+fn each_step_leaves_time_for_requests_admitted_before() {
     for longest in
         [0, 1, 50, 100, 150, 200, 300, 500, 600, 1_000, 1_300, 2_000, 3_000, 10_000, 3_600_000].map(ms)
     {
         let schedule = ShutdownSchedule::with_longest_deadline(longest);
         let ShutdownSchedule {
-            close_idle_after: idle,
-            stop_reading_after: stop,
-            answers_due_after: answers,
-            force_close_after: force,
-            sigkill_after: killed,
-            earliest_exit_after: exit,
+            close_idle_after,
+            stop_reading_after,
+            answers_due_after,
+            force_close_after,
+            sigkill_after,
+            earliest_exit_after,
             ..
         } = schedule;
-        assert_eq!(killed, longest.min(ms(3_000)) + ms(700));
-        assert!(answers < force && force < killed, "{longest:?}: {schedule:?}");
-        assert!(ACCEPT_WINDOW <= idle && idle <= stop && stop <= answers, "{longest:?}: {schedule:?}");
+        let message = format!("{longest:?}: {schedule:?}");
+        assert_eq!(sigkill_after, longest.min(ms(3_000)) + ms(700));
+        assert!(answers_due_after < force_close_after && force_close_after < sigkill_after, "{message}");
         assert!(
-            answers + killed.min(ms(2_000)) / 10 <= killed && exit <= answers,
-            "{longest:?}: {schedule:?}"
+            ACCEPT_WINDOW <= close_idle_after
+                && close_idle_after <= stop_reading_after
+                && stop_reading_after <= answers_due_after,
+            "{message}"
         );
-        // A request that comes as connections are closed has its complete deadline, or a second.
-        assert!(idle + longest.min(MAX_REQUEST_TIME) <= answers, "{longest:?}: {schedule:?}");
+        assert!(
+            answers_due_after + sigkill_after.min(ms(2_000)) / 10 <= sigkill_after
+                && earliest_exit_after <= answers_due_after,
+            "{message}"
+        );
+        // A request that arrives as idle connections are closed has its complete deadline, or a second.
+        assert!(close_idle_after + longest.min(MAX_REQUEST_TIME) <= answers_due_after, "{message}");
     }
 }
 
