--- a/crates/decisions/src/load/by_role.rs
+++ b/crates/decisions/src/load/by_role.rs
@@ -1,4 +1,4 @@
-//! A value for the primary of a group and one for its replicas.
+//! Values kept separately for each host role.
 
 use crate::interface::Role;
 
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Returns the value for `role`, to be changed.
+    /// Returns a mutable reference to the value for `role`.
     pub fn get_mut(&mut self, role: Role) -> &mut T {
         match role {
             Role::Primary => &mut self.primary,
--- a/crates/decisions/src/load/circuit_breaker.rs
+++ b/crates/decisions/src/load/circuit_breaker.rs
@@ -1,13 +1,14 @@
-//! Ejection of a host that fails: for longer with each further failure, until its next response.
+//! Ejection of failing hosts, with exponential backoff until the next response.
 
 use crate::interface::{TimeDelta, Timestamp};
 
 #[cfg(test)]
 mod tests;
 
-/// Largest number of doublings of the ejection time.
+/// Maximum number of doublings of the ejection time.
 const MAX_DOUBLINGS: u32 = 6;
-/// Failures in a row from which on the host itself is at fault; fewer may be faults of single connections.
+/// Number of consecutive failures from which the host itself is considered at fault; fewer may be faults of
+/// single connections.
 const REPEATED_FAILURES: u32 = 3;
 
 /// The circuit breaker of one host: open while the host is ejected.
@@ -23,7 +24,7 @@
         self.consecutive_failures > 0
     }
 
-    /// Returns whether the host has failed at least [`REPEATED_FAILURES`] times since its last response.
+    /// Returns whether the host has failed at least `REPEATED_FAILURES` times since its last response.
     pub fn is_failing_repeatedly(&self) -> bool {
         self.consecutive_failures >= REPEATED_FAILURES
     }
@@ -33,13 +34,13 @@
         self.is_failing() && now < self.open_until
     }
 
-    /// Closes the breaker: the host has responded.
+    /// Closes the breaker, because the host has responded.
     pub fn record_response(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// Opens the breaker for `base`, doubled with each failure since the last response, and for `longest`
-    /// at most. An ejection that already lasts longer stands.
+    /// Opens the breaker for `base`, doubled for each further failure since the last response, up to
+    /// `longest`. Does not shorten an ejection in progress.
     pub fn record_failure(&mut self, now: Timestamp, base: TimeDelta, longest: TimeDelta) {
         self.consecutive_failures += 1;
         let doublings = (self.consecutive_failures - 1).min(MAX_DOUBLINGS);
@@ -47,11 +48,11 @@
         self.open_until = self.open_until.max(now + ejection);
     }
 
-    /// Records that an attempt starts. A failing host gets one at a time, so its breaker is open for `span`
-    /// anew.
-    pub fn record_attempt(&mut self, now: Timestamp, span: TimeDelta) {
+    /// Records the start of an attempt. Ejects a failing host again for `ejection`, so that it gets one
+    /// attempt at a time.
+    pub fn record_attempt(&mut self, now: Timestamp, ejection: TimeDelta) {
         if self.is_failing() {
-            self.open_until = now + span;
+            self.open_until = now + ejection;
         }
     }
 }
--- a/crates/decisions/src/load/decaying_average.rs
+++ b/crates/decisions/src/load/decaying_average.rs
@@ -1,12 +1,14 @@
-//! An average that weighs samples by their age as well as by their number: an observer with hundreds of
-//! samples a second needs many of them, one with a sample every few seconds cannot wait for them.
+//! An exponentially decaying average that suits both frequent and rare samples.
+//!
+//! The weight of a new sample depends on the time since the one before: among hundreds of samples per second
+//! a single one counts little, and where samples are seconds apart it replaces most of the average.
 
 use crate::interface::Timestamp;
 
 #[cfg(test)]
 mod tests;
 
-/// An average of samples that decays towards zero while none come. Time constants are in microseconds.
+/// An average of samples that decays towards zero without new ones. Time constants are in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingAverage {
     value: f64,
@@ -14,18 +16,17 @@
 }
 
 impl DecayingAverage {
-    /// Returns the weight, from 0 to 1, that the latest sample still has at `now`.
+    /// Returns the factor, from 0 to 1, by which the average has decayed since the latest sample.
     pub fn remaining_weight(&self, now: Timestamp, time_constant_us: f64) -> f64 {
         (-((now.0 - self.updated_at.0).max(0) as f64) / time_constant_us).exp()
     }
 
-    /// Returns the average as it stands at `now`.
+    /// Returns the decayed average at `now`.
     pub fn value_at(&self, now: Timestamp, time_constant_us: f64) -> f64 {
         self.value * self.remaining_weight(now, time_constant_us)
     }
 
-    /// Adds a sample. Its weight is at least `min_weight`, and grows with the time since the sample before
-    /// it.
+    /// Adds a sample. Its weight is at least `min_weight` and grows with the time since the previous sample.
     pub fn record(&mut self, now: Timestamp, sample: f64, min_weight: f64, time_constant_us: f64) {
         let weight = min_weight.max(1.0 - self.remaining_weight(now, time_constant_us));
         self.value += weight * (sample - self.value);
--- a/crates/decisions/src/load/group_latency.rs
+++ b/crates/decisions/src/load/group_latency.rs
@@ -1,7 +1,7 @@
-//! Latency of recent responses, as a ratio of their latency objectives, by group and role.
+//! Latency ratios (latency divided by latency objective) of recent responses, by group and role.
 //!
-//! A router that hears from a group every few seconds has one or two recent responses of it, of which a
-//! single slow one says little. So the average over all groups counts beside the group's own.
+//! A router that gets a response from a group every few seconds has only one or two recent ones, and a single
+//! slow one says little. So the average over all groups is combined with the group's own.
 
 use super::{ByRole, DecayingAverage};
 use crate::interface::{Role, Timestamp};
@@ -10,10 +10,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Weight of the average over all groups, as a number of responses of the group itself.
+/// Weight of the average over all groups, in responses of the group itself.
 const FLEET_SAMPLES: f64 = 3.0;
 
-/// Recent responses of one role in one group.
+/// Decaying statistics of the responses of one role in one group.
 #[derive(Clone, Copy, Debug, Default)]
 struct ResponseHistory {
     latency_ratio: DecayingAverage,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Latency ratios by group and role. A ratio of 1 is a response exactly at its latency objective.
+/// Latency ratios by group and role. The ratio is 1 for a response exactly at its latency objective.
 #[derive(Clone, Debug)]
 pub struct GroupLatency {
     time_constant_us: f64,
@@ -43,8 +43,8 @@
 }
 
 impl GroupLatency {
-    /// Returns an estimate without samples. Samples decay with the time constant, in microseconds; the
-    /// weight of a new one is at least `min_weight`.
+    /// Returns an estimate without samples. Samples decay with the time constant, in microseconds; the weight
+    /// of a new sample is at least `min_weight`.
     pub fn new(time_constant_us: f64, min_weight: f64) -> Self {
         Self { time_constant_us, min_weight, groups: BTreeMap::new(), fleet: ByRole::default() }
     }
@@ -56,7 +56,7 @@
         self.fleet.get_mut(role).record(now, sample, self.min_weight, self.time_constant_us);
     }
 
-    /// Returns the latency ratio there; 0 without any response of the group itself.
+    /// Returns the latency ratio of a role in a group; 0 without any response of the group itself.
     pub fn latency_ratio(&self, group: u32, role: Role, now: Timestamp) -> f64 {
         let own = self.history(group, role).copied().unwrap_or_default();
         let own_samples = own.sample_count_at(now, self.time_constant_us);
@@ -66,7 +66,8 @@
         (own_sum + fleet_ratio * fleet_samples) / (own_samples + fleet_samples).max(1e-9)
     }
 
-    /// Returns how recent the last response is, from 1 (just now) to 0 (none, or long ago).
+    /// Returns how recent the last response of a role in a group is, from 1 (just now) to 0 (none, or long
+    /// ago).
     pub fn confidence(&self, group: u32, role: Role, now: Timestamp) -> f64 {
         let history = self.history(group, role);
         history.map_or(0.0, |history| history.latency_ratio.remaining_weight(now, self.time_constant_us))
--- a/crates/decisions/src/load/group_traffic.rs
+++ b/crates/decisions/src/load/group_traffic.rs
@@ -1,5 +1,5 @@
-//! Requests that arrive for a group, and those that its hosts serve. Rejected clients come again, so that
-//! arrivals may be many times what the hosts can serve.
+//! Counts of the requests that arrive for a group and of those that its hosts serve. Rejected clients retry,
+//! so many more requests may arrive than the hosts can serve.
 
 use super::ByRole;
 use crate::interface::{Role, TimeDelta, Timestamp};
@@ -7,10 +7,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Requests presumed to have arrived and been served before the first: the first few tell nothing.
-const PRESUMED_REQUESTS: f64 = 2.0;
+/// Requests that are assumed to have arrived and been served before the first one, because the first few say
+/// little.
+const ASSUMED_REQUESTS: f64 = 2.0;
 
-/// Recent requests; older ones count less.
+/// Decaying counts of requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct RequestCounts {
     arrived: f64,
@@ -28,7 +29,7 @@
     }
 }
 
-/// Size and traffic of one group. Requests are told apart by the role that serves them.
+/// Size and traffic of one group. Requests are counted by the role that serves them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct GroupTraffic {
     peak_members: usize,
@@ -36,17 +37,17 @@
 }
 
 impl GroupTraffic {
-    /// Records how many members the group has now.
+    /// Records the current number of members of the group.
     pub fn record_members(&mut self, members: usize) {
         self.peak_members = self.peak_members.max(members);
     }
 
-    /// Returns the most members that the group has had at once, at least 1.
+    /// Returns the largest number of members that the group has had, at least 1.
     pub fn peak_members(&self) -> usize {
         self.peak_members.max(1)
     }
 
-    /// Counts a request for this role that has arrived.
+    /// Counts the arrival of a request for this role.
     pub fn record_arrival(&mut self, role: Role, now: Timestamp, time_constant: TimeDelta) {
         let counts = self.requests.get_mut(role);
         counts.decay(now, time_constant);
@@ -60,15 +61,16 @@
         counts.served += 1.0;
     }
 
-    /// Returns the fraction of the arriving requests for this role that is served, at most 1.
+    /// Returns the fraction of the arriving requests for this role that are served, at most 1.
     pub fn served_fraction(&self, role: Role) -> f64 {
         let counts = self.requests.get(role);
-        ((counts.served + PRESUMED_REQUESTS) / (counts.arrived + PRESUMED_REQUESTS)).min(1.0)
+        ((counts.served + ASSUMED_REQUESTS) / (counts.arrived + ASSUMED_REQUESTS)).min(1.0)
     }
 
-    /// Returns the fraction of the arriving requests for this role that one host serves. The primary serves
-    /// all of its own; reads are shared by as many members as the group has had at most, or the last one
-    /// left would draw all.
+    /// Returns the fraction of the arriving requests for this role that one host serves.
+    ///
+    /// The primary serves all requests for its role. Reads are divided by the peak number of members rather
+    /// than the current one; otherwise the last remaining host would attract all of them.
     pub fn served_fraction_per_host(&self, role: Role) -> f64 {
         let hosts = match role {
             Role::Primary => 1,
--- a/crates/decisions/src/load/latency_estimate.rs
+++ b/crates/decisions/src/load/latency_estimate.rs
@@ -1,4 +1,4 @@
-//! How long the responses of a request class take.
+//! Latency estimates of a request class.
 
 use crate::interface::TimeDelta;
 
@@ -10,12 +10,12 @@
 pub struct LatencyEstimate {
     /// Mean latency of all responses.
     pub mean_us: f64,
-    /// Mean latency of the responses that did not queue at their host.
+    /// Mean latency of responses to requests that did not queue at their host.
     pub service_time_us: f64,
 }
 
 impl LatencyEstimate {
-    /// Returns the estimate before any response: a quarter of the objective, an eighth of it without
+    /// Returns the estimate before any response: a quarter of the latency objective, or an eighth without
     /// queueing.
     pub fn from_objective(latency_objective: TimeDelta) -> Self {
         let objective_us = latency_objective.0 as f64;
--- a/crates/decisions/src/load/mod.rs
+++ b/crates/decisions/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Estimates of load and faults, and how fast each grows old. What follows from them is decided in `routing`.
+//! Estimates of load, latency and failures that decay over time. `routing` makes decisions based on them.
 
 mod by_role;
 mod circuit_breaker;
