--- a/crates/decisions/src/state/background.rs
+++ b/crates/decisions/src/state/background.rs
@@ -1,45 +1,46 @@
-//! A scheduler for background jobs: work that can wait, done in small steps so that it delays no request.
+//! A scheduler for background jobs, which run in small steps so that they do not delay requests.
 //!
-//! A job is told how long its step may take and returns whether it is finished. Each run has a time budget that the
-//! priorities share by weight (deficit round robin, Shreedhar, Varghese 1995), so that the least urgent jobs make progress
-//! too. The caller supplies the clock.
+//! A job is passed the time that its step may take and returns whether it is finished. Each run has a time
+//! budget that the priorities share by weight (deficit round robin, Shreedhar, Varghese 1995), so that the
+//! least urgent jobs make progress too. The caller supplies the clock.
 
 use crate::interface::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
 
-/// How urgent a job is.
+/// Priority of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Memory is lacking: evictions.
+    /// Evictions while memory is short.
     Urgent,
-    /// Trimming tables and retiring hosts.
+    /// Trimming of tables and removal of hosts.
     Normal,
     /// Reports and flushing of logs.
     Idle,
 }
 
+/// Number of priorities.
 const PRIORITIES: usize = 3;
-/// Weight of each priority among those that have jobs.
+/// Weight of each priority in the division of a run's budget between priorities that have jobs.
 const WEIGHTS: [i64; PRIORITIES] = [8, 3, 1];
-/// A priority saves up unused time for this many runs.
+/// Maximum number of runs over which a priority accumulates unused time.
 const MAX_SAVED_RUNS: i64 = 4;
 
-/// What a job returns after a step.
+/// Status of a job after a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum JobStatus {
     /// The job is finished.
     Done,
     /// The job needs further steps.
-    More,
+    Unfinished,
 }
 
-/// A job over a state `C`. Each call does a step of about the given time.
-pub type Job<C> = Box<dyn FnMut(&mut C, TimeDelta) -> Step + Send>;
+/// A job on a state `C`. Each call executes one step of about the given time.
+pub type Job<C> = Box<dyn FnMut(&mut C, TimeDelta) -> JobStatus + Send>;
 
 /// The jobs of one priority.
 struct Queue<C> {
     jobs: VecDeque<Job<C>>,
-    /// Microseconds that the jobs may use; negative after a step that took too long.
+    /// Time that the jobs may use, in microseconds; negative after a step that took too long.
     credit: i64,
 }
 
@@ -57,24 +58,24 @@
     }
 }
 
-/// Schedules jobs over a state `C`.
-pub struct Background<C> {
+/// Scheduler of jobs on a state `C`.
+pub struct BackgroundScheduler<C> {
     queues: [Queue<C>; PRIORITIES],
     max_jobs: usize,
 }
 
-/// What a run did.
+/// Summary of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunSummary {
-    /// Steps taken.
+    /// Number of steps executed.
     pub steps: u32,
     /// Time used.
     pub used: TimeDelta,
-    /// Unfinished jobs.
+    /// Number of unfinished jobs.
     pub remaining_jobs: usize,
 }
 
-impl<C> Background<C> {
+impl<C> BackgroundScheduler<C> {
     /// Returns a scheduler that holds up to `max_jobs` jobs.
     pub fn new(max_jobs: usize) -> Self {
         Self { queues: [Queue::new(), Queue::new(), Queue::new()], max_jobs }
@@ -83,7 +84,7 @@
     /// Adds a job.
     ///
     /// # Errors
-    /// Returns the job if there are too many.
+    /// Returns the job if the scheduler holds `max_jobs` already.
     pub fn add(&mut self, priority: Priority, job: Job<C>) -> Result<(), Job<C>> {
         if self.len() >= self.max_jobs {
             return Err(job);
@@ -102,8 +103,8 @@
         self.len() == 0
     }
 
-    /// Runs jobs for about `budget`, the most urgent first. Each priority with jobs saves up its share of every run until
-    /// it can take a step.
+    /// Runs jobs for about `budget`, the most urgent first. Each priority with jobs accumulates its share of
+    /// every run until it can execute a step.
     pub fn run(
         &mut self,
         state: &mut C,
@@ -117,10 +118,10 @@
             while queue.credit > 0 {
                 let Some(mut job) = queue.jobs.pop_front() else { break };
                 let step_start = clock();
-                let step = job(state, TimeDelta(queue.credit));
+                let status = job(state, TimeDelta(queue.credit));
                 queue.credit -= (clock() - step_start).0.max(1);
                 steps += 1;
-                if step == Step::More {
+                if status == JobStatus::Unfinished {
                     queue.jobs.push_back(job);
                 }
                 if clock() - start >= budget {
--- a/crates/decisions/src/state/heavy_hitters.rs
+++ b/crates/decisions/src/state/heavy_hitters.rs
@@ -1,23 +1,24 @@
-//! The largest holders of a resource: a Space-Saving sketch (Metwally, Agrawal, El Abbadi 2005).
+//! A Space-Saving sketch (Metwally, Agrawal, El Abbadi 2005) of the largest holders of a resource.
 //!
-//! The number of counters is fixed, whatever the number of holders. A holder with more than the total divided by the
-//! number of counters always has one; a count is too high by at most its error, and never too low.
+//! The number of counters is fixed and does not depend on the number of holders. A holder with more than the
+//! total divided by the number of counters always has a counter. A count is never too low, and too high by at
+//! most its error.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// A holder, with the bounds of what it holds.
+/// A holder and the bounds of its amount.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeavyHitter<T> {
     /// The holder.
     pub holder: T,
-    /// Upper bound of what it holds.
+    /// Upper bound of the amount.
     pub count: u64,
-    /// Difference between the upper and the lower bound.
+    /// Difference between the upper and the lower bound of the amount.
     pub error: u64,
 }
 
-/// Counts what holders take, exactly for the largest and approximately for the rest.
+/// A sketch of the amounts that holders have taken, with a limited number of counters.
 #[derive(Clone, Debug)]
 pub struct HeavyHitters<T> {
     counters: Vec<HeavyHitter<T>>,
@@ -27,7 +28,7 @@
 }
 
 impl<T: Copy + Eq + Hash> HeavyHitters<T> {
-    /// Returns an empty sketch with this many counters; at least 1.
+    /// Returns an empty sketch with this many counters, at least 1.
     pub fn new(counters: usize) -> Self {
         let capacity = counters.max(1);
         Self {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Adds an amount to what a holder has taken.
+    /// Adds an amount taken by a holder.
     pub fn add(&mut self, holder: T, amount: u64) {
         self.total += amount;
         if let Some(index) = self.counter_indices.get(&holder) {
@@ -53,7 +54,7 @@
         self.replace_smallest(holder, amount);
     }
 
-    /// Gives the smallest counter, with its count, to a holder that has none.
+    /// Assigns the smallest counter, including its count, to a holder without one.
     fn replace_smallest(&mut self, holder: T, amount: u64) {
         let smallest = (0..self.counters.len()).min_by_key(|index| self.counters[*index].count).unwrap_or(0);
         let counter = &mut self.counters[smallest];
@@ -67,7 +68,7 @@
         self.total
     }
 
-    /// Returns up to `limit` of the largest holders, the largest first.
+    /// Returns up to `limit` holders with the largest counts, in descending order.
     pub fn heaviest(&self, limit: usize) -> Vec<HeavyHitter<T>> {
         let mut counters = self.counters.clone();
         counters.sort_by_key(|counter| std::cmp::Reverse(counter.count));
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -1,6 +1,6 @@
 //! Data structures with bounded memory.
 //!
-//! Evicting what they hold never makes a decision wrong, only more cautious. The proxy does not use `background`,
+//! Evicting entries never makes a decision wrong, only more cautious. The proxy does not use `background`,
 //! `heavy_hitters` and `timer_wheel` yet.
 
 pub mod background;
--- a/crates/decisions/src/state/rate_limited_log.rs
+++ b/crates/decisions/src/state/rate_limited_log.rs
@@ -1,6 +1,7 @@
 //! Rate limit for log lines that may occur often.
 //!
-//! Each kind of line is written at most once an interval, with the number of occurrences since the last one.
+//! Each kind of line is written at most once per interval, with the number of occurrences since the previous
+//! line.
 
 use crate::interface::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
@@ -8,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Counts occurrences of each kind that have not been logged yet. Grows with the number of kinds.
+/// Counts of the occurrences of each kind that have not been logged yet. Grows with the number of kinds.
 #[derive(Clone, Debug)]
 pub struct RateLimitedLog<K> {
     interval: TimeDelta,
@@ -22,13 +23,13 @@
 }
 
 impl<K: Ord> RateLimitedLog<K> {
-    /// Returns a limit of one line of each kind an interval.
+    /// Returns a limit of one line of each kind per interval.
     pub fn new(interval: TimeDelta) -> Self {
         Self { interval, kinds: BTreeMap::new() }
     }
 
-    /// Records that a kind occurred `count` more times. Returns the occurrences to log now, or `None` if there are none
-    /// or the interval has not passed.
+    /// Records `count` further occurrences of a kind. Returns the number of occurrences to log now; `None` if
+    /// there are none or the interval has not elapsed.
     pub fn record(&mut self, now: Timestamp, kind: K, count: u64) -> Option<u64> {
         let occurrences = self.kinds.entry(kind).or_default();
         occurrences.unlogged += count;
--- a/crates/decisions/src/state/rate_limited_log/tests.rs
+++ b/crates/decisions/src/state/rate_limited_log/tests.rs
@@ -1,11 +1,11 @@
-//! Intervals and counts of the rate limit.
+//! Intervals and counts of rate-limited log lines.
 
 use super::*;
 
 const INTERVAL: TimeDelta = TimeDelta::from_secs(1);
 
 #[test]
-fn the_first_of_a_kind_is_logged_at_once_and_the_others_are_counted() {
+fn the_first_occurrence_is_logged_at_once_and_further_ones_are_counted() {
     let mut log = RateLimitedLog::new(INTERVAL);
     assert_eq!(log.record(Timestamp(5), "a", 1), Some(1));
     assert_eq!(log.record(Timestamp(6), "a", 1), None);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_kind_is_logged_once_an_interval_and_every_occurrence_is_counted() {
+fn a_kind_is_logged_once_per_interval_and_every_occurrence_is_counted() {
     let mut log = RateLimitedLog::new(INTERVAL);
     let logged: Vec<u64> = (0..10_000).filter_map(|n| log.record(Timestamp(n * 1_000), (), 1)).collect();
     assert_eq!(logged.len(), 10);
--- a/crates/decisions/src/state/session_positions.rs
+++ b/crates/decisions/src/state/session_positions.rs
@@ -1,20 +1,23 @@
-//! The position of each session's last write, in bounded memory.
+//! The log position of each session's last write, in bounded memory.
 //!
-//! Generations of open-addressing tables with 16 bytes a slot; an entry needs no allocation. When the newest generation is
-//! full, the oldest is evicted as a whole, and the floor of each replication group rises to the latest commit evicted
-//! there: an unknown session counts as having written at the floor.
+//! The sessions are stored in generations of open-addressing tables with 16 bytes per slot; an entry needs no
+//! allocation. When the newest generation is full, the oldest is evicted as a whole, and the floor of each
+//! replication group rises to the latest commit that was evicted for it. An unknown session is treated as if
+//! it had last written at the floor.
 //!
-//! Invariant: the position returned for a session is never below its last write. Eviction can only raise it.
+//! Invariant: the position returned for a session is never lower than that of its last write. Eviction can
+//! only raise it.
 
 use super::unconfirmed_writes::UnconfirmedWrites;
 use crate::interface::{LogPosition, SessionId, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// Generations that are kept. With more of them an eviction loses less, and a look-up takes longer.
+/// Maximum number of generations. With more of them an eviction loses fewer entries, but a lookup takes
+/// longer.
 const MAX_GENERATIONS: usize = 4;
-/// Entries that a table of eight slots holds at most.
+/// Maximum number of entries per eight slots of a table.
 const MAX_ENTRIES_PER_8_SLOTS: usize = 5;
-/// The position of an empty slot; no commit has it.
+/// Position in an empty slot; no commit has it.
 const NO_POSITION: i64 = i64::MIN;
 
 #[derive(Clone, Copy, Debug)]
@@ -33,10 +36,10 @@
 
 #[derive(Clone, Debug)]
 struct Generation {
-    /// A power of two of them.
+    /// Slots of the table; their number is a power of two.
     slots: Box<[Slot]>,
     entries: usize,
-    /// The latest commit of each replication group among the entries.
+    /// Position of the latest commit in each replication group among the entries.
     latest_commits: BTreeMap<u32, i64>,
 }
 
@@ -51,10 +54,11 @@
         self.latest_commits = BTreeMap::new();
     }
 
-    /// Returns the index of a session's slot, or of the empty one that it would take.
+    /// Returns the index of a session's slot, or of the empty slot for it if it has none.
     fn slot_index(&self, session: u64) -> usize {
         let mask = self.slots.len() - 1;
-        // Sessions are hashes already; the upper half is mixed in for the small tables.
+        // Session identifiers are hashes already. The upper half is mixed in because small tables use few
+        // bits.
         let mut index = (session ^ (session >> 32)) as usize & mask;
         while !self.slots[index].is_empty() && self.slots[index].session != session {
             index = (index + 1) & mask;
@@ -67,6 +71,7 @@
         (!slot.is_empty()).then_some(slot.position)
     }
 
+    /// Stores a session's position unless a higher one is stored.
     fn raise(&mut self, session: u64, group: u32, position: i64) {
         let index = self.slot_index(session);
         let slot = &mut self.slots[index];
@@ -89,19 +94,19 @@
     }
 }
 
-/// The sessions' last writes, those in flight included.
+/// The positions of the sessions' last writes, and their unconfirmed writes.
 #[derive(Clone, Debug)]
 pub struct SessionPositions {
-    /// The newest first; at least one, at most [`MAX_GENERATIONS`].
+    /// Generations from newest to oldest; at least one, at most [`MAX_GENERATIONS`].
     generations: Vec<Generation>,
     entries_per_generation: usize,
-    /// The latest evicted commit of each replication group.
+    /// Position of the latest evicted commit of each replication group.
     floors: BTreeMap<u32, i64>,
     unconfirmed_writes: UnconfirmedWrites,
 }
 
 impl SessionPositions {
-    /// Returns an empty table that holds up to `capacity` sessions, and after evictions at least three quarters of it.
+    /// Returns an empty table for up to `capacity` sessions. An eviction removes at most a quarter of them.
     pub fn new(capacity: usize) -> Self {
         let entries_per_generation = (capacity / MAX_GENERATIONS).max(1);
         let slots = (entries_per_generation * 8 / MAX_ENTRIES_PER_8_SLOTS + 1).next_power_of_two();
@@ -113,11 +118,11 @@
         }
     }
 
-    /// Records that a session's write was committed in a group.
+    /// Records the commit of a session's write in a group.
     pub fn record_commit(&mut self, session: SessionId, group: u32, position: LogPosition) {
         let mut position = position.0.max(NO_POSITION + 1);
         if self.generations[0].get(session.0).is_none() {
-            // Answers may arrive out of order: an earlier write must not replace a later one.
+            // Answers may arrive out of order, and an earlier write must not replace a later one.
             position = position.max(self.last_commit(session, group).0);
             if self.generations[0].entries >= self.entries_per_generation {
                 self.start_generation();
@@ -126,7 +131,7 @@
         self.generations[0].raise(session.0, group, position);
     }
 
-    /// Puts an empty generation in front. It takes the memory of the one that is evicted, if any.
+    /// Adds an empty generation as the newest. It reuses the memory of the evicted generation, if any.
     fn start_generation(&mut self) {
         let slots = self.generations[0].slots.len();
         let is_full = self.generations.len() == MAX_GENERATIONS;
@@ -136,6 +141,7 @@
         self.generations.insert(0, generation);
     }
 
+    /// Removes the oldest generation, raises the floors to its commits and returns it.
     fn evict_generation(&mut self) -> Option<Generation> {
         let oldest = self.generations.pop()?;
         for (group, position) in &oldest.latest_commits {
@@ -145,7 +151,8 @@
         Some(oldest)
     }
 
-    /// Evicts the oldest generation and frees its memory; returns how many entries that removed. The newest stays.
+    /// Evicts the oldest generation, unless it is the only one, and frees its memory. Returns the number of
+    /// evicted entries.
     pub fn evict_oldest(&mut self) -> usize {
         if self.generations.len() < 2 {
             return 0;
@@ -153,19 +160,19 @@
         self.evict_generation().map_or(0, |generation| generation.entries)
     }
 
-    /// Returns the position of a session's last known commit; the group's floor for an unknown session.
+    /// Returns the position of a session's last known commit, or the group's floor for an unknown session.
     pub fn last_commit(&self, session: SessionId, group: u32) -> LogPosition {
         let known = self.generations.iter().find_map(|generation| generation.get(session.0));
         known.map_or_else(|| self.floor(group), LogPosition)
     }
 
-    /// Records that an attempt of a session's write is sent to a group.
+    /// Records that an attempt of a session's write was sent to a group.
     pub fn write_sent(&mut self, session: SessionId, group: u32, now: Timestamp) {
         self.unconfirmed_writes.write_sent(session, group, now);
     }
 
-    /// Records that such an attempt ended: with the position of its commit, or without an answer. In the latter case it
-    /// may commit until `may_commit_until`; `None` stands for one that was never executed.
+    /// Records the end of such an attempt, with the position of its commit if it was answered. Without an
+    /// answer, it may still commit until `may_commit_until`; `None` means that it was never executed.
     pub fn write_ended(
         &mut self,
         session: SessionId,
@@ -180,8 +187,8 @@
         self.unconfirmed_writes.write_ended(session, group, may_commit_until);
     }
 
-    /// Returns the position that a read arriving at `now` has to see: all commits up to `now` if a write of its session
-    /// is unconfirmed.
+    /// Returns the position that the data for a read arriving at `now` must include. If a write of the
+    /// session is unconfirmed, that is `now`, so that the read sees all commits before it.
     pub fn required_position(&self, session: Option<SessionId>, group: u32, now: Timestamp) -> LogPosition {
         let Some(session) = session else { return self.floor(group) };
         if self.unconfirmed_writes.is_unconfirmed(session, group, now) {
@@ -190,13 +197,13 @@
         self.last_commit(session, group)
     }
 
-    /// Adds a span to all positions, after the clock that they are measured by was set anew.
+    /// Adds a span to all positions, after the offset of the clock that they are based on has changed.
     pub fn shift(&mut self, delta: TimeDelta) {
         self.generations.iter_mut().for_each(|generation| generation.shift(delta));
         self.floors.values_mut().for_each(|floor| *floor = floor.saturating_add(delta.0));
     }
 
-    /// Returns the latest evicted commit of a group: the lowest position if nothing was evicted.
+    /// Returns the position of the latest evicted commit of a group, or the lowest position if there is none.
     pub fn floor(&self, group: u32) -> LogPosition {
         LogPosition(self.floors.get(&group).copied().unwrap_or(NO_POSITION))
     }
--- a/crates/decisions/src/state/timer_wheel.rs
+++ b/crates/decisions/src/state/timer_wheel.rs
@@ -1,22 +1,25 @@
-//! A hierarchical timing wheel (Varghese, Lauck 1987) for timers of which most are cancelled, as those of requests are.
+//! A hierarchical timing wheel (Varghese, Lauck 1987) for timers that are mostly cancelled, such as those of
+//! requests.
 //!
-//! Six levels of 64 slots, each level 64 times as coarse as the one below. Entries are in a slab and linked in both
-//! directions, so that setting and cancelling a timer take the same time whatever the number of timers.
+//! It has six levels of 64 slots, each level 64 times as coarse as the one below. Entries are stored in a
+//! slab and linked in both directions, so that setting and cancelling a timer take constant time.
 
 use crate::interface::{TimeDelta, Timestamp};
 
-/// Binary logarithm of the slots of a level.
+/// Binary logarithm of [`SLOTS`].
 const SLOT_BITS: u32 = 6;
+/// Number of slots per level.
 const SLOTS: usize = 1 << SLOT_BITS;
+/// Number of levels.
 const LEVELS: usize = 6;
 /// The end of a linked list.
 const NIL: u32 = u32::MAX;
 
-/// A timer that has been set.
+/// Key of a timer that has been set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerKey {
     entry: u32,
-    /// Which use of the slab entry the key stands for.
+    /// Generation of the slab entry, which changes each time the entry is freed.
     generation: u32,
 }
 
@@ -28,28 +31,28 @@
     slot: u16,
     generation: u32,
     previous: u32,
-    /// The next entry of the slot, or of the free entries.
+    /// The next entry of the slot, or of the free list.
     next: u32,
 }
 
-/// Timers that each hold a value until they expire or are cancelled.
+/// A set of timers that each hold a value until they expire or are cancelled.
 #[derive(Clone, Debug)]
 pub struct TimerWheel<T> {
     entries: Vec<Entry<T>>,
     first_free: u32,
     /// The first entry of each slot, level by level.
     slots: Box<[u32]>,
-    /// A bit for each slot of a level that has entries.
+    /// For each level, a bit mask of the slots that have entries.
     occupied: [u64; LEVELS],
-    /// Microseconds of a tick.
+    /// Length of a tick in microseconds.
     tick: i64,
-    /// The tick up to which timers have expired.
+    /// Tick up to which the wheel has advanced.
     current_tick: u64,
     length: usize,
 }
 
 impl<T> TimerWheel<T> {
-    /// Returns an empty wheel. Its timers expire late by up to one tick and never early.
+    /// Returns an empty wheel. Timers expire up to one tick late, but never early.
     pub fn new(tick: TimeDelta, start: Timestamp) -> Self {
         let tick = tick.0.max(1);
         Self {
@@ -73,7 +76,7 @@
         self.length == 0
     }
 
-    /// Sets a timer that expires at `expiry`, or at the next tick if that is past.
+    /// Sets a timer that expires at `expiry`, or at the next tick if `expiry` has passed.
     pub fn set(&mut self, expiry: Timestamp, value: T) -> TimerKey {
         let expiry_tick = (expiry.0.max(0) as u64).div_ceil(self.tick as u64).max(self.current_tick + 1);
         let index = self.allocate();
@@ -86,7 +89,7 @@
         TimerKey { entry: index, generation }
     }
 
-    /// Cancels a timer; returns its value, or `None` if it has expired or been cancelled before.
+    /// Cancels a timer and returns its value, or `None` if it has already expired or been cancelled.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let entry = self.entries.get(key.entry as usize)?;
         if entry.generation != key.generation || entry.value.is_none() {
@@ -121,13 +124,13 @@
         entry.value.take()
     }
 
-    /// Returns the slot of a tick: on the lowest level whose current turn reaches it.
+    /// Returns the slot of a tick, on the lowest level whose current rotation covers it.
     fn slot_of(&self, tick: u64) -> usize {
         let differing_bits = tick ^ self.current_tick;
         let level = (63 - (differing_bits | 1).leading_zeros()) / SLOT_BITS;
         let level = (level as usize).min(LEVELS - 1);
         let shift = SLOT_BITS * level as u32;
-        // A tick beyond the last level goes to its farthest slot, and is linked anew from there.
+        // A tick beyond the range of the last level goes to its farthest slot and is linked again from there.
         let farthest = self.current_tick.saturating_add((SLOTS as u64 - 1) << shift);
         let tick = if level == LEVELS - 1 { tick.min(farthest) } else { tick };
         level * SLOTS + (tick >> shift) as usize % SLOTS
@@ -161,49 +164,50 @@
         }
     }
 
-    /// Returns a point in time before which no timer expires, or `None` if none is set. It may be earlier than the first
-    /// expiry: timers move to a finer level then.
+    /// Returns a point in time before which no timer expires, or `None` if none is set. It may be earlier
+    /// than the first expiry, if timers move to a finer level at that time.
     pub fn next_expiry(&self) -> Option<Timestamp> {
-        self.next_turn().map(|tick| Timestamp(tick as i64 * self.tick))
+        self.next_occupied_tick().map(|tick| Timestamp(tick as i64 * self.tick))
     }
 
     /// Returns the tick at which the next occupied slot of any level begins.
-    fn next_turn(&self) -> Option<u64> {
-        (0..LEVELS).filter_map(|level| self.next_turn_of(level)).min()
+    fn next_occupied_tick(&self) -> Option<u64> {
+        (0..LEVELS).filter_map(|level| self.next_occupied_tick_of_level(level)).min()
     }
 
-    /// Returns the tick at which a level's next occupied slot begins.
-    fn next_turn_of(&self, level: usize) -> Option<u64> {
+    /// Returns the tick at which the next occupied slot of a level begins.
+    fn next_occupied_tick_of_level(&self, level: usize) -> Option<u64> {
         let occupied = self.occupied[level];
         if occupied == 0 {
             return None;
         }
         let shift = SLOT_BITS * level as u32;
         let current_slot = self.current_tick >> shift;
-        // The slot after the current one comes first.
+        // The search starts at the slot after the current one.
         let first = ((current_slot + 1) % SLOTS as u64) as u32;
         let distance = occupied.rotate_right(first).trailing_zeros();
         Some((current_slot + 1 + u64::from(distance)) << shift)
     }
 
-    /// Moves the wheel to `now` and appends the values of the timers that expire, in the order of their ticks.
+    /// Advances the wheel to `now` and appends the values of expired timers to `expired`, in the order of
+    /// their ticks.
     pub fn advance(&mut self, now: Timestamp, expired: &mut Vec<T>) {
         let target = (now.0 / self.tick).max(0) as u64;
-        while let Some(turn) = self.next_turn().filter(|turn| *turn <= target) {
-            self.current_tick = turn;
-            // The coarse levels first: timers that move down from them may expire now.
+        while let Some(tick) = self.next_occupied_tick().filter(|tick| *tick <= target) {
+            self.current_tick = tick;
+            // Coarse levels first, because timers that move down from them may expire now.
             for level in (0..LEVELS).rev() {
                 let shift = SLOT_BITS * level as u32;
-                if turn & ((1 << shift) - 1) == 0 {
-                    self.empty_slot(level * SLOTS + (turn >> shift) as usize % SLOTS, expired);
+                if tick & ((1 << shift) - 1) == 0 {
+                    self.process_slot(level * SLOTS + (tick >> shift) as usize % SLOTS, expired);
                 }
             }
         }
         self.current_tick = self.current_tick.max(target);
     }
 
-    /// Expires the timers of a slot that are due and links the others anew.
-    fn empty_slot(&mut self, slot: usize, expired: &mut Vec<T>) {
+    /// Removes all timers from a slot: expires those that are due and links the others again.
+    fn process_slot(&mut self, slot: usize, expired: &mut Vec<T>) {
         let mut index = std::mem::replace(&mut self.slots[slot], NIL);
         self.occupied[slot / SLOTS] &= !(1 << (slot % SLOTS));
         while index != NIL {
--- a/crates/decisions/src/state/unconfirmed_writes.rs
+++ b/crates/decisions/src/state/unconfirmed_writes.rs
@@ -1,7 +1,7 @@
-//! Sessions with a write whose commit is uncertain: an attempt is in flight, or ended without an answer.
+//! Sessions with an unconfirmed write: one whose attempt is in flight or ended without an answer.
 //!
-//! The host may have committed such a write although its answer never arrived, so a read of the session has to see
-//! everything that might have been committed.
+//! The host may have committed such a write although no answer arrived, so a read of the session has to see
+//! all commits that may have been made.
 
 use crate::interface::{SessionId, Timestamp};
 use std::collections::BTreeMap;
@@ -9,13 +9,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Entries below which expired ones are not looked for.
+/// Number of entries up to which expired ones are not removed.
 const MIN_ENTRIES_TO_SWEEP: usize = 32;
 
+/// The unconfirmed writes of one session in one group.
 #[derive(Clone, Copy, Debug)]
 struct SessionWrites {
     in_flight_attempts: u32,
-    /// Until when an attempt that ended without an answer may still commit.
+    /// Time until which an attempt that ended without an answer may still commit.
     may_commit_until: Timestamp,
 }
 
@@ -27,7 +28,7 @@
 
 /// The sessions with an unconfirmed write, by replication group.
 ///
-/// Expired entries are removed whenever their number has doubled since the last removal.
+/// Expired entries are removed each time the number of entries has doubled since the last removal.
 #[derive(Clone, Debug, Default)]
 pub struct UnconfirmedWrites {
     sessions: BTreeMap<(u32, SessionId), SessionWrites>,
@@ -35,7 +36,7 @@
 }
 
 impl UnconfirmedWrites {
-    /// Records that an attempt of a session's write is sent to a group.
+    /// Records that an attempt of a session's write was sent to a group.
     pub fn write_sent(&mut self, session: SessionId, group: u32, now: Timestamp) {
         if self.sessions.len() > MIN_ENTRIES_TO_SWEEP.max(2 * self.entries_after_sweep) {
             self.sessions.retain(|_, writes| writes.is_unconfirmed(now));
@@ -45,7 +46,7 @@
         self.sessions.entry((group, session)).or_insert(new).in_flight_attempts += 1;
     }
 
-    /// Records that an attempt ended. `may_commit_until` is `None` if it was answered or never executed.
+    /// Records the end of an attempt. `may_commit_until` is `None` if it was answered or never executed.
     pub fn write_ended(&mut self, session: SessionId, group: u32, may_commit_until: Option<Timestamp>) {
         let Some(writes) = self.sessions.get_mut(&(group, session)) else { return };
         writes.in_flight_attempts = writes.in_flight_attempts.saturating_sub(1);
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Returns whether a write of the session may have been committed in the group without an answer.
+    /// Returns whether the session has an unconfirmed write in the group.
     pub fn is_unconfirmed(&self, session: SessionId, group: u32, now: Timestamp) -> bool {
         self.sessions.get(&(group, session)).is_some_and(|writes| writes.is_unconfirmed(now))
     }
--- a/crates/decisions/src/state/unconfirmed_writes/tests.rs
+++ b/crates/decisions/src/state/unconfirmed_writes/tests.rs
@@ -1,28 +1,31 @@
-//! When a write counts as unconfirmed, and how many entries are kept.
+//! Conditions under which a write is unconfirmed, and the removal of expired entries.
 
 use super::*;
 
-const ONE: SessionId = SessionId(1);
+const SESSION: SessionId = SessionId(1);
 
 #[test]
 fn a_session_is_unconfirmed_while_a_write_is_in_flight_or_may_still_commit() {
     let mut unconfirmed = UnconfirmedWrites::default();
-    unconfirmed.write_sent(ONE, 0, Timestamp(10));
+    unconfirmed.write_sent(SESSION, 0, Timestamp(10));
     assert!(
-        unconfirmed.is_unconfirmed(ONE, 0, Timestamp(1_000))
-            && !unconfirmed.is_unconfirmed(ONE, 1, Timestamp(1_000))
+        unconfirmed.is_unconfirmed(SESSION, 0, Timestamp(1_000))
+            && !unconfirmed.is_unconfirmed(SESSION, 1, Timestamp(1_000))
     );
-    unconfirmed.write_sent(ONE, 0, Timestamp(20));
-    unconfirmed.write_ended(ONE, 0, None);
-    assert!(unconfirmed.is_unconfirmed(ONE, 0, Timestamp(1_000)), "the other one is still in flight");
-    unconfirmed.write_ended(ONE, 0, Some(Timestamp(2_000)));
+    unconfirmed.write_sent(SESSION, 0, Timestamp(20));
+    unconfirmed.write_ended(SESSION, 0, None);
+    assert!(unconfirmed.is_unconfirmed(SESSION, 0, Timestamp(1_000)), "the other write is still in flight");
+    unconfirmed.write_ended(SESSION, 0, Some(Timestamp(2_000)));
     assert!(
-        unconfirmed.is_unconfirmed(ONE, 0, Timestamp(1_999))
-            && !unconfirmed.is_unconfirmed(ONE, 0, Timestamp(2_000))
+        unconfirmed.is_unconfirmed(SESSION, 0, Timestamp(1_999))
+            && !unconfirmed.is_unconfirmed(SESSION, 0, Timestamp(2_000))
+    );
+    unconfirmed.write_sent(SESSION, 0, Timestamp(3_000));
+    unconfirmed.write_ended(SESSION, 0, None);
+    assert!(
+        !unconfirmed.is_unconfirmed(SESSION, 0, Timestamp(3_000)),
+        "the write was answered or never executed"
     );
-    unconfirmed.write_sent(ONE, 0, Timestamp(3_000));
-    unconfirmed.write_ended(ONE, 0, None);
-    assert!(!unconfirmed.is_unconfirmed(ONE, 0, Timestamp(3_000)), "it was never executed, or was answered");
 }
 
 #[test]
--- a/crates/decisions/tests/drain.rs
+++ b/crates/decisions/tests/drain.rs
@@ -69,53 +69,54 @@
 }
 
 proptest! {
-/// A connection that has sent a request stops reading at a time that does not depend on what its client does.
-#[test]
-fn client_activity_does_not_delay_the_end(drains in drains(), state in states(), now in 0..12 * SECOND) {
-    let now = Timestamp(now);
-    let state = ConnectionState { has_sent_request: true, ..state };
-    let decision = decide(drains.clone(), state, now);
-    for drain in &drains {
-        let at = |span: Duration| Timestamp(drain.started_at.0 + span.as_micros() as i64);
-        let stop_reading_at = at(drain.schedule.stop_reading_after);
-        let answers_due_at = at(drain.schedule.answers_due_after);
-        prop_assert!(now < stop_reading_at || decision.permission >= Permission::Finishing);
-        prop_assert!(now < answers_due_at || decision.permission == Permission::Overdue);
-        prop_assert!(decision.close_idle_at.is_some_and(|close_at| close_at <= stop_reading_at));
+    /// A connection that has sent a request stops reading at a time that does not depend on what its client
+    /// does.
+    #[test]
+    fn client_activity_does_not_delay_the_end(drains in drains(), state in states(), now in 0..12 * SECOND) {
+        let now = Timestamp(now);
+        let state = ConnectionState { has_sent_request: true, ..state };
+        let decision = decide(drains.clone(), state, now);
+        for drain in &drains {
+            let at = |span: Duration| Timestamp(drain.started_at.0 + span.as_micros() as i64);
+            let stop_reading_at = at(drain.schedule.stop_reading_after);
+            let answers_due_at = at(drain.schedule.answers_due_after);
+            prop_assert!(now < stop_reading_at || decision.permission >= Permission::Finishing);
+            prop_assert!(now < answers_due_at || decision.permission == Permission::Overdue);
+            prop_assert!(decision.close_idle_at.is_some_and(|close_at| close_at <= stop_reading_at));
+        }
     }
-}
 
-/// The permission of a connection gets stricter over time and with further drains, never less strict.
-#[test]
-fn a_permission_never_becomes_less_strict(
-    drains in drains(),
-    state in states(),
-    a in 0..12 * SECOND,
-    b in 0..12 * SECOND,
-) {
-    let (early, late) = (Timestamp(a.min(b)), Timestamp(a.max(b)));
-    let permission = |drains: &[ActiveDrain], now| decide(drains.iter().copied(), state, now).permission;
-    prop_assert!(permission(&drains, early) <= permission(&drains, late));
-    if let Some((_, fewer)) = drains.split_last() {
-        prop_assert!(permission(fewer, early) <= permission(&drains, early));
+    /// The permission of a connection gets stricter over time and with further drains, never less strict.
+    #[test]
+    fn a_permission_never_becomes_less_strict(
+        drains in drains(),
+        state in states(),
+        a in 0..12 * SECOND,
+        b in 0..12 * SECOND,
+    ) {
+        let (early, late) = (Timestamp(a.min(b)), Timestamp(a.max(b)));
+        let permission = |drains: &[ActiveDrain], now| decide(drains.iter().copied(), state, now).permission;
+        prop_assert!(permission(&drains, early) <= permission(&drains, late));
+        if let Some((_, fewer)) = drains.split_last() {
+            prop_assert!(permission(fewer, early) <= permission(&drains, early));
+        }
     }
-}
 
-/// The permission of an unchanged connection does not change before `reevaluate_at`.
-#[test]
-fn a_decision_holds_until_reevaluate_at(
-    drains in drains(),
-    state in states(),
-    now in 0..12 * SECOND,
-    later in 0..12 * SECOND,
-) {
-    let decision = decide(drains.clone(), state, Timestamp(now));
-    let later = Timestamp(later.max(now));
-    prop_assert!(decision.reevaluate_at.is_none_or(|at| at > Timestamp(now)));
-    if decision.reevaluate_at.is_none_or(|at| later < at) {
-        prop_assert_eq!(decision.permission, decide(drains, state, later).permission);
+    /// The permission of an unchanged connection does not change before `reevaluate_at`.
+    #[test]
+    fn a_decision_holds_until_reevaluate_at(
+        drains in drains(),
+        state in states(),
+        now in 0..12 * SECOND,
+        later in 0..12 * SECOND,
+    ) {
+        let decision = decide(drains.clone(), state, Timestamp(now));
+        let later = Timestamp(later.max(now));
+        prop_assert!(decision.reevaluate_at.is_none_or(|at| at > Timestamp(now)));
+        if decision.reevaluate_at.is_none_or(|at| later < at) {
+            prop_assert_eq!(decision.permission, decide(drains, state, later).permission);
+        }
     }
-}
 
     /// While the proxy is quiesced, a connection that has not sent a request yet may send its first one.
     #[test]
--- a/crates/decisions/tests/host_clock.rs
+++ b/crates/decisions/tests/host_clock.rs
@@ -1,4 +1,4 @@
-//! The offset of the hosts' clock: found whatever it is, and changed by no host alone.
+//! The offset of the hosts' clock: any offset is found, and no single host can lower it.
 
 use proptest::prelude::*;
 use wheelpier_decisions::interface::{HostId, LogPosition, Role, Timestamp};
@@ -9,18 +9,20 @@
 const SECOND: i64 = 1_000_000;
 const START: i64 = 1_700_000_000 * SECOND;
 
-/// An answer of a host that stands `lag` behind, which took `latency`, where the hosts' clock is `ahead` of this one.
-fn answer(role: Role, at: i64, ahead: i64, lag: i64, latency: i64) -> Sample {
+/// Returns the sample of an answer to a request sent at `at` and received `latency` later, from a host that
+/// lags by `lag` and whose clock is ahead of this machine's by `offset`. All spans are in microseconds.
+fn answer(role: Role, at: i64, offset: i64, lag: i64, latency: i64) -> Sample {
     Sample {
-        position: LogPosition(at + ahead - lag),
+        position: LogPosition(at + offset - lag),
         role: Some(role),
         sent: Some(Timestamp(at)),
         received: Timestamp(at + latency),
     }
 }
 
-fn primary(at: i64, ahead: i64) -> Sample {
-    answer(Role::Primary, at + 200, ahead, 0, 400)
+/// Returns the sample of a fast answer of a primary.
+fn primary(at: i64, offset: i64) -> Sample {
+    answer(Role::Primary, at + 200, offset, 0, 400)
 }
 
 #[test]
@@ -36,34 +38,37 @@
 
 #[test]
 fn three_consistent_answers_of_the_only_host_raise_the_offset() {
-    for ahead in [3_600 * SECOND, 2 * SECOND] {
+    for offset in [3_600 * SECOND, 2 * SECOND] {
         let mut clock = HostClock::default();
-        assert_eq!(clock.record(HostId(0), primary(START, ahead)), None);
-        assert_eq!(clock.record(HostId(0), primary(START + SECOND, ahead)), None);
-        let shift = clock.record(HostId(0), primary(START + 2 * SECOND, ahead)).expect("the offset changes");
-        assert!((shift.0 - ahead).abs() < MAX_POSITION_LEAD.0, "{shift:?} of {ahead}");
+        assert_eq!(clock.record(HostId(0), primary(START, offset)), None);
+        assert_eq!(clock.record(HostId(0), primary(START + SECOND, offset)), None);
+        let change =
+            clock.record(HostId(0), primary(START + 2 * SECOND, offset)).expect("the offset changes");
+        assert!((change.0 - offset).abs() < MAX_POSITION_LEAD.0, "{change:?}, expected {offset}");
     }
 }
 
-/// A primary's old positions are those of a host that is wrong, or of a clock that is ahead: a second host tells.
+/// Old positions from a primary can mean that the host is wrong, or that this machine's clock is ahead of the
+/// hosts'. A second host with the same positions confirms the latter.
 #[test]
-fn a_second_host_lowers_the_offset_with_the_primary_and_the_only_one_never_does() {
-    for ahead in [-3_600 * SECOND, -2 * SECOND] {
+fn the_offset_is_lowered_only_once_a_second_host_agrees_with_the_primary() {
+    for offset in [-3_600 * SECOND, -2 * SECOND] {
         let mut clock = HostClock::default();
         for n in 0..20 {
-            assert_eq!(clock.record(HostId(0), primary(START + n * SECOND, ahead)), None);
+            assert_eq!(clock.record(HostId(0), primary(START + n * SECOND, offset)), None);
             assert!(!clock.is_confirmed());
         }
-        let witness = answer(Role::Replica, START + 20 * SECOND, ahead, SECOND / 50, 400);
-        let shift = clock.record(HostId(1), witness).expect("the offset changes");
-        assert!((shift.0 - ahead).abs() < MAX_POSITION_LEAD.0, "{shift:?} of {ahead}");
+        let second_host = answer(Role::Replica, START + 20 * SECOND, offset, SECOND / 50, 400);
+        let change = clock.record(HostId(1), second_host).expect("the offset changes");
+        assert!((change.0 - offset).abs() < MAX_POSITION_LEAD.0, "{change:?}, expected {offset}");
         assert!(clock.is_confirmed());
     }
 }
 
-/// Guards against a deposed primary that lowered the offset beside two replicas that lag by less.
+/// Guards against a failure in which a deposed primary lowered the offset while two replicas lagged by less
+/// than it.
 #[test]
-fn an_old_primary_beside_lagging_replicas_changes_nothing() {
+fn a_deposed_primary_does_not_lower_the_offset_while_replicas_lag() {
     let mut clock = HostClock::default();
     for n in 0..20 {
         let at = START + n * SECOND / 20;
@@ -74,9 +79,10 @@
     }
 }
 
-/// Guards against a lagging replica that counted as current at a process whose clock is 5 s behind.
+/// Guards against a failure in which a lagging replica counted as current because this machine's clock was 5
+/// s behind.
 #[test]
-fn no_position_is_recent_before_a_primary_has_answered() {
+fn no_position_counts_as_recent_without_a_recent_answer_of_a_primary() {
     let mut clock = HostClock::default();
     clock.record(HostId(2), answer(Role::Replica, START, 5 * SECOND, 5 * SECOND, 5_000));
     assert!(clock.to_local_position(LogPosition(START)).0 <= START - 4 * SECOND);
@@ -87,17 +93,17 @@
 }
 
 #[test]
-fn random_positions_change_nothing() {
+fn random_positions_do_not_change_the_offset() {
     let mut clock = HostClock::default();
     for n in 0..100 {
-        let wild = (n * 7_919 % 100) * 60 * SECOND;
-        assert_eq!(clock.record(HostId(0), primary(START + n * SECOND / 10, wild)), None);
+        let offset = (n * 7_919 % 100) * 60 * SECOND;
+        assert_eq!(clock.record(HostId(0), primary(START + n * SECOND / 10, offset)), None);
     }
 }
 
-/// A host that says it is primary and stands still, as one that was cut off does.
+/// A partitioned host may still call itself the primary while its position no longer advances.
 #[test]
-fn a_frozen_primary_changes_nothing() {
+fn a_frozen_primary_does_not_change_the_offset() {
     let mut clock = HostClock::default();
     for n in 0..200 {
         let at = START + n * SECOND / 10;
@@ -109,132 +115,142 @@
 }
 
 proptest! {
-    /// Whatever the offset, it is found where a replica that keeps up answers beside a primary and a lagging replica, and is
-    /// never too small: replicas do not look fresher than they are.
+    /// Any offset is found from the answers of a primary, a lagging replica and one that keeps up. The
+    /// estimate is never too small, so replicas never look fresher than they are.
     #[test]
-    fn any_offset_is_found_and_never_too_small(
-        ahead in -5_000 * SECOND..5_000 * SECOND,
+    fn any_offset_is_found_and_never_estimated_too_small(
+        offset in -5_000 * SECOND..5_000 * SECOND,
         latencies in proptest::collection::vec((0..20_000i64, 0..20_000i64), 12),
         lag in 0..SECOND,
     ) {
         let mut clock = HostClock::default();
-        for (n, (there, back)) in latencies.iter().enumerate() {
+        for (n, (request_latency, response_latency)) in latencies.iter().enumerate() {
             let at = START + n as i64 * SECOND / 5;
-            let taken = Sample {
-                position: LogPosition(at + there + ahead),
+            let sample = Sample {
+                position: LogPosition(at + request_latency + offset),
                 role: Some(Role::Primary),
                 sent: Some(Timestamp(at)),
-                received: Timestamp(at + there + back),
+                received: Timestamp(at + request_latency + response_latency),
             };
-            clock.record(HostId(0), taken);
-            clock.record(HostId(1), answer(Role::Replica, at, ahead, lag, 500));
-            clock.record(HostId(2), answer(Role::Replica, at, ahead, lag % 40_000, 500));
-            prop_assert!(clock.offset().0 >= ahead.min(0));
+            clock.record(HostId(0), sample);
+            clock.record(HostId(1), answer(Role::Replica, at, offset, lag, 500));
+            clock.record(HostId(2), answer(Role::Replica, at, offset, lag % 40_000, 500));
+            prop_assert!(clock.offset().0 >= offset.min(0));
         }
-        if ahead.abs() > 200_000 {
-            prop_assert!((clock.offset().0 - ahead).abs() <= 20_000, "{} of {}", clock.offset().0, ahead);
-            prop_assert!(clock.offset().0 >= ahead);
+        if offset.abs() > 200_000 {
+            let estimate = clock.offset().0;
+            prop_assert!((estimate - offset).abs() <= 20_000, "{estimate}, expected {offset}");
+            prop_assert!(estimate >= offset);
         }
     }
 
-    /// Whoever answers in whatever order beside an honest primary: where this machine's clock is right or ahead, no position
-    /// passes for newer than it is.
+    /// If this machine's clock is right or ahead of the hosts' and a correct primary answers, no position
+    /// counts as newer than it is, whatever other hosts answer and in whatever order.
     #[test]
     fn no_mix_of_hosts_makes_positions_newer_than_they_are(
-        ahead in prop_oneof![-6 * SECOND..0, Just(0)],
-        old in SECOND / 2..6 * SECOND,
+        offset in prop_oneof![-6 * SECOND..0, Just(0)],
+        deposed_lag in SECOND / 2..6 * SECOND,
         answers in proptest::collection::vec((0..6u32, 0..20_000i64, 0..6 * SECOND), 1..120),
     ) {
         let mut clock = HostClock::default();
         for (n, (host, latency, lag)) in answers.into_iter().enumerate() {
             let at = START + n as i64 * SECOND / 20;
             if n % 10 == 0 {
-                clock.record(HostId(0), answer(Role::Primary, at, ahead, 0, 400));
+                clock.record(HostId(0), answer(Role::Primary, at, offset, 0, 400));
             }
             match host {
-                0 => clock.record(HostId(0), answer(Role::Primary, at, ahead, 0, latency)),
-                // A primary that was deposed stands still, or is behind by its own clock.
-                1 => clock.record(HostId(1), answer(Role::Primary, at, ahead, at - START + old, latency)),
-                2 => clock.record(HostId(2), answer(Role::Primary, at, ahead, old, latency)),
-                // A write that is repeated tells the commit of its first run.
+                0 => clock.record(HostId(0), answer(Role::Primary, at, offset, 0, latency)),
+                // The position of a deposed primary no longer advances, or lags because its clock does.
+                1 => {
+                    let lag = at - START + deposed_lag;
+                    clock.record(HostId(1), answer(Role::Primary, at, offset, lag, latency))
+                }
+                2 => clock.record(HostId(2), answer(Role::Primary, at, offset, deposed_lag, latency)),
+                // The answer to a repeated write carries the commit of its first execution.
                 3 => {
-                    let first_run = answer(Role::Primary, at, ahead, lag % (3 * SECOND), latency);
+                    let first_run = answer(Role::Primary, at, offset, lag % (3 * SECOND), latency);
                     clock.record(HostId(0), Sample { sent: None, ..first_run })
                 }
-                _ => clock.record(HostId(host), answer(Role::Replica, at, ahead, lag, latency)),
+                _ => clock.record(HostId(host), answer(Role::Replica, at, offset, lag, latency)),
             };
-            let present = START + ahead;
-            let shown = clock.to_local_position(LogPosition(present)).0;
-            prop_assert!(shown <= START + MAX_POSITION_LEAD.0, "{} newer at answer {n}", shown - START);
+            let local = clock.to_local_position(LogPosition(START + offset)).0;
+            prop_assert!(local <= START + MAX_POSITION_LEAD.0, "{} newer at answer {n}", local - START);
         }
     }
 
-    /// Where this machine's clock is behind, the same holds for honest hosts, from the first answer on.
+    /// If this machine's clock is behind, positions of correct hosts do not count as newer than they are
+    /// either, from the first answer on.
     #[test]
-    fn lagging_replicas_are_not_recent_by_a_clock_that_is_behind(
-        ahead in 0..6 * SECOND,
+    fn lagging_replicas_do_not_count_as_recent_on_a_clock_that_is_behind(
+        offset in 0..6 * SECOND,
         answers in proptest::collection::vec((0..4u32, 0..20_000i64, 0..6 * SECOND), 1..120),
     ) {
         let mut clock = HostClock::default();
         for (n, (host, latency, lag)) in answers.into_iter().enumerate() {
             let at = START + n as i64 * SECOND / 20;
             let (role, lag) = if host == 0 { (Role::Primary, 0) } else { (Role::Replica, lag) };
-            clock.record(HostId(host), answer(role, at, ahead, lag, latency));
-            let shown = clock.to_local_position(LogPosition(START + ahead)).0;
+            clock.record(HostId(host), answer(role, at, offset, lag, latency));
+            let local = clock.to_local_position(LogPosition(START + offset)).0;
             let tolerance = 20_000 + MAX_POSITION_LEAD.0;
-            prop_assert!(shown <= START + tolerance, "{} newer at answer {n}", shown - START);
+            prop_assert!(local <= START + tolerance, "{} newer at answer {n}", local - START);
         }
     }
 
-    /// One host of three that is wrong, however consistently, is outvoted.
+    /// One of three hosts is outvoted even if it is consistently wrong.
     #[test]
-    fn one_host_of_three_changes_nothing(wrong in prop_oneof![-5_000 * SECOND..-SECOND, SECOND..5_000 * SECOND]) {
+    fn one_host_of_three_does_not_change_the_offset(
+        wrong_offset in prop_oneof![-5_000 * SECOND..-SECOND, SECOND..5_000 * SECOND],
+    ) {
         let mut clock = HostClock::default();
         for n in 0..100 {
             let at = START + n * SECOND / 10;
             clock.record(HostId(1), answer(Role::Replica, at, 0, SECOND / 50, 400));
             clock.record(HostId(2), primary(at, 0));
-            clock.record(HostId(0), primary(at, wrong));
+            clock.record(HostId(0), primary(at, wrong_offset));
         }
         prop_assert_eq!(clock.offset().0, 0);
     }
 }
 
-/// Whether a position, so far ahead of this machine's time, is past for a query written then.
-fn is_past(clock: &HostClock, written: i64, ahead: i64) -> bool {
-    clock.is_past(HostId(0), LogPosition(written + ahead), Timestamp(written), POSITION_PRECISION)
+/// Returns whether a position of host 0 that is `lead` ahead of this machine's time is past for a query
+/// written at `written`.
+fn is_past(clock: &HostClock, written: i64, lead: i64) -> bool {
+    clock.is_past(HostId(0), LogPosition(written + lead), Timestamp(written), POSITION_PRECISION)
 }
 
-/// Guards against old answers of a host that calls itself the primary: what any host has shown is past for a later query.
+/// Guards against old answers of a host that calls itself the primary: a position reported by any host is
+/// past for a later query.
 #[test]
-fn a_position_is_past_once_any_host_has_shown_a_later_one() {
-    for ahead in [0, -5 * SECOND, -3_600 * SECOND] {
+fn a_position_is_past_once_any_host_has_reported_a_later_one() {
+    for offset in [0, -5 * SECOND, -3_600 * SECOND] {
         let mut clock = HostClock::default();
-        assert!(!is_past(&clock, START, ahead - 60 * SECOND), "nothing is known");
-        clock.record(HostId(1), answer(Role::Replica, START, ahead, 0, 400));
+        assert!(!is_past(&clock, START, offset - 60 * SECOND), "there is no evidence yet");
+        clock.record(HostId(1), answer(Role::Replica, START, offset, 0, 400));
         let written = START + 2 * SECOND;
-        assert!(is_past(&clock, written, ahead - 5 * SECOND));
-        assert!(is_past(&clock, written, ahead - SECOND / 100));
-        assert!(!is_past(&clock, written, ahead));
-        assert!(!is_past(&clock, written + 11 * SECOND, ahead - 5 * SECOND), "the evidence is too old");
+        assert!(is_past(&clock, written, offset - 5 * SECOND));
+        assert!(is_past(&clock, written, offset - SECOND / 100));
+        assert!(!is_past(&clock, written, offset));
+        assert!(!is_past(&clock, written + 11 * SECOND, offset - 5 * SECOND), "the evidence is too old");
     }
 }
 
-/// A clock that is behind the hosts' takes their positions for wrong until several agree: each host's own count all the same.
+/// While this machine's clock is behind the hosts', their positions count as implausible until several hosts
+/// agree. A host's own positions count for that host even then.
 #[test]
-fn a_position_is_past_once_the_host_itself_has_shown_a_later_one() {
-    for ahead in [5 * SECOND, 3_600 * SECOND] {
+fn a_position_is_past_once_the_host_itself_has_reported_a_later_one() {
+    for offset in [5 * SECOND, 3_600 * SECOND] {
         let mut clock = HostClock::default();
-        clock.record(HostId(0), primary(START, ahead));
+        clock.record(HostId(0), primary(START, offset));
         let written = START + 2 * SECOND;
-        assert!(is_past(&clock, written, ahead - 5 * SECOND));
-        assert!(!is_past(&clock, written, ahead));
+        assert!(is_past(&clock, written, offset - 5 * SECOND));
+        assert!(!is_past(&clock, written, offset));
     }
 }
 
-/// One wrong answer of a host makes no answer of another past, and none of its own once it has told better.
+/// An answer with a position ahead of the clock makes no answer of another host past, nor one of the same
+/// host once it has reported a correct position.
 #[test]
-fn one_position_from_ahead_makes_no_honest_answer_past() {
+fn a_position_ahead_of_the_clock_makes_no_correct_position_past() {
     let mut clock = HostClock::default();
     clock.record(HostId(1), answer(Role::Replica, START, SECOND, 0, 400));
     clock.record(HostId(1), answer(Role::Replica, START + SECOND / 10, 0, 0, 400));
@@ -244,21 +260,21 @@
 }
 
 proptest! {
-    /// Guards the answers of an honest primary: whatever the clocks say and however far replicas lag, none is past.
+    /// No answer of a correct primary is past, whatever the offset of the clocks and the lag of the replicas.
     #[test]
-    fn no_answer_of_an_honest_primary_is_past(
-        ahead in -4_000 * SECOND..4_000 * SECOND,
+    fn no_answer_of_a_correct_primary_is_past(
+        offset in -4_000 * SECOND..4_000 * SECOND,
         answers in prop::collection::vec((0..3_u32, 0..5 * SECOND, 0..SECOND / 2, 0..SECOND), 1..60),
     ) {
         let mut clock = HostClock::default();
         let mut now = START;
         for (host, lag, latency, pause) in answers {
             now += pause;
-            // Positions come in whole milliseconds.
-            let told = |position: i64| LogPosition(position.div_euclid(1_000) * 1_000);
+            // Positions are in whole milliseconds.
+            let rounded = |position: i64| LogPosition(position.div_euclid(1_000) * 1_000);
             let (role, lag) = if host == 0 { (Role::Primary, 0) } else { (Role::Replica, lag) };
             let sample = Sample {
-                position: told(now + latency / 2 + ahead - lag),
+                position: rounded(now + latency / 2 + offset - lag),
                 role: Some(role),
                 sent: Some(Timestamp(now)),
                 received: Timestamp(now + latency),
@@ -272,9 +288,10 @@
     }
 }
 
-/// Guards against an honest primary that counts as replaced for ten seconds since one answer of another host was wrong.
+/// Guards against a failure in which a correct primary counted as replaced for ten seconds after one wrong
+/// answer of another host.
 #[test]
-fn one_answer_from_ahead_makes_no_position_of_a_primary_past() {
+fn one_answer_ahead_of_the_clock_makes_no_position_of_the_primary_past() {
     let mut clock = HostClock::default();
     let at = |ms: i64| START + ms * SECOND / 1_000;
     for n in 0..5 {
