--- a/crates/decisions/src/budget/pool.rs
+++ b/crates/decisions/src/budget/pool.rs
@@ -182,8 +182,8 @@
         by_excess
     }
 
-    /// Asks an account to release bytes and returns when they are due. While a reclaim is pending, one for
-    /// more bytes keeps its due time.
+    /// Asks an account to release bytes and returns when they are due. If a reclaim is pending, a further one
+    /// for more bytes keeps its due time.
     fn reclaim_from(
         &mut self,
         id: AccountId,
--- a/crates/decisions/src/drain/connection.rs
+++ b/crates/decisions/src/drain/connection.rs
@@ -91,7 +91,7 @@
     pub has_partial_message: bool,
 }
 
-/// Permission of a connection to read and to wait, in order of strictness.
+/// Permission of a connection, from the least to the most strict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Permission {
     /// Reads and accepts requests.
--- a/crates/decisions/src/state/host_clock.rs
+++ b/crates/decisions/src/state/host_clock.rs
@@ -16,9 +16,9 @@
 //!   host has reported a newer position. A single host with an old position, or one that wrongly claims to be
 //!   the primary, cannot change the offset.
 //!
-//! Whether an answer comes from the current primary can be checked without the offset: a position that any
-//! host has reported is in the past for every query written later ([`HostClock::is_past`]), while the
-//! primary's own position must not be.
+//! Whether an answer can come from the current primary is checked without the offset: a position that any
+//! host has reported is in the past for every query written later ([`HostClock::is_past`]), and the current
+//! primary never answers with a past position.
 
 use crate::interface::{HostId, LogPosition, Role, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
--- a/crates/decisions/tests/drain.rs
+++ b/crates/decisions/tests/drain.rs
@@ -169,7 +169,8 @@
     }
 }
 
-/// Each startup has the same time, but if the process ends, none may take longer than requests are read.
+/// Each startup has the same time, but if the process ends, none may last beyond the time at which
+/// connections stop reading.
 #[test]
 fn a_startup_ends_before_connections_stop_reading() {
     let now = Timestamp(2 * SECOND);
