--- a/crates/decisions/src/routing/admission.rs
+++ b/crates/decisions/src/routing/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which requests are admitted under overload, and the priority of a request.
+//! Admission control: which requests are admitted under overload, and the priority density of a request.
 
 use super::context::{serving_role, Context};
 use super::load_estimates::SAMPLE_WEIGHT;
@@ -6,48 +6,49 @@
 use crate::interface::{Role, Settings, SMALL_FLEET_MAX_ROUTERS};
 use crate::load::ByRole;
 
-/// Latency ratio from which on a large fleet sheds reads. Its routers leave out single hosts before.
+/// Latency ratio from which on a large fleet sheds reads. It is higher than [`SHEDDING_RATIO`] because the
+/// routers of a large fleet skip single overloaded hosts first.
 const LARGE_FLEET_READ_SHEDDING_RATIO: f64 = 1.5;
-/// Latency ratio from which on a very large fleet sheds writes; a small fleet, which also has concurrency
+/// Latency ratio from which on a very large fleet sheds writes. A small fleet, which also has concurrency
 /// limits, sheds from a multiple of it on.
 const SHEDDING_RATIO: f64 = 0.5;
-/// Part of a tenant's usage that is forgotten with each request of any tenant.
+/// Fraction of every tenant's recorded usage that decays with each request of any tenant.
 const TENANT_USAGE_DECAY: f64 = SAMPLE_WEIGHT / 5.0;
-/// Least value of a divisor that may be zero.
+/// Minimum of a divisor that may be zero.
 const SMALLEST_DIVISOR: f64 = 1e-9;
 
 /// Whether a request is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Decision {
-    /// It may be forwarded.
+    /// The request may be forwarded.
     Admit,
-    /// It is rejected at once, since its group is overloaded.
+    /// The request is rejected immediately, because its group is overloaded.
     ShedLoad,
 }
 
-/// What admission remembers.
+/// State of admission control.
 #[derive(Debug)]
 pub(super) struct Admission {
-    /// Recent requests of each tenant at this router.
+    /// Recent requests of each tenant at this router, with exponential decay.
     tenant_usage: Vec<f64>,
-    /// Moving average of the priority densities.
-    usual_priority: ByRole<f64>,
+    /// Moving average of the priority densities of arriving requests.
+    mean_priority: ByRole<f64>,
 }
 
 impl Admission {
-    /// Returns an admission for tenants with these quotas, which also stand for their first usage.
+    /// Returns the state for tenants with these quotas, which also serve as the initial usage.
     pub fn new(tenant_quotas: &[f64]) -> Self {
-        Self { tenant_usage: tenant_quotas.to_vec(), usual_priority: ByRole::default() }
+        Self { tenant_usage: tenant_quotas.to_vec(), mean_priority: ByRole::default() }
     }
 
-    /// Adds the tenants that are new in `tenant_quotas`; the others keep their usage.
+    /// Adds the tenants that are new in `tenant_quotas`; the others keep their recorded usage.
     pub fn add_tenants(&mut self, tenant_quotas: &[f64]) {
         self.tenant_usage.extend(tenant_quotas.iter().skip(self.tenant_usage.len()));
     }
 
-    /// Counts a request of a tenant and returns the factor, from `over_quota_weight` to 1, for its
-    /// priority: 1 within the quota. A router knows only its own traffic, so quotas are compared by the
-    /// tenants' parts of that.
+    /// Records a request of a tenant and returns the factor for its priority, from `over_quota_weight` to 1;
+    /// 1 while the tenant is within its quota. A router knows only its own traffic, so it compares each
+    /// tenant's share of that with its share of all quotas.
     pub fn tenant_weight(&mut self, settings: &Settings, tenant: usize) -> f64 {
         let Some(quota) = settings.tenant_quotas.get(tenant) else { return 1.0 };
         self.tenant_usage.iter_mut().for_each(|usage| *usage *= 1.0 - TENANT_USAGE_DECAY);
@@ -60,20 +61,20 @@
     }
 
     /// Decides whether a request that has arrived is admitted. Above the shedding threshold requests are
-    /// admitted by chance: the fewer the slower the recent responses, and the lower their priority against
-    /// the usual one.
+    /// admitted by chance: the less often the slower the recent responses are, and the lower the priority
+    /// density of the request is compared with the mean.
     ///
-    /// Concurrency limits cannot fall below one request at a host, which many routers together exceed; this
-    /// covers that, overload of a whole group and storms of clients.
+    /// A concurrency limit cannot fall below one attempt per host, which is still too much if many routers
+    /// share the host. Shedding covers this case, overload of a whole group and retry storms of clients.
     pub fn decide(&mut self, context: Context<'_>, request: &PendingRequest) -> Decision {
         let role = serving_role(context.class(request));
         let priority = priority_density(context, request);
-        let usual = self.usual_priority.get_mut(role);
-        *usual += SAMPLE_WEIGHT * (priority - *usual);
-        let usual = usual.max(SMALLEST_DIVISOR);
+        let mean = self.mean_priority.get_mut(role);
+        *mean += SAMPLE_WEIGHT * (priority - *mean);
+        let mean = mean.max(SMALLEST_DIVISOR);
         let overload = context.latency_ratio(request.group, role) / shedding_ratio(context.settings, role);
         let is_admitted = overload <= 1.0
-            || request.hash_fraction(ANY_HOST, SHARED_SALT) * overload * overload < priority / usual;
+            || request.hash_fraction(ANY_HOST, SHARED_SALT) * overload * overload < priority / mean;
         match is_admitted {
             true => Decision::Admit,
             false => Decision::ShedLoad,
@@ -81,8 +82,9 @@
     }
 }
 
-/// Returns the expected priority weight that a request still earns for each microsecond of work. Of equals
-/// the one that surely meets its objective comes first: a long queue must not make every response late.
+/// Returns the priority weight that a request is expected to yield per microsecond of work. Of requests with
+/// equal weight the one that is more likely to meet its latency objective comes first, so that a long queue
+/// does not make every response late.
 pub(super) fn priority_density(context: Context<'_>, request: &PendingRequest) -> f64 {
     let class = context.class(request);
     let service_time_us = context.latency(request).service_time_us.max(1.0);
--- a/crates/decisions/src/routing/clock_shift.rs
+++ b/crates/decisions/src/routing/clock_shift.rs
@@ -1,17 +1,18 @@
-//! Corrections of the difference between the hosts' clock and the router's.
+//! Adjusts the state of the router to a correction of the offset of the hosts' clock.
 
 use super::freshness::NO_POSITION;
 use super::Router;
 use crate::interface::{LogPosition, TimeDelta, Timestamp};
 
 impl Router {
-    /// Corrects what was derived from the hosts' clock, which is further ahead by `shift_us` microseconds
-    /// than was presumed. In doubt data counts as older than it is.
+    /// Adjusts all times and positions derived from the hosts' clock after the estimate of how far that is
+    /// ahead of the router's clock rose by `shift_us` microseconds. Where the result is uncertain, data
+    /// counts as older than it is.
     pub fn shift_host_clock(&mut self, now: Timestamp, shift_us: i64) {
         self.now = now;
         self.shift_hosts(TimeDelta(shift_us));
         if shift_us < 0 {
-            // Commits that are remembered look older now than they are.
+            // Recorded commits now look older than they are.
             self.sessions.shift(TimeDelta(-shift_us));
             let requests = self.requests.iter_mut();
             for request in requests.filter(|request| request.minimum_position != NO_POSITION) {
@@ -24,7 +25,7 @@
         let earlier = |at: Timestamp| Timestamp(at.0.saturating_sub(shift.0));
         for (_, host) in self.hosts.iter_mut() {
             if shift.0 > 0 {
-                // Positions ahead of the clock were ignored, and the others may be wrong.
+                // Positions ahead of the clock were ignored, and the accepted ones may be wrong.
                 host.applied_position = LogPosition::default();
                 host.position_observed_at = None;
             }
--- a/crates/decisions/src/routing/context.rs
+++ b/crates/decisions/src/routing/context.rs
@@ -1,4 +1,4 @@
-//! What a rule reads: settings, time, hosts and load. A rule decides from this and changes none of it.
+//! Read access to the state that the rules decide from: settings, time, hosts and load estimates.
 
 use super::host::{Host, HostTable};
 use super::load_estimates::LoadEstimates;
@@ -21,7 +21,7 @@
         &self.settings.classes[request.class]
     }
 
-    /// Returns the latencies of a request's class.
+    /// Returns the latency estimate of a request's class.
     pub fn latency(self, request: &PendingRequest) -> &'a LatencyEstimate {
         &self.load.classes[request.class]
     }
@@ -31,32 +31,32 @@
         self.class(request).freshness.needs_primary()
     }
 
-    /// Returns the role whose hosts are meant to take the request.
+    /// Returns the role of the hosts that normally serve the request.
     pub fn serving_role(self, request: &PendingRequest) -> Role {
         serving_role(self.class(request))
     }
 
-    /// Returns the recent latency ratio at a group's primary or replicas.
+    /// Returns the recent latency ratio of a group's primary or of its replicas.
     pub fn latency_ratio(self, group: u32, role: Role) -> f64 {
         self.load.groups.latency_ratio(group, role, self.now)
     }
 
-    /// Returns whether the host may get requests, by the endpoint list.
+    /// Returns whether the endpoint list allows to send requests to the host.
     pub fn is_usable(self, host: &Host) -> bool {
         host.is_usable(self.settings.removal_is_advisory)
     }
 
-    /// Returns the member of a group last seen as primary or, before any was seen, the one that the list
-    /// names.
+    /// Returns the member of a group that was most recently observed as the primary. If none was, returns the
+    /// one that the endpoint list names as the primary.
     pub fn primary(self, group: u32) -> Option<(HostId, &'a Host)> {
         let usable = || self.hosts.members(group).filter(|(_, host)| self.is_usable(host));
-        let seen = usable().filter(|(_, host)| host.is_primary());
-        let latest = seen.max_by_key(|(id, host)| (host.role.observed_at(), *id));
+        let observed = usable().filter(|(_, host)| host.is_primary());
+        let latest = observed.max_by_key(|(id, host)| (host.role.observed_at(), *id));
         latest.or_else(|| usable().find(|(_, host)| host.role.is_primary_by_list_alone()))
     }
 }
 
-/// Returns the role whose hosts are meant to take requests of a class.
+/// Returns the role of the hosts that normally serve requests of a class.
 pub(super) fn serving_role(class: &RequestClass) -> Role {
     if class.freshness.needs_primary() {
         Role::Primary
--- a/crates/decisions/src/routing/dispatch.rs
+++ b/crates/decisions/src/routing/dispatch.rs
@@ -1,5 +1,5 @@
-//! Carries out what the rules decide: forwards waiting requests, starts health checks and hedged requests,
-//! and ends requests that are given up.
+//! Carries out the decisions of the rules: forwards waiting requests, starts health checks and hedged
+//! requests, and ends requests that are given up.
 
 use super::health_check::{self, ReadCheck};
 use super::queue::{self, Ending};
@@ -9,14 +9,13 @@
 use std::collections::BTreeSet;
 
 impl Router {
-    /// Forwards what waits in every group.
+    /// Dispatches the waiting requests of every group.
     pub(super) fn dispatch_all(&mut self, actions: &mut Vec<Action>) {
         let groups: BTreeSet<u32> = self.requests.waiting().map(|(_, request)| request.group).collect();
         groups.into_iter().for_each(|group| self.dispatch(group, actions));
     }
 
-    /// Forwards what waits in a group, in the order of the queue, and starts the health checks that would
-    /// help.
+    /// Forwards the waiting requests of a group in queue order, and starts the requested health checks.
     pub(super) fn dispatch(&mut self, group: u32, actions: &mut Vec<Action>) {
         let order = queue::dispatch_order(self.context(), &self.requests, group);
         let mut unplaced = vec![0; self.settings.classes.len()];
@@ -37,7 +36,7 @@
         }
     }
 
-    /// Returns the host for a request and requests the health checks that would help to place it.
+    /// Selects a host for a request, and requests the health checks that would help to place it.
     fn select_host(&mut self, id: RequestId) -> Option<HostId> {
         let selection = selection::select_host(self.context(), &self.requests, id)?;
         for id in selection.health_checks {
@@ -48,7 +47,7 @@
         selection.host
     }
 
-    /// Returns whether a read waits for a health check, which is started if need be.
+    /// Returns whether a read waits for a health check, and starts that if necessary.
     fn waits_for_health_check(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         match health_check::read_check(self.context(), request) {
@@ -63,7 +62,7 @@
         }
     }
 
-    /// Starts a health check of the host if one is due; returns whether one is in flight.
+    /// Starts a health check of the host if one is due. Returns whether one is in flight.
     fn check_health(&mut self, id: HostId, actions: &mut Vec<Action>) -> bool {
         let context = self.context();
         let Some(host) = context.hosts.get(id).filter(|host| context.is_usable(host)) else { return false };
@@ -82,8 +81,8 @@
         true
     }
 
-    /// Forwards a request to a host. A connection may take long to open: unless the host checks reads
-    /// itself, a read that must be fresh has to be written while its evidence holds.
+    /// Forwards a request to a host. Opening a connection may take long, so a fresh read must be written
+    /// while the evidence for its host holds, unless the host checks reads itself.
     pub(super) fn forward(&mut self, id: RequestId, host_id: HostId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let requirement = freshness::requirement(self.context(), request);
@@ -91,12 +90,12 @@
         let Some(host) = self.hosts.get_mut(host_id) else { return };
         let hosts_check_reads = self.settings.replica_lag_wait().is_some();
         let write_by =
-            if hosts_check_reads { None } else { freshness::latest_write(host, requirement, self.now) };
+            if hosts_check_reads { None } else { freshness::write_deadline(host, requirement, self.now) };
         let number = request.attempts;
         request.attempts += 1;
         request.in_flight_attempts += 1;
         host.attempt_forwarded(self.now, request.deadline);
-        // A read that asks an unheard host for its role does not rely on it.
+        // A role query to a host with a doubted role does not rely on that role.
         let relies_on_role = !hosts_check_reads && freshness::relies_on_role(host, requirement, self.now);
         host.circuit_breaker.probe_started(self.now, outlier::BASE_EJECTION);
         let (class, group) = (request.class, request.group);
@@ -114,19 +113,19 @@
         actions.push(Action::Forward { id, host: host_id, timeout: None, requirement, write_by });
     }
 
-    /// Withdraws the reads that were forwarded on a role that their host may have lost meanwhile: those that
-    /// wait for a connection are not written any more.
-    pub(super) fn withdraw_reads_without_role(&mut self, actions: &mut Vec<Action>) {
+    /// Withdraws the reads that were forwarded because of a role that their host may have lost since. Those
+    /// that still wait for a connection are then not written.
+    pub(super) fn withdraw_reads_with_doubted_role(&mut self, actions: &mut Vec<Action>) {
         for (id, number, attempt) in self.requests.relying_on_role() {
             let host = self.hosts.get(attempt.host);
-            if host.is_none_or(|host| !host.is_primary() || host.role.is_contradicted(self.now)) {
+            if host.is_none_or(|host| !host.is_primary() || host.role.is_doubted_by_event(self.now)) {
                 attempt.relies_on_role = false;
                 actions.push(Action::WithdrawAttempt { id, attempt: number });
             }
         }
     }
 
-    /// Sends a second attempt of a request beside a slow one, if there is a host for it.
+    /// Hedges a request with a slow attempt, if there is a host for a second one.
     pub(super) fn hedge_if_slow(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id).filter(|request| request.in_flight_attempts == 1) else {
             return;
@@ -142,7 +141,7 @@
         }
     }
 
-    /// Ends a waiting request that is to be given up.
+    /// Ends a waiting request if there is a reason to give it up.
     pub(super) fn give_up_if_due(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id).filter(|request| request.is_waiting()) else { return };
         let context = self.context();
@@ -153,21 +152,21 @@
             Ending::Reject => self.reject(id, actions),
             Ending::Fail => {
                 actions.push(Action::Fail { id });
-                self.close(id, actions);
+                self.close_request(id, actions);
             }
         }
     }
 
-    /// Rejects a request, with Retry-After if that is allowed.
+    /// Rejects a request, with a retry delay if the settings allow it.
     pub(super) fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let retry_after = queue::retry_after(self.context(), request);
         actions.push(Action::Reject { id, retry_after });
-        self.close(id, actions);
+        self.close_request(id, actions);
     }
 
-    /// Forgets a request that has ended, and cancels its attempts in flight.
-    pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Removes a request that has ended, and cancels its attempts in flight.
+    pub(super) fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let was_pending = self.requests.remove(id);
         if was_pending && self.settings.cancellation_allowed {
             for (attempt, _) in self.requests.attempts_of(id) {
--- a/crates/decisions/src/routing/eligibility.rs
+++ b/crates/decisions/src/routing/eligibility.rs
@@ -1,4 +1,5 @@
-//! Whether a host may take a request, and on what evidence. Every forwarded request passes [`eligibility`].
+//! Whether a host may take a request, and on what evidence. Every forwarded request has passed
+//! [`eligibility`].
 
 use super::context::Context;
 use super::freshness::{likely_position, required_position, NO_POSITION};
@@ -11,47 +12,48 @@
 #[cfg(test)]
 mod tests;
 
-/// A host that rejected a write gets none for this time: a handover takes longer than all attempts of a
-/// request.
-const WRITE_REJECTED_FOR: TimeDelta = TimeDelta::from_millis(120);
-/// A host that did not suit a request is tried without evidence again only after this.
-const UNVERIFIED_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(300);
-/// A read is not sent unverified any more once this number of hosts turned out to be behind.
+/// A host that rejected a write gets no further one for this time. Otherwise all attempts of a request could
+/// be used up there while the role is handed over.
+const WRITE_REJECTION_BACKOFF: TimeDelta = TimeDelta::from_millis(120);
+/// Minimum time after the last observation of an unsuitable host until a request is sent to it without
+/// evidence again.
+const UNVERIFIED_RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(300);
+/// A read is no longer sent to unverified hosts once this number of hosts has rejected it as being behind.
 const MAX_REJECTED_AS_BEHIND: usize = 2;
 
-/// On what evidence a host may take a request, in order of preference.
+/// Evidence on which a host may take a request, in order of preference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Eligibility {
-    /// It is known to have applied what the request must see.
+    /// The host is known to have applied the position that the request must see.
     CaughtUp,
-    /// It checks reads itself and has probably applied what the request must see.
+    /// The host checks reads itself and has probably applied the required position.
     LikelyCaughtUp,
-    /// It is the primary.
+    /// The host is the primary.
     Primary,
-    /// Nothing is known, but it rejects a request that does not suit it without executing it.
+    /// There is no evidence, but the host rejects a request that it must not serve without executing it.
     Unverified,
 }
 
-/// Why a host may not take a request.
+/// Reason why a host may not take a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Ineligible {
-    /// It is not known, of another group, draining or removed.
+    /// The host is unknown, belongs to another group, is draining or was removed.
     NotAvailable,
-    /// The deadline or the number of attempts is reached.
+    /// The deadline or the maximum number of attempts of the request is reached.
     RequestExhausted,
-    /// The request may have been executed already, and must not be repeated there.
+    /// The request may have been executed already, and must not be repeated at this host.
     RetryUnsafe,
-    /// It is warming up and gets only a fraction of the requests.
+    /// The host is warming up and gets only a fraction of the requests.
     WarmingUp,
-    /// It rejected a write a short time ago.
+    /// The host rejected a write a short time ago.
     WriteRejected,
-    /// It is not known to be the primary.
+    /// The host is not known to be the primary.
     NotPrimary,
-    /// It has not applied what the request must see.
+    /// The host is not known to have applied the position that the request must see.
     Behind,
 }
 
-/// Returns on what evidence the host may take the request now, or why it may not.
+/// Returns the evidence on which the host may take the request now, or the reason why it may not.
 pub(super) fn eligibility(
     context: Context<'_>,
     id: HostId,
@@ -76,20 +78,22 @@
     }
 }
 
-/// Writes go to the primary. While it hands over it rejects them and still calls itself the primary.
+/// Returns the eligibility for a write, which goes to the primary. During a handover the primary rejects
+/// writes while it still reports the primary role.
 fn write_eligibility(
     context: Context<'_>,
     id: HostId,
     host: &Host,
     request: &PendingRequest,
 ) -> Result<Eligibility, Ineligible> {
-    if host.role.write_rejected_at().is_some_and(|at| context.now - at < WRITE_REJECTED_FOR) {
+    if host.role.write_rejected_at().is_some_and(|at| context.now - at < WRITE_REJECTION_BACKOFF) {
         return Err(Ineligible::WriteRejected);
     }
     if host.is_primary() && has_recent_evidence(context, host, context.class(request)) {
         return Ok(Eligibility::Primary);
     }
-    // Without health checks the next member is tried: it rejects a write that it may not take.
+    // Without health checks the write itself is sent to the next member, which rejects it if it is not the
+    // primary.
     if !context.settings.can_health_check() && unverified_attempt_allowed(context, id, host, request) {
         return Ok(Eligibility::Unverified);
     }
@@ -118,10 +122,11 @@
         return Ok(Eligibility::CaughtUp);
     }
     let lag_wait = context.settings.replica_lag_wait().ok_or(Ineligible::Behind)?;
-    // A host that has been up for long and never responded is as likely to have caught up as any.
+    // A host that has been up for long and never reported a position is as likely as any other to have caught
+    // up.
     let is_unknown = host.position_observed_at.is_none() && host.started_at.is_none();
-    let soon = likely_position(host, context.now).0.saturating_add(lag_wait.0 / 2);
-    if (is_unknown || soon >= required.0) && !is_primary {
+    let position_soon = likely_position(host, context.now).0.saturating_add(lag_wait.0 / 2);
+    if (is_unknown || position_soon >= required.0) && !is_primary {
         return Ok(Eligibility::LikelyCaughtUp);
     }
     if !context.settings.can_health_check() && unverified_attempt_allowed(context, id, host, request) {
@@ -130,17 +135,17 @@
     Err(Ineligible::Behind)
 }
 
-/// Returns whether the host has responded recently enough to count as alive for a class. Requests that may
-/// be repeated need no such evidence, and where health checks are impossible there is none.
+/// Returns whether the host has responded recently enough to count as alive for a request of this class. A
+/// request that may be repeated needs no such evidence, and if health checks are impossible there is none.
 fn has_recent_evidence(context: Context<'_>, host: &Host, class: &RequestClass) -> bool {
     class.idempotency != Idempotency::NotIdempotent
         || !context.settings.can_health_check()
         || host.last_response_at.is_some_and(|at| context.now - at <= PRIMARY_EVIDENCE_MAX_AGE)
 }
 
-/// Returns whether the request itself may serve as the health check: the host rejects it unexecuted if it
-/// does not suit. Not where a primary that may respond is known, nor where the host did not suit a short
-/// time ago.
+/// Returns whether the request itself may serve as the health check, since the host rejects it unexecuted if
+/// it must not serve it. Not allowed if a known primary is not ejected, or if the host was observed to be
+/// unsuitable a short time ago.
 fn unverified_attempt_allowed(
     context: Context<'_>,
     id: HostId,
@@ -163,7 +168,7 @@
         true => TimeDelta(0),
         false => TimeDelta(observed_at.0 - host.applied_position.0),
     };
-    let delay = UNVERIFIED_RETRY_AFTER.max(TimeDelta(lag.0 / 2));
+    let delay = UNVERIFIED_RETRY_INTERVAL.max(TimeDelta(lag.0 / 2));
     let is_due = TimeDelta(context.now.0 - observed_at.0) >= delay;
     is_due && (needs_primary || request.rejected_as_behind.len() < MAX_REJECTED_AS_BEHIND)
 }
--- a/crates/decisions/src/routing/endpoint_list.rs
+++ b/crates/decisions/src/routing/endpoint_list.rs
@@ -1,31 +1,31 @@
-//! The endpoint list: which hosts there are, their groups, roles and starts, and when a removed one is
-//! forgotten.
+//! Application of the endpoint list: hosts with their groups, listed roles and start times, and the removal
+//! of hosts that are no longer listed.
 
 use super::host::{Host, HostTable};
 use crate::interface::{EndpointEntry, EndpointUpdate, HostId, HostState, TimeDelta, Timestamp};
 use crate::load::CircuitBreaker;
 use std::collections::BTreeSet;
 
-/// After this a removed host is forgotten: where all hosts are replaced every day they would add up.
-/// Independent of how long the caller keeps its own record of the host.
+/// Time after which a removed and idle host is forgotten. Without this the table would grow where all hosts
+/// are replaced every day. Independent of how long the caller keeps its own record of the host.
 const FORGET_REMOVED_AFTER: TimeDelta = TimeDelta::from_secs(30);
 
-/// What an update of the list is applied with.
+/// Parameters of an update of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListUpdate {
     pub kind: EndpointUpdate,
     pub now: Timestamp,
-    /// Whether no list came before.
+    /// Whether this is the first list received.
     pub is_first: bool,
     /// Concurrency limit of a new host.
     pub initial_concurrency_limit: f64,
 }
 
-/// Applies an update of the endpoint list. A full list removes the hosts that it does not name.
+/// Applies an update of the endpoint list. A full list removes the hosts that it does not contain.
 pub(super) fn apply(hosts: &mut HostTable, update: ListUpdate, entries: &[EndpointEntry]) {
     if matches!(update.kind, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
-        let named: BTreeSet<HostId> = entries.iter().map(|entry| entry.host).collect();
-        let missing = hosts.iter_mut().filter(|(id, _)| !named.contains(id));
+        let listed: BTreeSet<HostId> = entries.iter().map(|entry| entry.host).collect();
+        let missing = hosts.iter_mut().filter(|(id, _)| !listed.contains(id));
         missing.for_each(|(_, host)| host.state = HostState::Removed);
     }
     entries.iter().for_each(|entry| apply_entry(hosts, update, entry));
@@ -47,7 +47,8 @@
     };
     let listed_start = entry.started_at.filter(|started_at| started_at.0 > 0);
     host.start_is_listed = listed_start.is_some();
-    // A host that first appears after the first list has just been started, whatever its entry says.
+    // A host that first appears after the first list has just started, even if its entry contains no start
+    // time.
     let just_started = is_new && !update.is_first;
     let started_at = if just_started { listed_start.or(Some(update.now)) } else { listed_start };
     if started_at != host.started_at {
@@ -61,7 +62,7 @@
     host.health_check_requested |= host.role.record_listed(entry.listed_as_primary) && !is_new;
 }
 
-/// Forgets hosts that have been removed and idle for long, unless a removal is only advice.
+/// Forgets hosts that have been removed and idle for [`FORGET_REMOVED_AFTER`], unless removals are advisory.
 pub(super) fn forget_removed(hosts: &mut HostTable, now: Timestamp, removal_is_advisory: bool) {
     for (_, host) in hosts.iter_mut() {
         if host.state == HostState::Running {
--- a/crates/decisions/src/routing/health_check.rs
+++ b/crates/decisions/src/routing/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: when a host is asked for its position and role, and which reads wait for the answer.
+//! Health checks: when the position and role of a host are checked, and which reads wait for the result.
 
 use super::context::Context;
 use super::eligibility::{eligibility, Eligibility};
@@ -8,24 +8,24 @@
 use super::request::{PendingRequest, SHARED_SALT};
 use crate::interface::{HostId, TimeDelta};
 
-/// A host is not checked again sooner: load reports are not renewed much faster.
+/// Minimum interval between two checks of a host: load reports are not renewed much faster.
 const MIN_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
-/// Longest time that a read waits for a health check.
+/// Maximum time that a read waits for a health check.
 const MAX_WAIT: TimeDelta = TimeDelta(2 * CHECK_INTERVAL.0);
 
 /// Whether a read waits for a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadCheck {
-    /// It can be placed, or a check cannot help.
+    /// The read can be placed, or a health check cannot help.
     NotNeeded,
-    /// It waits for one in flight.
+    /// The read waits for a health check that is in flight.
     Wait,
-    /// It waits if a check of this host is in flight or can be started now.
+    /// The read waits if a check of this host is in flight or can be started now.
     Start(HostId),
 }
 
-/// Returns whether a health check of the host may be started now: none is in flight, the host was not
-/// observed at this very time, and the minimum interval since the last check has passed.
+/// Returns whether a health check of the host may be started now: none is in flight, the host did not report
+/// its position at this very time, and the minimum interval since the last check has passed.
 pub(super) fn is_due(context: Context<'_>, id: HostId, host: &Host) -> bool {
     let just_observed = host.position_observed_at == Some(context.now);
     let interval = min_interval(context, id, host);
@@ -33,10 +33,13 @@
     !host.health_check_in_flight && !just_observed && !just_checked
 }
 
-/// Returns the minimum time between two checks of the host. It grows with the number of routers, since a
-/// failover would otherwise cause a storm of checks. While no primary is known it is at most the shortest
-/// latency objective, as a request that waits longer is lost. The primary itself, and every host where
-/// replicas do not check reads, has the least interval: there only a check releases the request.
+/// Returns the minimum interval between two checks of the host:
+///
+/// - [`MIN_INTERVAL`] for the known primary, and for every host of a group with a known primary where
+///   replicas do not check reads: there only a health check releases the waiting request.
+/// - For other hosts it grows with the number of routers, since a failover would otherwise cause a storm of
+///   checks. While no primary is known it is at most the shortest latency objective, as a request that waits
+///   longer misses its objective.
 fn min_interval(context: Context<'_>, id: HostId, host: &Host) -> TimeDelta {
     let settings = context.settings;
     let fleet_interval = TimeDelta((MIN_INTERVAL.0 as f64 * settings.fleet_size_factor()) as i64);
@@ -47,8 +50,8 @@
     }
 }
 
-/// Returns whether a read should wait for a health check: where replicas do not check reads themselves, and
-/// none is known to have caught up, the one that most likely has is checked first.
+/// Returns whether a read should wait for a health check. This is so if replicas do not check reads
+/// themselves and none is known to have caught up; then the replica that most likely has is checked first.
 pub(super) fn read_check(context: Context<'_>, request: &PendingRequest) -> ReadCheck {
     let settings = context.settings;
     let checks_help = settings.replica_lag_wait().is_none()
@@ -62,13 +65,14 @@
     if replicas().any(|(id, _)| eligibility(context, id, request) == Ok(Eligibility::CaughtUp)) {
         return ReadCheck::NotNeeded;
     }
-    let can_answer = |host: &Host| context.is_usable(host) && !host.circuit_breaker.is_failing();
-    // Of replicas that are unknown any one: routers that all checked the same would all send there.
+    let can_respond = |host: &Host| context.is_usable(host) && !host.circuit_breaker.is_failing();
+    // Among replicas with the same likely position, such as unknown ones, one is chosen at random: if all
+    // routers checked the same one, they would all send their requests there.
     let preference = |id: HostId, host: &Host| {
         let random = request.hash_fraction(id, SHARED_SALT).to_bits();
         (likely_position(host, context.now), random)
     };
-    let candidates = replicas().filter(|(_, host)| can_answer(host));
+    let candidates = replicas().filter(|(_, host)| can_respond(host));
     let Some((id, host)) = candidates.max_by_key(|(id, host)| preference(*id, host)) else {
         return ReadCheck::NotNeeded;
     };
--- a/crates/decisions/src/routing/hedging.rs
+++ b/crates/decisions/src/routing/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged requests: a second attempt beside one that takes long.
+//! Hedged requests: a second attempt in parallel to a slow one.
 
 use super::admission::shedding_ratio;
 use super::context::Context;
@@ -7,17 +7,17 @@
 use super::retry::RetryBudget;
 use crate::interface::{Idempotency, Role};
 
-/// Why a second attempt is sent.
+/// Reason why a second attempt is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HedgeReason {
-    /// The host has failed since its last response.
+    /// The host of the first attempt has failed since its last response.
     HostFailing,
-    /// The attempt takes a multiple of the mean latency while the group is not overloaded.
+    /// The first attempt takes a multiple of the mean latency and the group is not overloaded.
     SlowAttempt,
 }
 
-/// Returns why the request, of which only `attempt` is in flight, should be hedged. Never one whose repeat
-/// may do harm, one whose response has begun, or without a retry left in the budget.
+/// Returns the reason why the request, of which only `attempt` is in flight, should be hedged. A request is
+/// not hedged if its repeat may do harm, if its response has started, or if the retry budget is exhausted.
 pub(super) fn hedge_reason(
     context: Context<'_>,
     request: &PendingRequest,
@@ -41,8 +41,8 @@
     (is_slow && is_below_overload(context, request.group, role)).then_some(HedgeReason::SlowAttempt)
 }
 
-/// Returns whether the hosts of this role are well below overload, where hedged requests would only add to
-/// it. One of many routers sees too little to tell, so that its threshold is lower.
+/// Returns whether the hosts of this role are well below overload, which hedged requests would only increase.
+/// A router of a large fleet sees too few responses to tell, so its threshold is lower.
 fn is_below_overload(context: Context<'_>, group: u32, role: Role) -> bool {
     let threshold = shedding_ratio(context.settings, role) / context.settings.fleet_size_factor();
     context.latency_ratio(group, role) < threshold
--- a/crates/decisions/src/routing/load_estimates.rs
+++ b/crates/decisions/src/routing/load_estimates.rs
@@ -1,20 +1,20 @@
-//! The load that a router has measured: latencies by class, by group and role, and the traffic of each group.
+//! Estimates of the load: latencies by class, by group and role, and the traffic of each group.
 
 use crate::interface::RequestClass;
 use crate::load::{GroupLatency, GroupTraffic, LatencyEstimate};
 use std::collections::BTreeMap;
 
-/// Weight of a new sample in a moving average: some ten samples count.
+/// Weight of a new sample in a moving average, which thus covers about ten samples.
 pub(super) const SAMPLE_WEIGHT: f64 = 0.1;
-/// Least weight of a new sample of a latency ratio.
+/// Minimum weight of a new sample of a latency ratio.
 pub(super) const LATENCY_RATIO_MIN_WEIGHT: f64 = 0.25;
-/// Time constant, in microseconds, with which the latency ratio of a group decays without new responses.
+/// Time constant, in microseconds, of the decay of a group's latency ratio without new responses.
 const GROUP_LATENCY_TIME_CONSTANT_US: f64 = 6e6;
 
-/// Latencies and traffic.
+/// Estimated latencies and traffic.
 #[derive(Debug)]
 pub(super) struct LoadEstimates {
-    /// By class.
+    /// Latency estimates by class.
     pub classes: Vec<LatencyEstimate>,
     /// Latency ratios by group and role.
     pub groups: GroupLatency,
--- a/crates/decisions/src/routing/mod.rs
+++ b/crates/decisions/src/routing/mod.rs
@@ -1,29 +1,30 @@
 //! Routing of requests to hosts. Its events and actions are in `src/interface/`.
 //!
-//! This file holds the state of one router and dispatches its events; `dispatch` carries out what the rules
+//! This file holds the state of one router and handles its events; `dispatch` carries out what the rules
 //! decide. Each rule has a file of its own:
 //!
 //! | question | file |
 //! | --- | --- |
 //! | Which hosts are there? | `endpoint_list` |
-//! | Which position does a read need, which one has a host applied? | `freshness` |
-//! | Which role is a host believed to have, and may a fresh read rely on it? | `role` |
+//! | Which log position does a read require, and which one has a host applied? | `freshness` |
+//! | Which role does a host have, and may a fresh read rely on it? | `role` |
 //! | May this host take this request? | `eligibility` |
 //! | Which eligible host gets it? | `selection` |
 //! | Is the request admitted under overload? | `admission` |
 //! | May an attempt be repeated? | `retry` |
-//! | Is a second attempt sent beside a slow one? | `hedging` |
-//! | In which order do requests wait, and when are they given up? | `queue` |
-//! | What does a host get while it warms up? | `slow_start` |
+//! | Is a slow attempt hedged by a second one? | `hedging` |
+//! | In which order are waiting requests placed, and when are they given up? | `queue` |
+//! | Which share of the requests does a host get while it warms up? | `slow_start` |
 //! | When is a host ejected? | `outlier` |
 //! | How many attempts may a host have in flight? | `concurrency_limit` |
-//! | When is a host asked for its position and role? | `health_check` |
+//! | When is the health of a host checked? | `health_check` |
 //! | When are idle connections closed? | `idle_connections` |
-//! | What follows from a correction of the hosts' clock? | `clock_shift` |
+//! | How does the state follow a correction of the hosts' clock? | `clock_shift` |
 //!
-//! Why did the router reject a request? On arrival: its class is unknown, or `Admission::decide`; later
-//! `queue::give_up_reason`, and `queue::ending` says whether it is rejected or failed. Why does it wait?
-//! `eligibility` says why a host may not take it, `selection` why an eligible one is passed over.
+//! A request is rejected on arrival if its class is unknown or `Admission::decide` sheds it. A waiting
+//! request is given up for one of the reasons of `queue::give_up_reason`; `queue::ending` determines whether
+//! it is rejected or failed. It waits while no host is eligible (`eligibility::Ineligible` lists the reasons)
+//! or every eligible host is skipped (`selection::SkipReason` lists the reasons).
 
 mod admission;
 mod clock_shift;
@@ -60,28 +61,29 @@
 use request::{Attempt, PendingRequest, PendingRequests, PossibleExecution};
 use retry::RetryBudget;
 
-/// Sessions whose last write is remembered; what is known of older ones is merged for each group.
+/// Number of sessions whose last write is tracked individually. Positions of evicted sessions are merged into
+/// one per group.
 const TRACKED_SESSIONS: usize = 20_000;
-/// After this the endpoint list is watched again where the watch has failed. Only for a caller that leaves
+/// Delay before the endpoint list is watched again after the watch has failed. Used only if the caller leaves
 /// the watch to the router; the proxy's discovery actor follows `DiscoveryRetry`.
 const DISCOVERY_RETRY_DELAY: TimeDelta = TimeDelta::from_millis(300);
-/// Token of the only timer.
+/// Token of the router's only timer.
 const TIMER_TOKEN: u64 = 0;
 
-/// When the router acts next without an event.
+/// Times at which the router acts without an outside event.
 #[derive(Debug, Default)]
 struct Timers {
-    /// When pending requests are examined.
+    /// When pending requests are checked next.
     next_check: Option<Timestamp>,
-    /// When the endpoint list is watched again.
+    /// When the endpoint list is watched again after a failure.
     next_watch: Option<Timestamp>,
 }
 
-/// The decisions of one router.
+/// Decides for one router which host gets each request, and whether it is retried, rejected or failed.
 #[derive(Debug)]
 pub struct Router {
     settings: Settings,
-    /// State of the random generator, which advances once with each event.
+    /// State of a linear congruential generator, which advances once per event.
     random_state: u64,
     now: Timestamp,
     hosts: HostTable,
@@ -99,7 +101,7 @@
     /// Returns a router without hosts and requests.
     ///
     /// # Errors
-    /// If a setting is not sensible; the error names it.
+    /// If a setting is invalid; the error names it.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         validate(&settings)?;
         Ok(Self {
@@ -118,20 +120,21 @@
         })
     }
 
-    /// Replaces the settings by checked ones. Classes and tenants keep their numbers; new ones come behind.
+    /// Replaces the settings by `settings`, which must be validated already. Existing classes and tenants
+    /// keep their indices; new ones are appended.
     pub fn reconfigure(&mut self, settings: Settings) {
         self.load.add_classes(&settings.classes);
         self.admission.add_tenants(&settings.tenant_quotas);
         self.settings = settings;
     }
 
-    /// Returns the number of listed hosts that get no requests, or only where there is no other: those that
-    /// drain, are ejected or have many errors.
+    /// Returns the number of listed hosts that get no requests, or get them only as a last resort: those that
+    /// are draining, ejected or have a high error rate.
     pub fn ejected_hosts(&self) -> usize {
         outlier::ejected_hosts(self.context())
     }
 
-    /// Handles one event at the time `now` and appends what is to be done to `actions`.
+    /// Handles one event at the time `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.advance_random_state();
@@ -142,7 +145,7 @@
             Event::HealthChecked { host, outcome, report, .. } => {
                 self.on_health_checked(host, outcome, report, actions);
             }
-            Event::ClientDisconnected(id) => self.close(id, actions),
+            Event::ClientDisconnected(id) => self.close_request(id, actions),
             Event::ResponseStarted { id, attempt } => self.on_response_started(id, attempt),
             Event::PeerMessage { .. } => {}
             Event::Timer(_) => self.on_timer(actions),
@@ -159,8 +162,8 @@
         self.random_state = multiplied.wrapping_add(1_442_695_040_888_963_407);
     }
 
-    /// Sets the timer if requests are pending or the endpoint list is to be watched, and it is not set
-    /// earlier already.
+    /// Sets the timer for the next check unless it is set for an earlier time. Does nothing while no request
+    /// is pending and the endpoint list needs no new watch.
     fn schedule_check(&mut self, actions: &mut Vec<Action>) {
         let is_idle = self.requests.is_empty() && self.timers.next_watch.is_none();
         if is_idle {
@@ -191,7 +194,7 @@
             initial_concurrency_limit: concurrency_limit::initial_limit(self.settings.router_count),
         };
         endpoint_list::apply(&mut self.hosts, update, entries);
-        self.withdraw_reads_without_role(actions);
+        self.withdraw_reads_with_doubted_role(actions);
         self.endpoint_list_received = true;
         for (group, members) in self.hosts.listed_members() {
             self.load.traffic.entry(group).or_default().record_members(members);
@@ -209,7 +212,7 @@
             actions.push(Action::Reject { id: request.id, retry_after: None });
             return;
         }
-        let pending = self.register(request);
+        let pending = self.register_arrival(request);
         let context =
             Context { settings: &self.settings, now: self.now, hosts: &self.hosts, load: &self.load };
         let decision = self.admission.decide(context, &pending);
@@ -219,12 +222,12 @@
             return;
         }
         self.dispatch(request.group, actions);
-        // The next check would be too late for a request that arrives with hardly any time left.
+        // The next check would be too late for a request that arrives close to its deadline.
         self.give_up_if_due(request.id, actions);
     }
 
-    /// Counts a request that has arrived and returns it as pending.
-    fn register(&mut self, request: &Request) -> PendingRequest {
+    /// Records the arrival of a request and returns it as a pending one.
+    fn register_arrival(&mut self, request: &Request) -> PendingRequest {
         let class = &self.settings.classes[request.class];
         let minimum_position = freshness::minimum_position(&self.settings, &self.sessions, request, self.now);
         let traffic = self.load.traffic.entry(request.group).or_default();
@@ -244,7 +247,7 @@
         }
     }
 
-    /// A response that has begun belongs to the client: its attempt is not hedged any more.
+    /// Marks an attempt whose response has started to reach the client: it is not hedged any more.
     fn on_response_started(&mut self, id: RequestId, number: u32) {
         if let Some(attempt) = self.requests.attempt_mut(id, number) {
             attempt.response_started = true;
@@ -259,7 +262,7 @@
             let end = AttemptEnd { attempt: &attempt, result, class };
             outlier::record_outcome(host, &mut self.load, &self.settings, self.now, &end);
         }
-        self.withdraw_reads_without_role(actions);
+        self.withdraw_reads_with_doubted_role(actions);
         let context =
             Context { settings: &self.settings, now: self.now, hosts: &self.hosts, load: &self.load };
         self.connection_pressure.release_idle_connections(context, result, actions);
@@ -267,7 +270,7 @@
         self.record_write_position(&attempt, result);
         self.record_attempt_end(&attempt, result);
         if result.request_closed || result.outcome == Outcome::Ok {
-            self.close(result.id, actions);
+            self.close_request(result.id, actions);
         } else {
             self.give_up_if_due(result.id, actions);
         }
@@ -276,33 +279,35 @@
         }
     }
 
-    /// Takes what an attempt's result says about its host. One that rejects a write as misdirected is no
-    /// primary, though the part of the answer that tells the role is missing.
+    /// Records the position and role that an attempt's result reports of its host. A host that rejects a
+    /// write as misdirected counts as a replica even if the part of the response that reports the role is
+    /// missing.
     fn observe_result(&mut self, result: &AttemptResult, attempt: &Attempt) {
         let is_write = self.settings.classes[attempt.class].freshness == Freshness::Write;
         let rejected_write = is_write && result.outcome == Outcome::Misdirected;
         let role = result.role.or(rejected_write.then_some(Role::Replica));
         let sent_at = attempt.sent_at;
         let observation = Observation { position: result.position, role, observed_at: self.now, sent_at };
-        freshness::observe(&mut self.hosts, result.host, observation, self.now);
+        freshness::record_observation(&mut self.hosts, result.host, observation, self.now);
         if let Some(report) = result.report {
-            freshness::observe_report(&mut self.hosts, result.host, report, self.now);
+            freshness::record_load_report(&mut self.hosts, result.host, report, self.now);
         }
     }
 
-    /// Takes the position of a tracked write, or that it may have been committed although no response came.
-    /// A position ahead of the clock counts as the latest plausible one: its session does not lose it then.
+    /// Records the commit position of a tracked write, or that it may still be committed because no response
+    /// came. A position ahead of the clock is capped at the latest plausible one, so that the session still
+    /// has to see its write.
     fn record_write_position(&mut self, attempt: &Attempt, result: &AttemptResult) {
         let Some(write) = attempt.tracked_write else { return };
-        let latest = LogPosition(freshness::latest_plausible(self.now).0);
+        let latest = LogPosition(freshness::latest_plausible_time(self.now).0);
         let position = result.position.map(|position| position.min(latest));
         let committed = position.filter(|_| result.outcome == Outcome::Ok);
-        let doubtful_until = self.now + self.settings.classes[attempt.class].deadline;
-        let doubtful_until = retry::may_have_executed(result.outcome).then_some(doubtful_until);
-        self.sessions.write_ended(write.session, write.group, committed, doubtful_until);
+        let may_commit_until = self.now + self.settings.classes[attempt.class].deadline;
+        let may_commit_until = retry::may_have_executed(result.outcome).then_some(may_commit_until);
+        self.sessions.write_ended(write.session, write.group, committed, may_commit_until);
     }
 
-    /// Takes the end of an attempt into its request, if that is still pending.
+    /// Records the end of an attempt in its request, if that is still pending.
     fn record_attempt_end(&mut self, attempt: &Attempt, result: &AttemptResult) {
         let Some(request) = self.requests.get_mut(result.id) else { return };
         request.in_flight_attempts -= 1;
@@ -317,7 +322,7 @@
             Outcome::Error => request.failed_at.push(result.host),
             _ => {}
         }
-        // A request whose time is over does not ask for a retry.
+        // A request close to its deadline is not retried, so it must not use up the retry budget.
         let has_time_left = self.now < request.deadline - queue::GIVE_UP_MARGIN;
         if retry::counts_against_budget(result.outcome) && has_time_left {
             request.retries_exhausted = retry::retries_exhausted(request, &self.retry_budget);
@@ -335,16 +340,16 @@
         let Some(host) = self.hosts.get_mut(id) else { return };
         host.health_check_in_flight = false;
         if report.is_none() && matches!(outcome, Outcome::Timeout | Outcome::Reset) {
-            host.role.record_answer_lost(self.now);
+            host.role.record_response_lost(self.now);
         }
         let (group, position_before) = (host.group, host.applied_position);
         if let Some(report) = report {
-            freshness::observe_report(&mut self.hosts, id, report, self.now);
+            freshness::record_load_report(&mut self.hosts, id, report, self.now);
         }
-        // A host that hangs still answers health checks, but its position stands; an old report shows it
-        // moving.
-        let moved = self.hosts.get_mut(id).filter(|host| host.applied_position > position_before);
-        if let Some(host) = moved {
+        // A host that hangs still answers health checks, but its position does not advance. An advancing
+        // position shows that it is alive, even if the load report is old.
+        let advanced = self.hosts.get_mut(id).filter(|host| host.applied_position > position_before);
+        if let Some(host) = advanced {
             host.last_response_at = Some(self.now);
         }
         self.dispatch(group, actions);
@@ -359,8 +364,8 @@
             self.timers.next_watch = None;
             actions.push(Action::WatchEndpoints(true));
         }
-        self.eject_silent_hosts();
-        self.withdraw_reads_without_role(actions);
+        self.eject_unresponsive_hosts();
+        self.withdraw_reads_with_doubted_role(actions);
         let ids: Vec<RequestId> = self.requests.ids().collect();
         for id in ids {
             self.give_up_if_due(id, actions);
@@ -369,10 +374,10 @@
         self.dispatch_all(actions);
     }
 
-    fn eject_silent_hosts(&mut self) {
-        for id in outlier::silent_hosts(self.context(), &self.requests) {
+    fn eject_unresponsive_hosts(&mut self) {
+        for id in outlier::unresponsive_hosts(self.context(), &self.requests) {
             if let Some(host) = self.hosts.get_mut(id) {
-                outlier::record_silence(host, self.now);
+                outlier::record_unresponsive(host, self.now);
             }
         }
     }
--- a/crates/decisions/src/routing/outlier.rs
+++ b/crates/decisions/src/routing/outlier.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: what the outcome of an attempt says about its host, and when a host is ejected.
+//! Outlier detection: how the outcome of an attempt changes the state of its host, and when a host is
+//! ejected.
 
 use super::concurrency_limit;
 use super::context::{serving_role, Context};
@@ -11,34 +12,35 @@
 };
 use std::collections::BTreeSet;
 
-/// An attempt that takes this multiple of its class's mean latency is slow.
+/// Multiple of its class's mean latency from which on an attempt is slow.
 pub(super) const SLOW_LATENCY_MULTIPLE: f64 = 3.0;
-/// A host whose attempt takes this multiple of its class's mean latency is silent.
-const SILENT_LATENCY_MULTIPLE: f64 = 6.0;
-/// Ejection after the first failure; each further one doubles it.
+/// Multiple of its class's mean latency beyond which the host of an unanswered attempt counts as
+/// unresponsive.
+const UNRESPONSIVE_LATENCY_MULTIPLE: f64 = 6.0;
+/// Ejection time after the first failure; each further failure doubles it.
 pub(super) const BASE_EJECTION: TimeDelta = TimeDelta::from_millis(300);
-/// Longest ejection.
+/// Maximum ejection time.
 pub(super) const MAX_EJECTION: TimeDelta = TimeDelta::from_secs(3);
-/// A host that responded so recently is busy rather than dead when it takes no connection.
+/// A host that responded within this time is busy rather than dead if it accepts no connection.
 const RECENT_RESPONSE_WINDOW: TimeDelta = TimeDelta::from_secs(3);
 /// Error rate up to which no host is an outlier.
 const MIN_OUTLIER_ERROR_RATE: f64 = 0.15;
-/// A host is an outlier if its error rate is this multiple of the lowest in its group.
+/// A host is an outlier if its error rate exceeds this multiple of the lowest in its group.
 const OUTLIER_ERROR_MULTIPLE: f64 = 3.0;
 /// Time constant, in microseconds, with which an error rate decays without responses.
 const ERROR_RATE_TIME_CONSTANT_US: f64 = 3e6;
 /// Time constant, in microseconds, with which the latency ratio of a host decays without responses.
 const LATENCY_RATIO_TIME_CONSTANT_US: f64 = 3e6;
-/// Latency ratio from which on a response has queued at its host.
+/// Latency ratio above which the request is presumed to have queued at its host.
 const QUEUED_LATENCY_RATIO: f64 = 0.4;
-/// The latency ratio that an overloaded host counts as.
+/// Latency ratio recorded for an attempt that its host rejected as overloaded.
 const OVERLOADED_LATENCY_RATIO: f64 = 2.0;
-/// Largest sample of a latency ratio.
+/// Maximum sample of a latency ratio.
 const MAX_LATENCY_RATIO: f64 = 3.0;
-/// Largest sample of a host's latency relative to the mean.
+/// Maximum sample of a host's latency relative to the mean of the class.
 const MAX_RELATIVE_LATENCY: f64 = 5.0;
 
-/// An attempt that has ended.
+/// An attempt that has ended, with its result and its class.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptEnd<'a> {
     pub attempt: &'a Attempt,
@@ -61,7 +63,7 @@
     }
 }
 
-/// Takes the outcome of an attempt into what is known of its host and of the load.
+/// Records the outcome of an attempt in the state of its host and in the load estimates.
 pub(super) fn record_outcome(
     host: &mut Host,
     load: &mut LoadEstimates,
@@ -71,7 +73,7 @@
 ) {
     host.attempt_ended();
     if end.result.answer_lost {
-        host.role.record_answer_lost(now);
+        host.role.record_response_lost(now);
     }
     record_error(host, now, end.result.outcome);
     record_write_rejection(host, now, end);
@@ -103,8 +105,9 @@
     }
 }
 
-/// Closes the circuit breaker on a response and opens it on a failure. A host that fails at once looks idle
-/// and would draw all requests: one that drains unlisted, has full queues or is dead.
+/// Closes the circuit breaker on a response and opens it on a failure. A host that fails immediately looks
+/// idle and would attract all requests: one that is draining before the endpoint list says so, has full
+/// queues or is dead.
 fn record_liveness(host: &mut Host, mean_latency_us: f64, now: Timestamp, end: &AttemptEnd<'_>) {
     match end.result.outcome {
         Outcome::Ok | Outcome::Misdirected | Outcome::Stale | Outcome::Error => {
@@ -119,23 +122,23 @@
             host.circuit_breaker.record_failure(now, ejection, MAX_EJECTION);
         }
         Outcome::Timeout if end.latency_us() >= SLOW_LATENCY_MULTIPLE * mean_latency_us => {
-            record_silence(host, now);
+            record_unresponsive(host, now);
         }
         Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => {}
     }
 }
 
-/// Records that the host does not respond.
-pub(super) fn record_silence(host: &mut Host, now: Timestamp) {
-    let last_sign = host.last_response_at.max(host.role.observed_at());
-    if last_sign.is_none_or(|at| now - at > PRIMARY_EVIDENCE_MAX_AGE) {
+/// Records that the host is unresponsive.
+pub(super) fn record_unresponsive(host: &mut Host, now: Timestamp) {
+    let last_evidence_at = host.last_response_at.max(host.role.observed_at());
+    if last_evidence_at.is_none_or(|at| now - at > PRIMARY_EVIDENCE_MAX_AGE) {
         host.role.record_unreachable(now);
     }
     host.circuit_breaker.record_failure(now, BASE_EJECTION, MAX_EJECTION);
 }
 
-/// Returns the first ejection of a host that failed at once: short for one that is only full, since it can
-/// serve most.
+/// Returns the ejection time after the first failure of a host: short for one that is only full, as it can
+/// still serve most requests.
 fn first_ejection(host: &Host, mean_latency_us: f64, now: Timestamp, outcome: Outcome) -> TimeDelta {
     let responded_recently = host.last_response_at.is_some_and(|at| now - at < RECENT_RESPONSE_WINDOW);
     if outcome == Outcome::ConnectFailed && !responded_recently {
@@ -174,57 +177,58 @@
     }
 }
 
-/// Returns the fraction of the host's recent responses that are errors.
+/// Returns the fraction of errors among the recent responses of the host.
 pub(super) fn error_rate(host: &Host, now: Timestamp) -> f64 {
     host.error_rate.value_at(now, ERROR_RATE_TIME_CONSTANT_US)
 }
 
-/// Returns the recent latency ratio of the host.
+/// Returns the latency ratio of the recent responses of the host.
 pub(super) fn latency_ratio(host: &Host, now: Timestamp) -> f64 {
     host.latency_ratio.value_at(now, LATENCY_RATIO_TIME_CONSTANT_US)
 }
 
-/// Returns the error rate above which a member of the group is an outlier. Where all hosts fail alike none
-/// is.
+/// Returns the error rate above which a member of the group is an outlier. If all members have the same error
+/// rate, none is an outlier.
 pub(super) fn outlier_error_rate(context: Context<'_>, group: u32) -> f64 {
     let usable = context.hosts.members(group).filter(|(_, host)| context.is_usable(host));
     let lowest = usable.map(|(_, host)| error_rate(host, context.now)).fold(f64::MAX, f64::min);
     MIN_OUTLIER_ERROR_RATE.max(OUTLIER_ERROR_MULTIPLE * lowest)
 }
 
-/// Returns the number of listed hosts that get no requests, or only where there is no other: those that
-/// drain, are ejected or have many errors.
+/// Returns the number of listed hosts that get no requests, or get them only as a last resort: those that are
+/// draining, ejected or have a high error rate.
 pub(super) fn ejected_hosts(context: Context<'_>) -> usize {
-    let is_bad = |host: &Host| {
+    let is_unavailable = |host: &Host| {
         !context.is_usable(host)
             || host.is_ejected(context.now)
             || error_rate(host, context.now) > MIN_OUTLIER_ERROR_RATE
     };
     let listed = context.hosts.iter().filter(|(_, host)| host.state != HostState::Removed);
-    listed.filter(|(_, host)| is_bad(host)).count()
+    listed.filter(|(_, host)| is_unavailable(host)).count()
 }
 
-/// Returns the hosts with overdue attempts and no response since. None if they are most of the busy hosts:
-/// then the cause is common to all, and no host is at fault.
-pub(super) fn silent_hosts(context: Context<'_>, requests: &PendingRequests) -> BTreeSet<HostId> {
+/// Returns the hosts that have overdue attempts and have not responded since those were sent. Returns none if
+/// they are the majority of the hosts with attempts in flight: then the cause is common to all, and no host
+/// is at fault.
+pub(super) fn unresponsive_hosts(context: Context<'_>, requests: &PendingRequests) -> BTreeSet<HostId> {
     let attempts = || requests.attempts();
     let is_overdue = |attempt: &Attempt| {
         let elapsed_us = (context.now - attempt.sent_at).0 as f64;
-        elapsed_us > SILENT_LATENCY_MULTIPLE * context.load.classes[attempt.class].mean_us
+        elapsed_us > UNRESPONSIVE_LATENCY_MULTIPLE * context.load.classes[attempt.class].mean_us
     };
-    let is_silent = |attempt: &Attempt| {
+    let has_not_responded_since = |attempt: &Attempt| {
         let host = context.hosts.get(attempt.host).filter(|host| !host.circuit_breaker.is_failing());
         host.is_some_and(|host| host.last_response_at.is_none_or(|at| at < attempt.sent_at))
     };
     let overdue = attempts().filter(|attempt| is_overdue(attempt));
-    let silent: BTreeSet<HostId> =
-        overdue.filter(|attempt| is_silent(attempt)).map(|attempt| attempt.host).collect();
-    if silent.is_empty() {
-        return silent;
+    let unresponsive: BTreeSet<HostId> =
+        overdue.filter(|attempt| has_not_responded_since(attempt)).map(|attempt| attempt.host).collect();
+    if unresponsive.is_empty() {
+        return unresponsive;
     }
     let busy: BTreeSet<HostId> = attempts().map(|attempt| attempt.host).collect();
-    if silent.len() * 2 <= busy.len().max(2) {
-        silent
+    if unresponsive.len() * 2 <= busy.len().max(2) {
+        unresponsive
     } else {
         BTreeSet::new()
     }
--- a/crates/decisions/src/routing/queue.rs
+++ b/crates/decisions/src/routing/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of requests that wait for a host: their order, when they are given up, and how they end then.
+//! The queue of requests that wait for a host: their order, when they are given up, and how they end.
 
 use super::admission::priority_density;
 use super::context::Context;
@@ -9,47 +9,50 @@
 #[cfg(test)]
 mod tests;
 
-/// Waiting requests are examined this often: a small part of any latency objective.
+/// Interval at which waiting requests are checked: a small part of any latency objective.
 pub(super) const CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
-/// A waiting request is given up this long before its deadline: two checks and the way back to its client.
-/// In the proxy the deadline is the core actor's, which leaves time for the network already.
+/// Time before its deadline at which a waiting request is given up: two check intervals and the transfer of
+/// the reply to the client. In the proxy the deadline is that of the core actor, which already leaves time
+/// for the network.
 pub(super) const GIVE_UP_MARGIN: TimeDelta = TimeDelta::from_millis(25);
-/// Requests of a class that found no host after which the others of the class are not tried: bounds the
-/// processor time of a dispatch.
+/// Number of requests of a class that found no host in a dispatch, from which on the others of the class are
+/// not tried. This bounds the processor time of a dispatch.
 pub(super) const MAX_UNPLACED_PER_CLASS: u32 = 16;
-/// Examinations of requests in flight within the shortest latency objective: few, since timers of many
-/// routers must not become a load.
+/// Checks of requests in flight within the shortest latency objective: few, so that the timers of many
+/// routers cause no load.
 const IN_FLIGHT_CHECKS_PER_OBJECTIVE: i64 = 8;
 
-/// Why a waiting request is given up. The caller ends it alike for all reasons; tests tell them apart.
+/// Reason why a waiting request is given up. All reasons lead to the same ending; only tests distinguish
+/// them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GiveUpReason {
-    /// The latency objective cannot be met, and a late response earns nothing.
+    /// The latency objective cannot be met, and the class gives late responses no weight.
     ObjectiveUnreachable,
-    /// The client is about to stop waiting.
+    /// The deadline is near.
     DeadlineNear,
-    /// The number of attempts is reached.
+    /// The maximum number of attempts is reached.
     AttemptsExhausted,
-    /// It failed at several hosts, or the retry budget is exhausted.
+    /// The request failed at several hosts, or the retry budget was exhausted.
     RetriesExhausted,
-    /// No host took it in half of its time: its client had better come again later.
+    /// No host accepted the request in half of the time to its deadline. Its client should rather retry
+    /// later.
     NoHostAvailable,
-    /// It may have been executed and must not be repeated.
+    /// The request may have been executed and must not be repeated.
     RetryUnsafe,
 }
 
 /// How a request that is given up ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Ending {
-    /// Nothing was done, or a repeat does no harm: the client may send it again.
+    /// It was not executed, or a repeat does no harm: the client may send it again.
     Reject,
-    /// It may have been executed.
+    /// It may have been executed, and a repeat may do harm.
     Fail,
 }
 
 /// Returns why a waiting request is given up now, or `None` while it may still be served.
 pub(super) fn give_up_reason(context: Context<'_>, request: &PendingRequest) -> Option<GiveUpReason> {
-    if is_hopeless(context, request) {
+    if cannot_meet_objective(context, request) {
         return Some(GiveUpReason::ObjectiveUnreachable);
     }
     if context.now >= request.deadline - GIVE_UP_MARGIN {
@@ -61,28 +64,29 @@
     if request.retries_exhausted {
         return Some(GiveUpReason::RetriesExhausted);
     }
-    if is_unserved_for_long(context, request) {
+    if is_unaccepted_at_half_time(context, request) {
         return Some(GiveUpReason::NoHostAvailable);
     }
     (!retry::retry_is_safe(context, request, None)).then_some(GiveUpReason::RetryUnsafe)
 }
 
-fn is_hopeless(context: Context<'_>, request: &PendingRequest) -> bool {
+/// Returns whether the latency objective cannot be met any more and the class gives late responses no weight.
+fn cannot_meet_objective(context: Context<'_>, request: &PendingRequest) -> bool {
     let class = context.class(request);
     let objective_left = request.arrived_at + class.latency_objective - context.now;
     class.late_priority_weight <= 0.0
         && (objective_left.0 as f64) < context.latency(request).service_time_us / 2.0
 }
 
-/// Returns whether no host took the request in half of its time. A write that was rejected may wait for the
-/// next primary.
-fn is_unserved_for_long(context: Context<'_>, request: &PendingRequest) -> bool {
-    let was_taken = match context.needs_primary(request) {
+/// Returns whether no host has accepted the request in half of the time to its deadline. For a request that
+/// needs the primary a rejection counts as acceptance, as it may still be served by the next primary.
+fn is_unaccepted_at_half_time(context: Context<'_>, request: &PendingRequest) -> bool {
+    let was_accepted = match context.needs_primary(request) {
         true => request.reached_a_host,
         false => request.possible_execution.is_some(),
     };
     let half_time_us = (request.arrived_at.0 + request.deadline.0) / 2;
-    !was_taken && context.now.0 >= half_time_us - 2 * CHECK_INTERVAL.0
+    !was_accepted && context.now.0 >= half_time_us - 2 * CHECK_INTERVAL.0
 }
 
 /// Returns how a request that is given up ends.
@@ -94,7 +98,7 @@
 }
 
 /// Returns the delay after which a rejected client should send the request again, if the settings allow one:
-/// short while a response within the objective is still possible, else the longest allowed.
+/// short while a response within the latency objective is still possible, otherwise the maximum.
 pub(super) fn retry_after(context: Context<'_>, request: &PendingRequest) -> Option<TimeDelta> {
     let half_objective = TimeDelta(context.class(request).latency_objective.0 / 2);
     let longest = context.settings.max_retry_after;
@@ -103,7 +107,8 @@
     context.settings.retry_after_allowed.then_some(wait)
 }
 
-/// Returns the requests of a group that wait, by descending priority density, then by number.
+/// Returns the waiting requests of a group by descending priority density, then by id. The number beside an
+/// id is the negated density.
 pub(super) fn dispatch_order(
     context: Context<'_>,
     requests: &PendingRequests,
@@ -116,7 +121,7 @@
     order
 }
 
-/// Returns the interval after which requests are examined next.
+/// Returns the time until the next check of pending requests.
 pub(super) fn check_interval(context: Context<'_>, requests: &PendingRequests) -> TimeDelta {
     let is_any_waiting = requests.waiting().next().is_some();
     let interval = match is_any_waiting {
--- a/crates/decisions/src/routing/queue/tests.rs
+++ b/crates/decisions/src/routing/queue/tests.rs
@@ -6,14 +6,14 @@
 
 const ARRIVED_AT: Timestamp = Timestamp(1_000_000_000);
 
-/// One class with an objective of 500 ms, whose late responses still earn something.
+/// One class with a latency objective of 500 ms that gives late responses some weight.
 fn settings() -> Settings {
     let mut settings = Settings::example();
     settings.classes[0].late_priority_weight = 0.1;
     settings
 }
 
-/// A request that waits, with a timeout of 2 s.
+/// A waiting request with a timeout of 2 s.
 fn waiting() -> PendingRequest {
     let deadline = ARRIVED_AT + TimeDelta::from_secs(2);
     PendingRequest { arrived_at: ARRIVED_AT, deadline, ..PendingRequest::default() }
@@ -29,60 +29,60 @@
     rule(Context { settings, now, hosts: &hosts, load: &load })
 }
 
-fn reason(settings: &Settings, request: &PendingRequest, after_ms: i64) -> Option<GiveUpReason> {
+fn reason_after(settings: &Settings, request: &PendingRequest, after_ms: i64) -> Option<GiveUpReason> {
     with_context(settings, after_ms, |context| give_up_reason(context, request))
 }
 
 #[test]
 fn a_request_that_has_just_arrived_is_not_given_up() {
-    assert_eq!(reason(&settings(), &waiting(), 0), None);
+    assert_eq!(reason_after(&settings(), &waiting(), 0), None);
 }
 
 #[test]
-fn an_unreachable_objective_counts_only_where_late_responses_earn_nothing() {
+fn an_unreachable_objective_counts_only_if_late_responses_have_no_weight() {
     let mut settings = settings();
-    assert_eq!(reason(&settings, &waiting(), 490), None);
+    assert_eq!(reason_after(&settings, &waiting(), 490), None);
     settings.classes[0].late_priority_weight = 0.0;
-    assert_eq!(reason(&settings, &waiting(), 490), Some(GiveUpReason::ObjectiveUnreachable));
+    assert_eq!(reason_after(&settings, &waiting(), 490), Some(GiveUpReason::ObjectiveUnreachable));
 }
 
 #[test]
-fn a_request_that_no_host_took_is_given_up_two_checks_before_half_its_time() {
-    assert_eq!(reason(&settings(), &waiting(), 979), None);
-    assert_eq!(reason(&settings(), &waiting(), 980), Some(GiveUpReason::NoHostAvailable));
-    let taken = PendingRequest { possible_execution: executed(), ..waiting() };
-    assert_eq!(reason(&settings(), &taken, 980), None);
+fn a_request_that_no_host_accepted_is_given_up_two_checks_before_half_its_time() {
+    assert_eq!(reason_after(&settings(), &waiting(), 979), None);
+    assert_eq!(reason_after(&settings(), &waiting(), 980), Some(GiveUpReason::NoHostAvailable));
+    let executed_request = PendingRequest { possible_execution: executed(), ..waiting() };
+    assert_eq!(reason_after(&settings(), &executed_request, 980), None);
 }
 
 #[test]
 fn a_request_is_given_up_before_its_deadline() {
-    let taken = PendingRequest { possible_execution: executed(), ..waiting() };
-    assert_eq!(reason(&settings(), &taken, 1_974), None);
-    assert_eq!(reason(&settings(), &taken, 1_975), Some(GiveUpReason::DeadlineNear));
+    let executed_request = PendingRequest { possible_execution: executed(), ..waiting() };
+    assert_eq!(reason_after(&settings(), &executed_request, 1_974), None);
+    assert_eq!(reason_after(&settings(), &executed_request, 1_975), Some(GiveUpReason::DeadlineNear));
 }
 
 #[test]
 fn a_request_without_attempts_or_retries_left_is_given_up() {
     let attempted = PendingRequest { attempts: settings().max_attempts, ..waiting() };
-    assert_eq!(reason(&settings(), &attempted, 0), Some(GiveUpReason::AttemptsExhausted));
+    assert_eq!(reason_after(&settings(), &attempted, 0), Some(GiveUpReason::AttemptsExhausted));
     let failed = PendingRequest { retries_exhausted: true, ..waiting() };
-    assert_eq!(reason(&settings(), &failed, 0), Some(GiveUpReason::RetriesExhausted));
+    assert_eq!(reason_after(&settings(), &failed, 0), Some(GiveUpReason::RetriesExhausted));
 }
 
 #[test]
-fn a_request_that_may_have_run_fails_if_a_repeat_does_harm() {
+fn a_request_that_may_have_been_executed_fails_if_a_repeat_does_harm() {
     let mut settings = settings();
     let executed = PendingRequest { possible_execution: executed(), ..waiting() };
-    assert_eq!(reason(&settings, &executed, 0), None);
+    assert_eq!(reason_after(&settings, &executed, 0), None);
     assert_eq!(ending(&settings.classes[0], &executed), Ending::Reject);
     settings.classes[0].idempotency = Idempotency::NotIdempotent;
-    assert_eq!(reason(&settings, &executed, 0), Some(GiveUpReason::RetryUnsafe));
+    assert_eq!(reason_after(&settings, &executed, 0), Some(GiveUpReason::RetryUnsafe));
     assert_eq!(ending(&settings.classes[0], &executed), Ending::Fail);
     assert_eq!(ending(&settings.classes[0], &waiting()), Ending::Reject);
 }
 
 #[test]
-fn retry_after_is_short_while_the_objective_is_in_reach() {
+fn retry_after_is_short_while_the_objective_can_be_met() {
     let mut settings = settings();
     let delay = |settings: &Settings, after_ms| {
         with_context(settings, after_ms, |context| retry_after(context, &waiting()))
--- a/crates/decisions/src/routing/request.rs
+++ b/crates/decisions/src/routing/request.rs
@@ -1,11 +1,11 @@
-//! Requests that have no response yet, and their attempts.
+//! Pending requests and their attempts.
 
 use crate::interface::{HostId, LogPosition, RequestId, SessionId, Timestamp};
 use std::collections::BTreeMap;
 
-/// Salt of the random number that is common to all hosts.
+/// Salt of the random number that is shared by all hosts.
 pub(super) const SHARED_SALT: u64 = 0;
-/// Host number that stands for no host in particular.
+/// Host id that stands for no particular host.
 pub(super) const ANY_HOST: HostId = HostId(0);
 
 /// The first attempt that a host may have executed.
@@ -15,29 +15,29 @@
     pub zone: u32,
 }
 
-/// One request.
+/// A request without a final reply.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequest {
     pub class: usize,
     pub group: u32,
-    /// The position that a read of a session must see; `i64::MIN` for none.
+    /// The position that a read must see; `i64::MIN` if it requires none.
     pub minimum_position: LogPosition,
     pub arrived_at: Timestamp,
     pub deadline: Timestamp,
-    /// Weight of its class, lowered beyond the quota of its tenant.
+    /// Priority weight of the class, reduced if the tenant exceeds its quota.
     pub priority_weight: f64,
     pub session: Option<SessionId>,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// Seed of its random numbers, drawn when it arrived.
+    /// Seed of the request's random numbers, drawn on arrival.
     pub random_seed: u64,
     pub in_flight_attempts: u32,
-    /// When a replica was asked for its position on behalf of this read.
+    /// When a health check of a replica was started for this read.
     pub health_check_started_at: Option<Timestamp>,
-    /// Whether a host has received it, executed or not.
+    /// Whether a host has received the request, executed or not.
     pub reached_a_host: bool,
     pub possible_execution: Option<PossibleExecution>,
-    /// Hosts that rejected it as misdirected, or whose response was too old.
+    /// Hosts that rejected the request as misdirected, or whose response was stale.
     pub rejected_as_behind: Vec<HostId>,
     /// Hosts that responded with an error.
     pub failed_at: Vec<HostId>,
@@ -46,12 +46,12 @@
 }
 
 impl PendingRequest {
-    /// Returns whether no attempt is in flight: the request waits for a host.
+    /// Returns whether no attempt is in flight, so that the request waits for a host.
     pub fn is_waiting(&self) -> bool {
         self.in_flight_attempts == 0
     }
 
-    /// Returns a pseudo-random number from 0 to 1 that is always the same for one request, host and salt.
+    /// Returns a pseudo-random number from 0 to 1 that depends only on the request, the host and the salt.
     pub fn hash_fraction(&self, host: HostId, salt: u64) -> f64 {
         let seed = self.random_seed ^ u64::from(host.0).wrapping_mul(0xD134_2543_DE82_EF95) ^ salt;
         let mixed = (seed ^ (seed >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -67,20 +67,20 @@
     pub group: u32,
 }
 
-/// One forwarding of a request to a host.
+/// One attempt to have a request served by a host.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub host: HostId,
     pub class: usize,
     pub sent_at: Timestamp,
-    /// Whether its response has begun to reach the client.
+    /// Whether its response has started to reach the client.
     pub response_started: bool,
     pub tracked_write: Option<TrackedWrite>,
-    /// Whether it is a read that must be fresh and was forwarded for its host being the primary alone.
+    /// Whether it is a fresh read that was forwarded only because its host is the primary.
     pub relies_on_role: bool,
 }
 
-/// The requests without a response and the attempts in flight, which may outlive their request.
+/// The pending requests, and the attempts in flight. An attempt may outlive its request.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests {
     requests: BTreeMap<RequestId, PendingRequest>,
@@ -93,7 +93,7 @@
         self.requests.is_empty()
     }
 
-    /// Returns the numbers of the requests, ascending.
+    /// Returns the ids of the requests, ascending.
     pub fn ids(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.requests.keys().copied()
     }
@@ -103,12 +103,12 @@
         self.requests.get(&id)
     }
 
-    /// Returns a request to be changed, if it is pending.
+    /// Returns a mutable reference to a request, if it is pending.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// Returns all requests, to be changed.
+    /// Returns mutable references to all requests.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut PendingRequest> + '_ {
         self.requests.values_mut()
     }
@@ -118,7 +118,7 @@
         self.requests.insert(id, request);
     }
 
-    /// Removes a request, but none of its attempts; returns whether it was pending.
+    /// Removes a request but not its attempts. Returns whether it was pending.
     pub fn remove(&mut self, id: RequestId) -> bool {
         self.requests.remove(&id).is_some()
     }
@@ -133,13 +133,14 @@
         self.attempts.values()
     }
 
-    /// Returns the attempts in flight that rely on their host's role, by request and number, to be changed.
+    /// Returns mutable references to the attempts in flight that rely on their host's role, with request id
+    /// and attempt number.
     pub fn relying_on_role(&mut self) -> impl Iterator<Item = (RequestId, u32, &mut Attempt)> + '_ {
         let relying = self.attempts.iter_mut().filter(|(_, attempt)| attempt.relies_on_role);
         relying.map(|((id, number), attempt)| (*id, *number, attempt))
     }
 
-    /// Returns an attempt to be changed, if it is in flight.
+    /// Returns a mutable reference to an attempt, if it is in flight.
     pub fn attempt_mut(&mut self, id: RequestId, number: u32) -> Option<&mut Attempt> {
         self.attempts.get_mut(&(id, number))
     }
@@ -154,7 +155,7 @@
         self.attempts.remove(&(id, number))
     }
 
-    /// Returns the attempts of a request in flight, by number.
+    /// Returns the attempts of a request that are in flight, by number.
     pub fn attempts_of(&self, id: RequestId) -> impl Iterator<Item = (u32, &Attempt)> + '_ {
         let range = (id, 0)..=(id, u32::MAX);
         self.attempts.range(range).map(|((_, number), attempt)| (*number, attempt))
--- a/crates/decisions/src/routing/role.rs
+++ b/crates/decisions/src/routing/role.rs
@@ -1,97 +1,100 @@
-//! What is believed of a host's role, and whether a fresh read may rely on it.
+//! The role of a host as this router has observed it, and whether a fresh read may rely on it.
 //!
-//! A role is reported by answers, load reports and the endpoint list, and has no end of its own: a primary
-//! that was replaced learns of it late. Hence all that may have ended the role since it was last reported is
-//! recorded beside it, each with its time:
+//! Responses, load reports and the endpoint list report a role. A report does not expire by itself, and a
+//! primary that was replaced learns of that late. So each event that may have ended the role since the last
+//! report is recorded with its time:
 //!
-//! - An answer was lost: a query was written, and the part of its answer that reports the role did not
-//!   arrive. The host may have reported that it is no primary any more, and time does not make up for that.
-//! - The host was started again, or returned to the endpoint list.
-//! - The host took no connection, or was silent.
-//! - An answer is awaited for longer than one on its way may take: it may be lost.
+//! - A response was lost: a request was written, and the part of its response that reports the role did not
+//!   arrive. The host may have reported that it is no longer the primary, so the doubt does not expire.
+//! - The host restarted, or returned to the endpoint list.
+//! - The host accepted no connection, or was unresponsive.
+//! - A response is overdue: it may be lost.
 //!
-//! Only what was written later confirms the role. So that a host that gets nothing but fresh reads is not
-//! given up, one of them may ask it after a while: much later where an answer was lost.
+//! Only a response or report that was written after the event confirms the role again. Without any, a host
+//! that gets only fresh reads would stay in doubt for good. So one of them is sent to it as a role query
+//! after it had no attempt for a while or, if a response was lost, for much longer.
 
 use crate::interface::{Role, TimeDelta, Timestamp};
 
 /// A primary that responded longer ago than this may have failed over.
 pub(super) const PRIMARY_EVIDENCE_MAX_AGE: TimeDelta = TimeDelta::from_secs(1);
 
-/// A fresh read may ask a host that was not heard for its role once in this time.
+/// Time without an event or an attempt after which a fresh read is sent to a host with a doubted role, as a
+/// role query.
 const ROLE_QUERY_INTERVAL: TimeDelta = TimeDelta::from_secs(3);
 
-/// The same where an answer was lost.
-const ROLE_QUERY_INTERVAL_AFTER_LOSS: TimeDelta = TimeDelta::from_secs(30);
+/// As [`ROLE_QUERY_INTERVAL`], for a host from which a response was lost.
+const ROLE_QUERY_INTERVAL_AFTER_LOST_RESPONSE: TimeDelta = TimeDelta::from_secs(30);
 
-/// An answer that was written arrives within this time, or may be lost.
-const MAX_ANSWER_DELAY: TimeDelta = TimeDelta::from_millis(100);
+/// Longest time that a response takes after it was written; one that takes longer may be lost.
+const MAX_RESPONSE_DELAY: TimeDelta = TimeDelta::from_millis(100);
 
-/// By how much the end of an attempt may be reported after its deadline.
-const LATEST_END_AFTER_DEADLINE: TimeDelta = TimeDelta::from_millis(500);
+/// Longest delay after its deadline with which the end of an attempt is reported.
+const MAX_END_REPORT_DELAY: TimeDelta = TimeDelta::from_millis(500);
 
-/// A role that a host was seen in.
+/// A role that a host was observed in.
 #[derive(Clone, Copy, Debug)]
 struct ObservedRole {
     role: Role,
-    /// When it was received, or true by a load report.
+    /// When the response was received; for a load report, the time that the report describes.
     observed_at: Timestamp,
-    /// A time before which what reports it was not written.
+    /// Earliest time at which the response or report may have been written.
     written_at: Timestamp,
 }
 
-/// The attempts that are out at a host.
+/// The attempts in flight at a host.
 #[derive(Clone, Copy, Debug)]
-struct AwaitedAnswers {
-    /// Since when no answer has reported a role.
-    since: Timestamp,
-    /// When all of them have ended.
-    ended_by: Timestamp,
+struct PendingResponses {
+    /// Since when no response has reported a role.
+    no_role_since: Timestamp,
+    /// When the last of them has ended and its end has been reported, at the latest.
+    all_ended_by: Timestamp,
 }
 
-/// What is believed of one host's role, and what speaks against it.
+/// The observed role of one host, and the events since that may have ended it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct RoleBelief {
-    /// The latest role that it was seen in.
+pub(super) struct RoleTracker {
+    /// The latest role that the host was observed in.
     observed: Option<ObservedRole>,
-    /// Whether the endpoint list names it as the primary.
+    /// Whether the endpoint list names the host as the primary.
     is_listed_as_primary: bool,
-    /// When an answer was last lost that may have reported the role.
-    answer_lost_at: Option<Timestamp>,
-    /// When it was last started again, or returned to the endpoint list.
+    /// When a response that may have reported a role was last lost.
+    response_lost_at: Option<Timestamp>,
+    /// When the host last restarted, or returned to the endpoint list.
     restarted_at: Option<Timestamp>,
-    /// When it last took no connection or was silent.
+    /// When the host last accepted no connection or was unresponsive.
     unreachable_at: Option<Timestamp>,
-    /// When an attempt was last forwarded to it.
-    asked_at: Option<Timestamp>,
-    awaited: Option<AwaitedAnswers>,
-    /// When it last rejected a write as misdirected; none once it has accepted one.
+    /// When an attempt was last forwarded to the host.
+    last_forwarded_at: Option<Timestamp>,
+    pending_responses: Option<PendingResponses>,
+    /// When the host last rejected a write as misdirected; `None` if it has accepted one since.
     write_rejected_at: Option<Timestamp>,
 }
 
-impl RoleBelief {
-    /// Returns whether the host was last seen as the primary.
+impl RoleTracker {
+    /// Returns whether the host was last observed as the primary.
     pub fn is_primary(&self) -> bool {
         self.role_or_replica() == Role::Primary
     }
 
-    /// Returns the role that the host counts as; a replica before it was seen in any.
+    /// Returns the role in which the host was last observed; a replica if it was observed in none.
     pub fn role_or_replica(&self) -> Role {
         self.observed.map_or(Role::Replica, |observed| observed.role)
     }
 
-    /// Returns when the host was last seen in a role.
+    /// Returns when the host was last observed in a role.
     pub fn observed_at(&self) -> Option<Timestamp> {
         self.observed.map(|observed| observed.observed_at)
     }
 
-    /// Returns a time before which the host was not seen as the primary that it was last seen as; none for a
-    /// replica.
-    pub fn primary_since(&self) -> Option<Timestamp> {
+    /// Returns the earliest time at which the report that last showed the host as the primary may have been
+    /// written; `None` for a replica.
+    pub fn primary_confirmed_at(&self) -> Option<Timestamp> {
         self.observed.filter(|_| self.is_primary()).map(|observed| observed.written_at)
     }
 
-    /// Returns whether the endpoint list names the host as the primary and it was not seen in any role.
+    /// Returns whether the endpoint list names the host as the primary and it was not observed in any role
+    /// yet.
     pub fn is_primary_by_list_alone(&self) -> bool {
         self.is_listed_as_primary && self.observed.is_none()
     }
@@ -101,51 +104,56 @@
         self.write_rejected_at
     }
 
-    /// Returns whether a read that must be fresh may rely on the host being the primary.
+    /// Returns whether a fresh read may rely on the host being the primary.
     pub fn supports_fresh_read(&self, now: Timestamp) -> bool {
         self.is_primary() && !self.is_doubted(now)
     }
 
-    /// Returns whether the host may have lost the role that it is believed to have.
+    /// Returns whether the host may have lost its observed role: because of an event since, or because a
+    /// response is overdue.
     pub fn is_doubted(&self, now: Timestamp) -> bool {
-        let is_delayed = self.awaited(now).is_some_and(|awaited| now - awaited.since > MAX_ANSWER_DELAY);
-        self.is_contradicted(now) || is_delayed && !self.is_recent(now)
+        let is_overdue = self
+            .pending_responses(now)
+            .is_some_and(|pending| now - pending.no_role_since > MAX_RESPONSE_DELAY);
+        self.is_doubted_by_event(now) || is_overdue && !self.was_observed_recently(now)
     }
 
-    /// Returns whether something happened since the role was reported after which the host may have lost it.
-    /// An answer that is awaited is nothing that happened.
-    pub fn is_contradicted(&self, now: Timestamp) -> bool {
-        let lost_at = self.answer_lost_at.filter(|at| self.is_unconfirmed_since(*at));
+    /// Returns whether an event after the last report of the role may have ended it, and no role query is
+    /// due. Unlike [`is_doubted`](Self::is_doubted) this ignores overdue responses.
+    pub fn is_doubted_by_event(&self, now: Timestamp) -> bool {
+        let lost_at = self.response_lost_at.filter(|at| self.is_unconfirmed_since(*at));
         let restarted_at = self.restarted_at.filter(|at| self.is_unconfirmed_since(*at));
         let unreachable_at = self.unreachable_at.filter(|at| self.is_unconfirmed_since(*at));
-        // A failover takes longer; a restart and a lost answer need none.
-        let unreachable_at = unreachable_at.filter(|_| !self.is_recent(now));
-        let Some(latest) = lost_at.max(restarted_at).max(unreachable_at) else { return false };
+        // A failover takes longer than the maximum age of recent evidence, so an unreachable host is doubted
+        // only after it. A restart or a lost response may end the role without a failover.
+        let unreachable_at = unreachable_at.filter(|_| !self.was_observed_recently(now));
+        let Some(latest_event_at) = lost_at.max(restarted_at).max(unreachable_at) else { return false };
         let interval = match lost_at {
-            Some(_) => ROLE_QUERY_INTERVAL_AFTER_LOSS,
+            Some(_) => ROLE_QUERY_INTERVAL_AFTER_LOST_RESPONSE,
             None => ROLE_QUERY_INTERVAL,
         };
-        let asked_at = self.asked_at.map_or(latest, |asked_at| asked_at.max(latest));
-        // While an answer is awaited it reports: no read need ask beside it.
-        let may_ask = self.awaited(now).is_none() && now - asked_at >= interval;
-        !may_ask
+        let waiting_since = self.last_forwarded_at.map_or(latest_event_at, |at| at.max(latest_event_at));
+        // A pending response will report the role, so no further role query is needed.
+        let may_query = self.pending_responses(now).is_none() && now - waiting_since >= interval;
+        !may_query
     }
 
     fn is_unconfirmed_since(&self, at: Timestamp) -> bool {
         self.observed.is_none_or(|observed| observed.written_at <= at)
     }
 
-    fn is_recent(&self, now: Timestamp) -> bool {
+    fn was_observed_recently(&self, now: Timestamp) -> bool {
         self.observed.is_some_and(|observed| now - observed.written_at <= PRIMARY_EVIDENCE_MAX_AGE)
     }
 
-    fn awaited(&self, now: Timestamp) -> Option<AwaitedAnswers> {
-        self.awaited.filter(|awaited| now < awaited.ended_by)
+    fn pending_responses(&self, now: Timestamp) -> Option<PendingResponses> {
+        self.pending_responses.filter(|pending| now < pending.all_ended_by)
     }
 
-    /// Records a role that was received, or true, at `observed_at`, reported by what was written at
-    /// `written_at` or later. Returns whether the host has that role now: not if a newer one is known, nor if
-    /// the host was seen as a replica after it may have been the primary.
+    /// Records a role that was received, or that a load report describes, at `observed_at`. The report was
+    /// written at `written_at` or later. Returns whether `role` is accepted as the current role. It is not if
+    /// a newer one is known, or if it is the primary role and the host was observed as a replica after the
+    /// report may have been written.
     pub fn record_observed(&mut self, role: Role, observed_at: Timestamp, written_at: Timestamp) -> bool {
         let written_at = written_at.min(observed_at);
         let is_outdated = self.observed.is_some_and(|known| {
@@ -157,44 +165,45 @@
         }
         let written_at = self.observed.map_or(written_at, |known| known.written_at.max(written_at));
         self.observed = Some(ObservedRole { role, observed_at, written_at });
-        if let Some(awaited) = &mut self.awaited {
-            awaited.since = observed_at;
+        if let Some(pending) = &mut self.pending_responses {
+            pending.no_role_since = observed_at;
         }
         true
     }
 
-    /// Records that another host was the group's primary at `written_at`: this one is a replica, unless it
-    /// was the primary later.
+    /// Records that another host was the group's primary at `written_at`: this host becomes a replica, unless
+    /// it was confirmed as the primary later.
     pub fn record_other_primary(&mut self, written_at: Timestamp) {
-        if self.primary_since().is_some_and(|at| at < written_at) {
+        if self.primary_confirmed_at().is_some_and(|at| at < written_at) {
             self.observed = Some(ObservedRole { role: Role::Replica, observed_at: written_at, written_at });
         }
     }
 
-    /// Records that an attempt is forwarded, which ends at `deadline`.
+    /// Records that an attempt with this deadline is forwarded to the host.
     pub fn record_forwarded(&mut self, now: Timestamp, deadline: Timestamp) {
-        self.asked_at = Some(now);
-        let ended_by = deadline + LATEST_END_AFTER_DEADLINE;
-        let earlier = self.awaited.unwrap_or(AwaitedAnswers { since: now, ended_by });
-        self.awaited = Some(AwaitedAnswers { ended_by: earlier.ended_by.max(ended_by), ..earlier });
+        self.last_forwarded_at = Some(now);
+        let all_ended_by = deadline + MAX_END_REPORT_DELAY;
+        let earlier = self.pending_responses.unwrap_or(PendingResponses { no_role_since: now, all_ended_by });
+        self.pending_responses =
+            Some(PendingResponses { all_ended_by: earlier.all_ended_by.max(all_ended_by), ..earlier });
     }
 
-    /// Records that no attempt at the host is in flight any more.
+    /// Records that the host has no attempt in flight any more.
     pub fn record_idle(&mut self) {
-        self.awaited = None;
+        self.pending_responses = None;
     }
 
-    /// Records that an answer was lost that may have reported another role.
-    pub fn record_answer_lost(&mut self, now: Timestamp) {
-        self.answer_lost_at = Some(now);
+    /// Records the loss of a response that may have reported another role.
+    pub fn record_response_lost(&mut self, now: Timestamp) {
+        self.response_lost_at = Some(now);
     }
 
-    /// Records that the host took no connection or was silent.
+    /// Records that the host accepted no connection or was unresponsive.
     pub fn record_unreachable(&mut self, now: Timestamp) {
         self.unreachable_at = Some(now);
     }
 
-    /// Records that the host was started again or returned to the endpoint list.
+    /// Records that the host restarted or returned to the endpoint list.
     pub fn record_restart(&mut self, now: Timestamp) {
         self.restarted_at = Some(now);
     }
@@ -204,7 +213,7 @@
         self.write_rejected_at = is_rejected.then_some(now);
     }
 
-    /// Records what the endpoint list says. Returns whether it has begun to name the host as the primary.
+    /// Records whether the endpoint list names the host as the primary. Returns whether it did not before.
     pub fn record_listed(&mut self, is_primary: bool) -> bool {
         let is_new = is_primary && !self.is_listed_as_primary;
         self.is_listed_as_primary = is_primary;
--- a/crates/decisions/src/routing/selection.rs
+++ b/crates/decisions/src/routing/selection.rs
@@ -1,4 +1,4 @@
-//! Which eligible host gets a request, and of which hosts a health check would help to place it.
+//! Selection of an eligible host for a request, and of the hosts whose health check would help to place it.
 
 use super::context::Context;
 use super::eligibility::{eligibility, Eligibility};
@@ -8,80 +8,82 @@
 use super::slow_start;
 use crate::interface::{Freshness, HostId, RequestId, Role};
 
-/// Latency ratio of the primary from which on it takes no reads that replicas might take.
-const PRIMARY_READ_RATIO: f64 = 0.5;
-/// Fraction of the reads kept from a primary of which nothing is known.
-const UNKNOWN_PRIMARY_FRACTION: f64 = 0.5;
-/// Latency ratio of a host from which on one of many routers leaves it out for some of its reads.
+/// Latency ratio of the primary from which on it takes no reads that replicas may take.
+const PRIMARY_MAX_READ_RATIO: f64 = 0.5;
+/// Fraction of the reads that are kept from a primary without any recent response.
+const UNOBSERVED_PRIMARY_FRACTION: f64 = 0.5;
+/// Latency ratio above which a router of a large fleet skips a host for some of its reads.
 const HOST_OVERLOAD_RATIO: f64 = 0.2;
-/// One replica in this many takes the reads that block replication.
+/// One in this many replicas is reserved for reads that block replication.
 const BLOCKING_READ_DIVISOR: usize = 3;
-/// A read whose objective exceeds this multiple of the shortest one blocks replication.
+/// A read blocks replication if its latency objective exceeds this multiple of the shortest one.
 const BLOCKING_OBJECTIVE_MULTIPLE: i64 = 4;
-/// Least random factor of a host's expected latency; the factor lets equal hosts share the requests.
+/// Minimum random factor of a host's expected latency; the factor lets equal hosts share the requests.
 const RANDOM_FACTOR_MIN: f64 = 0.75;
-/// Difference between the least and the largest random factor.
+/// Difference between the maximum and the minimum random factor.
 const RANDOM_FACTOR_SPAN: f64 = 0.5;
-/// Salt of the random number by which a request leaves out an overloaded host.
+/// Salt of the random number that decides whether a request skips an overloaded host.
 const OVERLOAD_SALT: u64 = 2;
 /// Salt of the random factor of the first attempt; each further attempt adds one.
 const RANKING_SALT: u64 = 1;
 
-/// The outcome of a selection.
+/// The result of a selection.
 #[derive(Debug)]
 pub(super) struct Selection {
-    /// The host to forward to; none if the request has to wait.
+    /// The host to forward the request to; `None` if it has to wait.
     pub host: Option<HostId>,
-    /// Hosts of which a health check would help.
+    /// Hosts whose health check would help to place the request.
     pub health_checks: Vec<HostId>,
 }
 
-/// Why an eligible host is passed over.
+/// Reason why an eligible host is skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum PassedOver {
-    /// The request is in flight there, or was rejected there as too far behind.
+enum SkipReason {
+    /// The request is in flight there, or the host rejected it as too far behind.
     AlreadyTried,
-    /// The circuit breaker is open and others may take the request.
+    /// The circuit breaker is open and other hosts may take the request.
     Ejected,
-    /// The router has as many attempts in flight there as the limit allows.
+    /// The router already has the maximum number of attempts in flight there.
     AtConcurrencyLimit,
-    /// The primary is busy with writes.
+    /// The primary is reserved for writes.
     PrimaryKeptForWrites,
-    /// Its recent responses were slow, and this router is one of many.
+    /// The recent responses of the host were slow, and the fleet of routers is large.
     Overloaded,
     /// The request blocks replication, and other replicas are reserved for such requests.
     NotReservedForBlockingReads,
 }
 
-/// The order of preference: the least is best. Fields are compared from the first to the last.
+/// Sort key of a host: the smallest is preferred. Fields are compared in the order of declaration.
 #[derive(Debug, PartialEq, PartialOrd)]
 struct Rank {
-    /// Ejected, with many errors, or failed at this very request.
+    /// Whether the host is ejected, has a high error rate, or has failed this very request.
     is_last_resort: bool,
     eligibility: Eligibility,
-    /// A host that warms up was admitted by chance already, and does not compete for the request again.
+    /// Whether slow start is over. A host that is warming up was already admitted for this request by chance,
+    /// so it precedes warm hosts instead of competing with them.
     is_warm: bool,
     in_flight: u32,
-    /// Expected latency plus the price of another zone, in microseconds.
+    /// Expected latency plus the cost of another zone, in microseconds.
     cost_us: f64,
 }
 
-/// What is the same for all hosts in the selection for one request.
+/// Values common to all hosts in the selection for one request.
 struct Selector<'a> {
     context: Context<'a>,
     requests: &'a PendingRequests,
     id: RequestId,
     request: &'a PendingRequest,
     is_write: bool,
-    /// Whether some member is neither ejected nor draining: a group is never shut out as a whole.
+    /// Whether any member is neither ejected nor draining. If none is, reads are sent to ejected hosts as
+    /// well, so that a group is never excluded as a whole.
     has_healthy_member: bool,
-    /// The replicas for reads that block replication; empty for other requests.
+    /// The replicas reserved for reads that block replication; empty for other requests.
     blocking_read_replicas: Vec<HostId>,
-    /// Error rate from which on a host is a last resort.
+    /// Error rate above which a host is a last resort.
     outlier_error_rate: f64,
 }
 
-/// Returns the best host that may take the request now. Returns `None` if the request has gone.
+/// Returns the best host that may take the request now, or `None` if the request is not pending any more.
 pub(super) fn select_host(
     context: Context<'_>,
     requests: &PendingRequests,
@@ -95,7 +97,7 @@
             ineligible.push(host_id);
             continue;
         };
-        if selector.passed_over(host_id, host, eligibility).is_some() {
+        if selector.skip_reason(host_id, host, eligibility).is_some() {
             continue;
         }
         let rank = selector.rank(host_id, host, eligibility);
@@ -126,29 +128,29 @@
         })
     }
 
-    fn passed_over(&self, id: HostId, host: &Host, eligibility: Eligibility) -> Option<PassedOver> {
-        let was_behind =
+    fn skip_reason(&self, id: HostId, host: &Host, eligibility: Eligibility) -> Option<SkipReason> {
+        let rejected_as_behind =
             eligibility == Eligibility::LikelyCaughtUp && self.request.rejected_as_behind.contains(&id);
-        if was_behind || self.requests.attempts_of(self.id).any(|(_, attempt)| attempt.host == id) {
-            return Some(PassedOver::AlreadyTried);
+        if rejected_as_behind || self.requests.attempts_of(self.id).any(|(_, attempt)| attempt.host == id) {
+            return Some(SkipReason::AlreadyTried);
         }
         if (self.is_write || self.has_healthy_member) && host.is_ejected(self.context.now) {
-            return Some(PassedOver::Ejected);
+            return Some(SkipReason::Ejected);
         }
         if f64::from(host.in_flight) >= host.concurrency_limit.max(1.0) {
-            return Some(PassedOver::AtConcurrencyLimit);
+            return Some(SkipReason::AtConcurrencyLimit);
         }
-        let replica_would_do =
+        let replica_suffices =
             eligibility == Eligibility::Primary && !self.context.needs_primary(self.request);
-        if replica_would_do && keeps_primary_for_writes(self.context, self.request) {
-            return Some(PassedOver::PrimaryKeptForWrites);
+        if replica_suffices && keeps_primary_for_writes(self.context, self.request) {
+            return Some(SkipReason::PrimaryKeptForWrites);
         }
         if !self.is_write && is_overloaded(self.context, id, host, self.request) {
-            return Some(PassedOver::Overloaded);
+            return Some(SkipReason::Overloaded);
         }
         let reserved = &self.blocking_read_replicas;
         let may_take = reserved.is_empty() || reserved.contains(&id);
-        (!may_take).then_some(PassedOver::NotReservedForBlockingReads)
+        (!may_take).then_some(SkipReason::NotReservedForBlockingReads)
     }
 
     fn rank(&self, id: HostId, host: &Host, eligibility: Eligibility) -> Rank {
@@ -160,8 +162,8 @@
         Rank { is_last_resort, eligibility, is_warm, in_flight: host.in_flight, cost_us }
     }
 
-    /// Returns the expected latency at the host, scaled at random, plus the price of another zone in the
-    /// same unit.
+    /// Returns the expected latency at the host, multiplied by a random factor, plus the cost of another zone
+    /// in the same unit.
     fn cost_us(&self, id: HostId, host: &Host) -> f64 {
         let settings = self.context.settings;
         let objective_us = self.context.class(self.request).latency_objective.0 as f64;
@@ -172,10 +174,12 @@
         self.context.latency(self.request).mean_us * host.relative_latency * random_factor + zone_cost_us
     }
 
-    /// Returns the hosts of which a health check would help a request that no host is proven to suit. For a
-    /// write the primary or, if that fails, all ineligible hosts. For a read, where hosts check reads, the
-    /// one checked longest ago; elsewhere the primary whose role is in doubt or, if none is known, all
-    /// ineligible hosts.
+    /// Returns the hosts whose health check would help a request for which no host is proven suitable.
+    ///
+    /// - For a write: the primary, or all ineligible hosts if there is none or it is failing.
+    /// - For a read, if hosts check reads themselves: the ineligible host that was checked longest ago.
+    /// - For a read otherwise: the primary if its role is in doubt, or all ineligible hosts if no primary is
+    ///   known.
     fn useful_health_checks(&self, mut ineligible: Vec<HostId>) -> Vec<HostId> {
         if self.is_write {
             let primary = self.context.primary(self.request.group);
@@ -199,7 +203,7 @@
 }
 
 /// Returns the replicas that take reads which block replication, so that the others keep applying the log;
-/// empty if the request is none of them. Chosen by number: all routers reserve the same replicas.
+/// empty for other requests. The lowest host ids are used, so that all routers reserve the same replicas.
 fn reserved_for_blocking_reads(context: Context<'_>, request: &PendingRequest) -> Vec<HostId> {
     if !blocks_replication(context, request) {
         return Vec::new();
@@ -213,9 +217,9 @@
     reserved
 }
 
-/// Returns whether the request is a read that any data will do for and that is given far more time than
-/// others: a replica applies no log while it runs. Presumed, since a router that sees one a minute cannot
-/// wait for evidence.
+/// Returns whether the request is a read from data of any age whose latency objective is much longer than
+/// that of other classes. A replica applies no log while such a read runs. This is presumed from the
+/// settings, as a router that sees one such read a minute cannot wait for evidence.
 fn blocks_replication(context: Context<'_>, request: &PendingRequest) -> bool {
     let class = context.class(request);
     let objective_us = class.latency_objective.0;
@@ -223,8 +227,8 @@
         && objective_us / BLOCKING_OBJECTIVE_MULTIPLE > context.settings.shortest_latency_objective().0
 }
 
-/// Returns whether the host is left out for this request, where one request of each of many routers is too
-/// much for it: by chance, with the square of its latency ratio.
+/// Returns whether the host is skipped for this request, by chance with the square of its latency ratio. This
+/// applies to large fleets, where a single request from each router may overload the host.
 fn is_overloaded(context: Context<'_>, id: HostId, host: &Host, request: &PendingRequest) -> bool {
     if !context.settings.is_large_fleet() {
         return false;
@@ -233,17 +237,17 @@
     request.hash_fraction(id, OVERLOAD_SALT) * overload * overload > 1.0
 }
 
-/// Returns whether the primary is kept for writes instead of taking this read: by chance, the more the
-/// slower it is. While nothing is known of it, it is kept from half of the reads, and from fewer the longer
-/// they have waited.
+/// Returns whether the primary is reserved for writes and does not take this read: by chance, with a
+/// probability that rises with its latency. Without recent responses of the primary it is kept from half of
+/// the reads, and from fewer the longer they have waited.
 fn keeps_primary_for_writes(context: Context<'_>, request: &PendingRequest) -> bool {
     let objective_us = context.class(request).latency_objective.0 as f64;
-    let unknown = 1.0 - context.load.groups.confidence(request.group, Role::Primary, context.now);
-    let waited = (context.now - request.arrived_at).0 as f64 * 4.0 / objective_us;
-    // The work takes its time at an idle host too: only what exceeds that shows that the primary is busy.
+    let uncertainty = 1.0 - context.load.groups.confidence(request.group, Role::Primary, context.now);
+    let waiting_discount = (context.now - request.arrived_at).0 as f64 * 4.0 / objective_us;
+    // An idle host needs the service time too: only the excess shows that the primary is busy.
     let idle_ratio = context.latency(request).service_time_us / objective_us;
     let excess = context.latency_ratio(request.group, Role::Primary) - idle_ratio;
-    let busy = excess / (PRIMARY_READ_RATIO - idle_ratio).max(PRIMARY_READ_RATIO / 2.0);
-    let threshold = busy + unknown * (UNKNOWN_PRIMARY_FRACTION - waited).max(0.0);
+    let busy_ratio = excess / (PRIMARY_MAX_READ_RATIO - idle_ratio).max(PRIMARY_MAX_READ_RATIO / 2.0);
+    let threshold = busy_ratio + uncertainty * (UNOBSERVED_PRIMARY_FRACTION - waiting_discount).max(0.0);
     request.hash_fraction(ANY_HOST, SHARED_SALT) < threshold
 }
--- a/crates/decisions/src/routing/slow_start.rs
+++ b/crates/decisions/src/routing/slow_start.rs
@@ -1,28 +1,29 @@
-//! Slow start: what a host gets while it warms up.
+//! Slow start: the share of the requests that a host gets while it is warming up.
 
 use super::context::Context;
 use super::host::Host;
 use super::request::{PendingRequest, SHARED_SALT};
 use crate::interface::HostId;
 
-/// Part of the slow start budget that is used: chance at the other routers and costly requests need the rest.
+/// Fraction of the slow start budget that is used. The rest covers random variation over all routers and
+/// costly requests.
 const BUDGET_SAFETY_FACTOR: f64 = 0.75;
 
-/// Returns the fraction of its capacity that the host had at least when the current budget window began; 1
-/// once it is warm.
+/// Returns the fraction of its capacity that the host had when the current budget window began; 1 once it is
+/// warm.
 pub(super) fn slow_start_fraction(context: Context<'_>, host: &Host) -> f64 {
     let Some(started_at) = host.started_at else { return 1.0 };
     let window_start = context.now - context.settings.slow_start_budget_window;
     context.settings.slow_start_fraction(window_start - started_at)
 }
 
-/// Returns whether the host may take the request, by the slow start budget. A host that warms up gets a
-/// fraction of what a warm one would, by chance: so it holds summed over many routers that each send it
-/// next to nothing.
+/// Returns whether the slow start budget admits the request at the host. A host that is warming up gets, by
+/// chance, a fraction of the requests of a warm one. Random admission keeps the sum over many routers within
+/// the budget even if each sends next to nothing.
 ///
-/// One random number for each request and host: examining a request again does not add to its chance. The
-/// budget counts requests that hosts serve, not those that come again after a rejection; retries would add
-/// to it and are not admitted.
+/// The random number is fixed for each pair of request and host, so checking a request again does not
+/// increase its chance. The budget is calculated from requests that hosts serve, without those that clients
+/// repeat after a rejection. Retries of the router would exceed it and are not admitted.
 pub(super) fn slow_start_admits(
     context: Context<'_>,
     id: HostId,
