--- a/crates/decisions/tests/routing/basics.rs
+++ b/crates/decisions/tests/routing/basics.rs
@@ -1,20 +1,20 @@
-//! Routing without faults.
+//! Routing in the absence of faults.
 
 use crate::world::*;
 use wheelpier_decisions::*;
 
 #[test]
-fn a_new_router_checks_hosts_when_a_request_needs_it() {
+fn a_new_router_checks_hosts_only_when_a_request_needs_it() {
     let mut world = World::new(settings(), 0);
     let list = (0..3).map(|n| EndpointEntry::new(HostId(n), 0, HostState::Running)).collect();
     assert!(health_checks(&world.event(Event::EndpointList(EndpointUpdate::Snapshot, list))).is_empty());
-    assert_eq!(health_checks(&world.request(2, None).1).len(), 1, "a read waits for one");
+    assert_eq!(health_checks(&world.request(2, None).1).len(), 1, "a read waits for one check");
     let checks = health_checks(&world.request(3, None).1).len();
-    assert_eq!(checks, 2, "a write checks all others, since no primary is known");
+    assert_eq!(checks, 2, "a write checks all other hosts, since no primary is known");
 }
 
 #[test]
-fn a_session_read_goes_to_a_replica_that_has_its_write() {
+fn a_session_read_goes_to_a_replica_that_has_applied_its_write() {
     let mut world = World::with_positions(settings(), 3);
     let (_, actions) = world.request(1, Some(100 * MS));
     assert!(matches!(forwarded_to(&actions)[..], [1 | 2]));
@@ -25,7 +25,7 @@
     let mut world = World::with_positions(settings(), 3);
     let first = forwarded_to(&world.request(1, None).1);
     let second = forwarded_to(&world.request(1, None).1);
-    assert_ne!(first, second, "the replica with the fewest requests in flight");
+    assert_ne!(first, second, "each read goes to the replica with the fewest attempts in flight");
     assert!(!first.contains(&0) && !second.contains(&0));
 }
 
--- a/crates/decisions/tests/routing/failures.rs
+++ b/crates/decisions/tests/routing/failures.rs
@@ -1,11 +1,12 @@
-//! One test for each fault that was found in operation or simulation; each fails without the rule that covers it.
+//! One test for each fault that was found in operation or simulation. Each test fails without the rule that
+//! covers its fault.
 
 use crate::world::*;
 use wheelpier_decisions::*;
 
-/// A host that rejects requests at once looks idle; unless it is ejected it draws the next ones too.
+/// A host that rejects requests immediately looks idle; unless it is ejected it also gets the following ones.
 #[test]
-fn a_host_that_fails_at_once_is_ejected() {
+fn a_host_that_fails_immediately_is_ejected() {
     for outcome in [Outcome::Overloaded, Outcome::ConnectFailed, Outcome::Reset] {
         let mut world = World::with_positions(settings(), 3);
         let (id, sent) = world.request(0, None);
@@ -18,7 +19,7 @@
     }
 }
 
-/// Reads are still forwarded when every member of a group has failed.
+/// Reads are still forwarded when every member of a group is ejected.
 #[test]
 fn a_group_of_ejected_hosts_is_still_used() {
     let mut world = World::with_positions(settings(), 2);
@@ -31,7 +32,8 @@
     assert!(!forwarded_to(&world.request(0, None).1).is_empty());
 }
 
-/// Long reads on every replica would stop replication everywhere: half of the replicas stay free of them.
+/// Long reads on every replica would stop replication everywhere, so at least half of the replicas stay free
+/// of them.
 #[test]
 fn reads_that_block_replication_leave_half_of_the_replicas_free() {
     let mut settings = settings();
@@ -41,9 +43,9 @@
     for _ in 0..40 {
         let (id, sent) = world.request(0, None);
         let host = forwarded_to(&sent)[0];
-        let stood = world.now - 10 * MS;
+        let applied_position = world.now - 10 * MS;
         world.now += 1_500 * MS;
-        world.serve_first_attempt(id, host, 1_500 * MS, load_report(stood, Role::Replica));
+        world.serve_first_attempt(id, host, 1_500 * MS, load_report(applied_position, Role::Replica));
     }
     for n in 0..5 {
         let role = if n == 0 { Role::Primary } else { Role::Replica };
@@ -56,9 +58,9 @@
     assert!(used.len() <= 2 && !used.contains(&0), "{used:?}");
 }
 
-/// A silent primary gets no further write; health checks look for another.
+/// An unresponsive primary gets no further writes; health checks look for another primary.
 #[test]
-fn writes_wait_while_the_primary_is_silent() {
+fn writes_wait_while_the_primary_is_unresponsive() {
     let mut world = World::with_positions(settings(), 3);
     world.request(3, None);
     let checks = health_checks(&world.advance_ms(1_500));
@@ -68,7 +70,7 @@
     assert!(!checks.is_empty() || !health_checks(&sent).is_empty() || !health_checks(&later).is_empty());
 }
 
-/// When the attempts at most hosts are overdue the cause is shared, and no host is ejected.
+/// If the attempts at most hosts are overdue, the cause is common to all and no host is ejected.
 #[test]
 fn a_shared_slowdown_ejects_no_host() {
     let mut world = World::with_positions(Settings { hedging_allowed: false, ..settings() }, 5);
@@ -81,7 +83,8 @@
     assert_eq!(forwarded_to(&world.request(3, None).1), [0], "the primary is not ejected");
 }
 
-/// Slow responses lower the concurrency limit, so that no work is done in vain.
+/// Slow responses lower the concurrency limit, so that hosts do not work on requests that miss their
+/// objective.
 #[test]
 fn slow_responses_lower_the_concurrency_limit_of_their_host() {
     let forwarded = |latency: i64| {
@@ -98,13 +101,13 @@
     assert!(forwarded(400 * MS) < forwarded(50 * MS));
 }
 
-/// A response that has begun belongs to the client.
+/// A response that has started goes to the client, so a hedged request would be useless.
 #[test]
-fn a_request_whose_response_has_begun_is_not_hedged() {
-    let hedged = |begun: bool| {
+fn a_request_whose_response_has_started_is_not_hedged() {
+    let hedged = |has_started: bool| {
         let mut world = World::with_positions(settings(), 3);
         let (id, _) = world.request(0, None);
-        if begun {
+        if has_started {
             world.event(Event::ResponseStarted { id, attempt: 0 });
         }
         forwarded_to(&world.advance_ms(600)).len()
@@ -112,7 +115,7 @@
     assert_eq!((hedged(false), hedged(true)), (1, 0));
 }
 
-/// Many routers that look for a primary together must not cause a storm of health checks.
+/// Many routers that search for a primary at the same time must not cause a storm of health checks.
 #[test]
 fn each_of_many_routers_checks_hosts_less_often() {
     let checks = |routers: u32| {
@@ -131,7 +134,7 @@
 }
 
 #[test]
-fn settings_that_are_not_sensible_are_rejected_by_name() {
+fn invalid_settings_are_rejected_with_their_key() {
     let key = |change: fn(&mut Settings)| {
         let mut settings = settings();
         change(&mut settings);
@@ -144,8 +147,8 @@
     assert_eq!(key(|s| s.max_attempts = 0), "max_attempts");
 }
 
-/// From half of its time on, the client of a read that no host can take had better come again (found on a failover that
-/// stopped every position).
+/// If no host accepts a read in half of the time to its deadline, its client should rather retry later. Found
+/// on a failover that stopped the advance of every position.
 #[test]
 fn a_read_not_forwarded_in_half_its_time_is_rejected_with_retry_after() {
     let mut world = World::with_positions(settings(), 2);
@@ -155,7 +158,7 @@
         vec![EndpointEntry::new(HostId(0), 0, HostState::Removed)],
     ));
     let (id, sent) = world.request(2, None);
-    assert!(forwarded_to(&sent).is_empty() && endings(&sent).is_empty(), "it waits at first");
+    assert!(forwarded_to(&sent).is_empty() && endings(&sent).is_empty(), "the read waits at first");
     assert!(endings(&world.advance_ms(900)).is_empty());
     let ends = world.advance_ms(100);
     assert!(
@@ -164,9 +167,9 @@
     );
 }
 
-/// The next check would be too late for it (found with a retry that had 3 ms left).
+/// The next check would be too late for this request. Found with a retry that had 3 ms left.
 #[test]
-fn a_request_without_time_left_is_ended_at_once() {
+fn a_request_without_time_left_is_ended_immediately() {
     let mut world = World::with_positions(settings(), 1);
     world.event(Event::EndpointList(
         EndpointUpdate::Delta,
@@ -176,7 +179,8 @@
     assert_eq!(endings(&world.event(Event::RequestArrived(request))).len(), 1);
 }
 
-/// A host that fails at once is always the least busy; without its error rate it would draw everything.
+/// A host that fails immediately always has the fewest requests in flight; without its error rate it would
+/// attract all requests.
 #[test]
 fn a_host_with_many_errors_is_the_last_resort() {
     let mut world = World::with_positions(settings(), 4);
@@ -192,13 +196,13 @@
         }
     }
     let late = first[20..].iter().filter(|host| **host == 1).count();
-    assert!(late <= 6, "{late} of 40 went to the host with errors");
+    assert!(late <= 6, "{late} of 40 were forwarded to the host with errors");
 }
 
-/// While a primary hands over it rejects writes, and its load reports still call it the primary: retries there would use
-/// up all attempts before another one takes over.
+/// During a handover the primary rejects writes while its load reports still call it the primary. Immediate
+/// retries there would use up all attempts before another host becomes the primary.
 #[test]
-fn a_write_is_not_retried_at_once_at_a_host_that_rejected_it() {
+fn a_write_is_not_retried_immediately_at_a_host_that_rejected_it() {
     let mut world = World::with_positions(settings(), 3);
     let (id, sent) = world.request(5, None);
     assert_eq!(forwarded_to(&sent), [0]);
@@ -211,12 +215,13 @@
     assert_eq!(sent, [0; 0]);
     sent = forwarded_to(&world.advance_ms(200));
     sent.extend(forwarded_to(&world.health_checked(0, load_report(world.now, Role::Primary))));
-    assert_eq!(sent, [0], "it may have stayed the primary");
+    assert_eq!(sent, [0], "the host may still be the primary");
 }
 
-/// Attempts with hardly any time left end in a timeout by themselves: they must not use up the retries of others.
+/// Attempts close to their deadline end in a timeout anyway: they must not use up the retries of other
+/// requests.
 #[test]
-fn requests_past_their_deadline_use_no_retry_budget() {
+fn requests_past_their_deadline_do_not_use_the_retry_budget() {
     let mut world = World::with_positions(settings(), 3);
     for n in 0..30 {
         let id = RequestId(1_000 + n);
@@ -230,7 +235,7 @@
     assert!(endings(&again).is_empty());
 }
 
-/// Its client had better come again, and soon; a write that was rejected may still be taken by the next primary.
+/// Its client should rather retry soon. A write that was rejected may still be accepted by the next primary.
 #[test]
 fn a_write_that_reached_no_host_is_rejected_at_half_of_its_time() {
     let mut world = World::new(settings(), 2);
@@ -245,7 +250,7 @@
     assert!(endings(&world.advance_ms(1_500)).is_empty());
 }
 
-/// Where hosts are replaced all day under new names, removed ones must not add up.
+/// If hosts are replaced all day under new names, removed ones must not accumulate.
 #[test]
 fn hosts_removed_long_ago_are_forgotten() {
     let mut world = World::with_positions(settings(), 2);
@@ -261,12 +266,12 @@
     assert!(size(&mut world, 102) < first + first / 4);
 }
 
-/// More sessions write than are tracked: a forgotten one must not read at a replica that lacks its write, and groups of
-/// which nothing was forgotten are not affected.
+/// More sessions write than are tracked. A session that is no longer tracked must not read at a replica that
+/// lacks its write; groups without evicted sessions are not affected.
 #[test]
-fn a_session_that_is_forgotten_still_sees_its_write() {
+fn a_session_that_is_no_longer_tracked_still_sees_its_write() {
     let mut world = World::with_positions(Settings { write_positions_tracked: true, ..settings() }, 3);
-    // Both have been up for long, so that slow start does not apply.
+    // Both hosts have been up for long, so that slow start does not apply.
     let warm = |n| EndpointEntry {
         started_at: Some(Timestamp(1)),
         ..EndpointEntry::new(HostId(n), 1, HostState::Running)
@@ -292,7 +297,7 @@
     assert_eq!(forwarded_to(&elsewhere), [11]);
 }
 
-/// The hosts that operators read as `ejected`.
+/// Covers the count that operators see as `ejected`.
 #[test]
 fn ejected_and_draining_hosts_count_until_they_recover_or_run_again() {
     let mut world = World::with_positions(settings(), 4);
@@ -300,17 +305,17 @@
     let (id, sent) = world.request(0, None);
     let host = forwarded_to(&sent)[0];
     world.end_attempt(id, 0, host, Outcome::ConnectFailed, 5 * MS);
-    assert_eq!(world.router.ejected_hosts(), 1, "one is ejected");
+    assert_eq!(world.router.ejected_hosts(), 1, "one host is ejected");
     let drained = (host + 1) % 4;
     let list = |state| {
         Event::EndpointList(EndpointUpdate::Delta, vec![EndpointEntry::new(HostId(drained), 0, state)])
     };
     world.event(list(HostState::Draining));
-    assert_eq!(world.router.ejected_hosts(), 2, "one is ejected, one drains");
+    assert_eq!(world.router.ejected_hosts(), 2, "one host is ejected, one is draining");
     world.event(list(HostState::Removed));
     assert_eq!(world.router.ejected_hosts(), 1, "a removed host does not count");
     world.event(list(HostState::Running));
     world.now += 4_000 * MS;
     world.event(Event::Timer(0));
-    assert_eq!(world.router.ejected_hosts(), 0, "its ejection has ended");
+    assert_eq!(world.router.ejected_hosts(), 0, "the ejection has ended");
 }
--- a/crates/decisions/tests/routing/large_fleet.rs
+++ b/crates/decisions/tests/routing/large_fleet.rs
@@ -1,21 +1,22 @@
-//! What one of many routers does differently. Each test fails without the rule that covers it.
+//! Rules that differ for one of many routers. Each test fails without the rule that it covers.
 
 use crate::world::*;
 use wheelpier_decisions::*;
 
-/// One of so many routers, before hosts that check reads themselves and whose responses carry their position.
+/// Settings for one of `routers` routers, with hosts that check reads themselves and whose responses report
+/// their position.
 fn one_router_of(routers: u32) -> Settings {
     let mut settings = Settings {
         router_count: routers,
         lag_policy: LagPolicy::WaitThenReject(TimeDelta(20 * MS)),
         ..settings()
     };
-    // A write that must not be repeated cannot be forwarded unverified.
+    // A write that must not be repeated cannot be forwarded to an unverified host.
     settings.classes[3].idempotency = Idempotency::WithKey(KeyScope::Group);
     settings
 }
 
-/// Health checks of every host by every router cost more than the requests, whose responses tell as much.
+/// Health checks of every host by every router cost more than the requests, whose responses report the same.
 #[test]
 fn many_routers_find_the_primary_by_the_write_instead_of_health_checks() {
     let mut world = World::new(one_router_of(100), 4);
@@ -33,7 +34,7 @@
     }
     let found = *tried.last().unwrap();
     assert_eq!(found, 0, "tried {tried:?}");
-    // The next write goes straight there.
+    // The next write goes directly to the primary.
     assert_eq!(forwarded_to(&world.request(5, None).1), [0]);
 }
 
@@ -44,7 +45,7 @@
     assert_eq!((forwarded_to(&actions), health_checks(&actions)), (vec![], vec![0, 1, 2, 3]));
 }
 
-/// Not every write is tried at a host that has rejected one, but some are: it may become the primary.
+/// A host that has rejected a write gets further ones only occasionally: it may become the primary.
 #[test]
 fn a_member_that_rejected_a_write_gets_another_unverified_only_later() {
     let mut world = World::new(one_router_of(100), 2);
@@ -57,8 +58,8 @@
     assert!(!forwarded_to(&world.advance_ms(200)).is_empty());
 }
 
-/// A read that no replica is known to be recent enough for is forwarded to one unverified, but not to one that was behind
-/// just now.
+/// A read for which no replica is known to be recent enough is forwarded to an unverified one, but not to one
+/// that was behind a short time ago.
 #[test]
 fn a_read_tries_a_replica_that_was_behind_some_time_ago_without_a_health_check() {
     let mut world = World::new(one_router_of(100), 3);
@@ -66,7 +67,7 @@
         let role = if n == 0 { Role::Primary } else { Role::Replica };
         world.health_checked(n, load_report(world.now - if n == 0 { 0 } else { 1_000 * MS }, role));
     }
-    // The primary is slow, and kept for writes.
+    // The primary is slow, and reserved for writes.
     for _ in 0..6 {
         let (id, _) = world.request(4, None);
         world.end_attempt(id, 0, 0, Outcome::Ok, 900 * MS);
@@ -79,7 +80,8 @@
     assert!(health_checks(&world.advance_ms(200)).is_empty());
 }
 
-/// Some responses are always slow: hedged requests for all of them, from every router, would be a load of their own.
+/// Some responses are always slow: if every router hedged all of these requests, it would cause considerable
+/// load.
 #[test]
 fn one_of_many_routers_does_not_hedge_for_slowness_alone() {
     for (routers, is_hedged) in [(3, true), (100, false)] {
@@ -101,9 +103,10 @@
     }
 }
 
-/// One of a hundred routers meets a host every few seconds: ten responses take a minute.
+/// One of a hundred routers sends a request to a given host every few seconds, so ten responses would take a
+/// minute.
 #[test]
-fn one_error_is_enough_where_responses_are_rare() {
+fn one_error_makes_a_host_a_last_resort_if_responses_are_rare() {
     for (gap, is_avoided) in [(4_000, true), (20, false)] {
         let mut world = World::with_positions(one_router_of(100), 4);
         let serve = |world: &mut World| {
@@ -123,12 +126,13 @@
     }
 }
 
-/// One request of each of a hundred routers is a queue of a second: a concurrency limit of one does not prevent it.
+/// One request from each of a hundred routers makes a queue of one second at a host, which a concurrency
+/// limit of one does not prevent.
 #[test]
-fn one_of_many_routers_leaves_out_a_slow_host() {
-    for (routers, part) in [(100, 0.35), (2, 1.0)] {
+fn one_of_many_routers_skips_a_slow_host() {
+    for (routers, max_fraction) in [(100, 0.35), (2, 1.0)] {
         let mut world = World::with_positions(one_router_of(routers), 3);
-        let mut to_late = 0;
+        let mut to_slow_host = 0;
         let mut tries = 0;
         for n in 0..60 {
             world.now += 300 * MS;
@@ -136,26 +140,29 @@
             for host in forwarded_to(&actions) {
                 world.end_attempt(id, 0, host, Outcome::Ok, if host == 1 { 450 * MS } else { 40 * MS });
                 tries += u32::from(n >= 20);
-                to_late += u32::from(n >= 20 && host == 1);
+                to_slow_host += u32::from(n >= 20 && host == 1);
             }
         }
-        assert!(tries >= 38, "{tries} of 40 sent");
-        assert!(f64::from(to_late) <= part * f64::from(tries), "{to_late} of {tries} at {routers} routers");
+        assert!(tries >= 38, "{tries} of 40 forwarded");
+        assert!(
+            f64::from(to_slow_host) <= max_fraction * f64::from(tries),
+            "{to_slow_host} of {tries} at {routers} routers"
+        );
     }
 }
 
-/// The share of a host that warms up is drawn once for each request; if it competed for the request again it would get
-/// next to nothing. Removed hosts do not count as members.
+/// The share of a host that is warming up is drawn once per request; if the host then competed for the
+/// request again it would get next to nothing. Removed hosts do not count as members.
 #[test]
-fn a_host_that_warms_up_gets_its_share_by_chance() {
+fn a_host_that_is_warming_up_gets_its_share_by_chance() {
     let mut world = World::with_positions(
         Settings { slow_start_window: TimeDelta(18_000 * MS), ..one_router_of(100) },
         6,
     );
-    let mut fresh = EndpointEntry::new(HostId(9), 0, HostState::Running);
-    fresh.started_at = Some(Timestamp(world.now));
-    let gone = (3..6).map(|n| EndpointEntry::new(HostId(n), 0, HostState::Removed));
-    world.event(Event::EndpointList(EndpointUpdate::Delta, gone.chain([fresh]).collect()));
+    let mut started = EndpointEntry::new(HostId(9), 0, HostState::Running);
+    started.started_at = Some(Timestamp(world.now));
+    let removed = (3..6).map(|n| EndpointEntry::new(HostId(n), 0, HostState::Removed));
+    world.event(Event::EndpointList(EndpointUpdate::Delta, removed.chain([started]).collect()));
     world.now += 7_000 * MS;
     let mut forwarded = 0;
     for _ in 0..600 {
@@ -166,11 +173,11 @@
             world.end_attempt(id, 0, host, Outcome::Ok, 50 * MS);
         }
     }
-    // 0.75 of twice a fraction of 0.42 to 0.67 of a sixth.
+    // 0.75 (safety factor) of twice a slow start fraction of 0.42 to 0.67 of a sixth of the requests.
     assert!((36..90).contains(&forwarded), "{forwarded} of 600");
 }
 
-/// Where handshakes have a price, a dead host is no reason to close the connections to all others.
+/// If handshakes have a price, a dead host is no reason to close the connections to all others.
 #[test]
 fn idle_connections_are_kept_where_handshakes_have_a_price() {
     for (price_handshake, kept) in [(0.08, true), (0.0, false)] {
@@ -189,12 +196,13 @@
                 then.extend(world.end_attempt(id, 0, *host, Outcome::ConnectFailed, MS));
             });
         }
-        assert_eq!(!then.iter().any(|a| matches!(a, Action::CloseIdleConnections { .. })), kept);
+        assert_eq!(!then.iter().any(|action| matches!(action, Action::CloseIdleConnections { .. })), kept);
     }
 }
 
-/// Found on the deployment `deploy/sites/kiosk-slips.toml`: writes must not be repeated, health checks are not allowed,
-/// and one of many routers hears from a primary every few seconds. Writes that waited for evidence were rejected.
+/// Found on the deployment `deploy/sites/kiosk-slips.toml`: writes must not be repeated, health checks are
+/// not allowed, and one of many routers gets a response from a primary every few seconds. Writes that waited
+/// for evidence were rejected.
 #[test]
 fn a_write_that_is_not_idempotent_goes_to_the_known_primary_where_health_checks_are_impossible() {
     for (health_checks_allowed, reports) in
@@ -211,7 +219,7 @@
     }
 }
 
-/// Where health checks are possible one comes before the write.
+/// If health checks are possible, one precedes the write.
 #[test]
 fn a_write_that_is_not_idempotent_waits_for_a_health_check_where_one_is_possible() {
     let mut world = World::with_positions(Settings { router_count: 3, ..settings() }, 3);
--- a/crates/decisions/tests/routing/random_sequences.rs
+++ b/crates/decisions/tests/routing/random_sequences.rs
@@ -1,4 +1,4 @@
-//! Random legal event sequences: nothing panics, and the rules hold on what comes out.
+//! Random valid event sequences: nothing panics, and every action obeys the routing rules.
 
 use crate::world::*;
 use std::collections::BTreeMap;
@@ -9,11 +9,11 @@
 const STEP_MS: i64 = 10;
 const REQUEST_TIMEOUT_MS: i64 = 2_000;
 
-/// Outcomes of attempts before the deadline; three of six are good.
+/// Outcomes of attempts that end before the deadline; three of six are successful.
 const OUTCOMES: [Outcome; 6] =
     [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Overloaded, Outcome::Misdirected];
 
-/// A xorshift generator.
+/// A xorshift random generator.
 struct Random(u64);
 
 impl Random {
@@ -25,16 +25,16 @@
     }
 }
 
-/// What a client knows of its request.
+/// State of a request as its client sees it.
 #[derive(Default)]
 struct ClientRequest {
     class: usize,
     deadline: i64,
     has_ended: bool,
     attempts: u32,
-    /// Host and time of each attempt in flight, by its number.
+    /// Host and send time of each attempt in flight, by attempt number.
     in_flight: BTreeMap<u32, (u32, i64)>,
-    may_have_run: bool,
+    may_have_been_executed: bool,
 }
 
 /// An attempt in flight.
@@ -70,7 +70,7 @@
             actions.extend(self.end_attempts_at_their_deadline());
             actions.extend(self.world.event(Event::Timer(0)));
             actions.iter().for_each(|action| self.check(action));
-            self.check_no_request_is_lost();
+            self.check_every_request_ends_in_time();
             self.requests.retain(|_, request| !request.has_ended || !request.in_flight.is_empty());
         }
     }
@@ -110,11 +110,11 @@
         self.world.event(Event::EndpointList(EndpointUpdate::Delta, vec![entry]))
     }
 
-    fn in_flight(&self, is_wanted: impl Fn(&ClientRequest) -> bool) -> Vec<InFlight> {
-        let wanted = self.requests.iter().filter(|(_, request)| is_wanted(request));
-        let attempts = wanted.flat_map(|(id, request)| {
-            let of_request = request.in_flight.iter();
-            of_request.map(|(attempt, (host, sent_at))| InFlight {
+    fn in_flight(&self, is_selected: impl Fn(&ClientRequest) -> bool) -> Vec<InFlight> {
+        let selected = self.requests.iter().filter(|(_, request)| is_selected(request));
+        let attempts = selected.flat_map(|(id, request)| {
+            let attempts = request.in_flight.iter();
+            attempts.map(|(attempt, (host, sent_at))| InFlight {
                 id: *id,
                 attempt: *attempt,
                 host: *host,
@@ -133,7 +133,7 @@
         let outcome = OUTCOMES[self.random.below(OUTCOMES.len() as u64) as usize];
         let request = self.requests.get_mut(&ended.id).unwrap();
         request.in_flight.remove(&ended.attempt);
-        request.may_have_run |= outcome == Outcome::Error;
+        request.may_have_been_executed |= outcome == Outcome::Error;
         request.has_ended |= outcome == Outcome::Ok;
         let role = if ended.host == 0 { Role::Primary } else { Role::Replica };
         let position = LogPosition(self.world.now - 20 * MS);
@@ -146,7 +146,7 @@
         for ended in self.in_flight(|request| request.deadline <= now) {
             let request = self.requests.get_mut(&ended.id).unwrap();
             request.in_flight.remove(&ended.attempt);
-            request.may_have_run = true;
+            request.may_have_been_executed = true;
             actions.extend(self.end_attempt(ended, Outcome::Timeout, None));
         }
         actions
@@ -167,7 +167,7 @@
             request_closed: self.requests[&ended.id].has_ended,
             position: observed.map(|(position, _)| position),
             role: observed.map(|(_, role)| role),
-            answer_lost: observed.is_none() && is_unanswered(outcome),
+            answer_lost: observed.is_none() && is_response_lost(outcome),
             report: None,
         }))
     }
@@ -178,13 +178,16 @@
             Action::Reject { id, .. } => {
                 let request = self.requests.get_mut(id).unwrap();
                 let idempotency = self.settings.classes[request.class].idempotency;
-                let is_harmless = idempotency == Idempotency::Idempotent || !request.may_have_run;
-                assert!(!request.has_ended && is_harmless, "a rejection promises that nothing ran");
+                let is_harmless = idempotency == Idempotency::Idempotent || !request.may_have_been_executed;
+                assert!(
+                    !request.has_ended && is_harmless,
+                    "a rejection promises that the request was not executed, or may be repeated"
+                );
                 request.has_ended = true;
             }
             Action::Fail { id } => {
                 let request = self.requests.get_mut(id).unwrap();
-                assert!(!request.has_ended, "ended twice");
+                assert!(!request.has_ended, "the request ended twice");
                 request.has_ended = true;
             }
             _ => {}
@@ -193,27 +196,30 @@
 
     fn check_forwarded(&mut self, id: RequestId, host: HostId) {
         let request = self.requests.get_mut(&id).unwrap();
-        assert!(!request.has_ended, "forwarded after its end");
+        assert!(!request.has_ended, "forwarded after the request had ended");
         assert!(!self.is_draining[host.0 as usize], "forwarded to a draining host");
         let is_first = request.in_flight.is_empty();
-        assert!(self.settings.hedging_allowed || is_first, "two attempts at once");
+        assert!(self.settings.hedging_allowed || is_first, "two attempts in flight");
         let idempotency = self.settings.classes[request.class].idempotency;
-        assert!(idempotency != Idempotency::NotIdempotent || (is_first && !request.may_have_run));
+        assert!(idempotency != Idempotency::NotIdempotent || (is_first && !request.may_have_been_executed));
         assert!(request.attempts < self.settings.max_attempts);
         request.in_flight.insert(request.attempts, (host.0, self.world.now));
         request.attempts += 1;
     }
 
-    fn check_no_request_is_lost(&self) {
+    fn check_every_request_ends_in_time(&self) {
         let slack = self.settings.response_deadline_slack.0;
         for (id, request) in &self.requests {
-            assert!(request.has_ended || self.world.now <= request.deadline + slack, "{id:?} was lost");
+            assert!(
+                request.has_ended || self.world.now <= request.deadline + slack,
+                "{id:?} has no final reply"
+            );
         }
     }
 }
 
 #[test]
-fn the_rules_hold_on_random_legal_sequences() {
+fn the_routing_rules_hold_for_random_valid_event_sequences() {
     let run = |seed, change| Sequence::new(seed, change).run();
     for seed in 1..4 {
         run(seed, |_| {});
--- a/crates/decisions/tests/routing/role_belief.rs
+++ b/crates/decisions/tests/routing/role_belief.rs
@@ -1,7 +1,9 @@
-//! Any order of answers, losses, failures, restarts and lists in one group of three hosts: guards against a fresh read that is
-//! sent to a host on a role that a lost answer may have ended, and against one that no host ever gets again.
+//! Random sequences of responses, lost responses, failures, restarts and endpoint lists in one group of three
+//! hosts. Guards against a fresh read that relies on a role which a lost response may have ended, and against
+//! fresh reads that no host ever gets again.
 //!
-//! Hosts neither check reads nor can they be asked, so that only answers tell what they are.
+//! Hosts do not check reads and health checks are not allowed, so that only responses report roles and
+//! positions.
 
 use crate::world::*;
 use proptest::prelude::*;
@@ -14,46 +16,55 @@
 const BOUNDED: usize = 2;
 const FRESH: usize = 4;
 const KEYED_WRITE: usize = 5;
-const READS_THAT_MUST_BE_FRESH: [usize; 3] = [SESSION, BOUNDED, FRESH];
+const FRESH_READ_CLASSES: [usize; 3] = [SESSION, BOUNDED, FRESH];
 const REQUEST_TIMEOUT: TimeDelta = TimeDelta(2_000 * MS);
-/// Within this a primary that answers gets each kind of read, whatever came before.
+/// Time within which a responding primary gets a read of each fresh class, whatever happened before.
 const RECOVERY_MS: i64 = 12_000;
 
-/// A role that was told within this time is not only asked for.
-const RECENT: TimeDelta = TimeDelta(1_000 * MS);
-/// A read may ask a host that began anew, and from which nothing was lost since, after this time.
-const ASKED_AFTER: TimeDelta = TimeDelta(3_000 * MS);
-/// After this without any answer the role alone recommends a host.
-const QUIET_MS: i64 = 2_000;
-/// How far replicas are behind then: further than any read that must be fresh may be.
+/// A read relies on a role that was reported within this time; after that it may also be a role query.
+const RECENT_REPORT_WINDOW: TimeDelta = TimeDelta(1_000 * MS);
+/// Time after which a read may query the role of a host that has restarted, unless a response was lost since.
+const ROLE_QUERY_INTERVAL: TimeDelta = TimeDelta(3_000 * MS);
+/// Idle time after which only its role makes a host suitable for a fresh read.
+const IDLE_MS: i64 = 2_000;
+/// Replica lag that is too long for any fresh read.
 const REPLICA_LAG_MS: i64 = 1_500;
 
-/// What one host says, or what becomes of it.
+/// One step of a generated sequence.
 #[derive(Clone, Debug)]
 enum Step {
+    /// A request arrives, this long after the last write of its session.
     Request { class: usize, written_ms_ago: i64 },
+    /// The client of a pending request disconnects.
     Leave(Index),
+    /// An attempt in flight ends.
     End(Index, End),
+    /// A host restarts.
     Started(u32),
+    /// A host is removed from the endpoint list and returns.
     ListedAgain(u32),
+    /// A host drains and returns.
     Drained(u32),
+    /// A full endpoint list arrives.
     FullList,
+    /// Time passes.
     Pass { ms: i64 },
 }
 
 /// How an attempt ends.
 #[derive(Clone, Copy, Debug)]
 enum End {
+    /// The complete response arrived with a role and perhaps a position.
     Answered(Role, Position),
-    /// The whole answer came, and told no role.
+    /// The complete response arrived and reported no role.
     WithoutRole(Outcome),
-    /// The query was written, and what tells the role never came.
+    /// The request was written, and the part of the response that reports the role did not arrive.
     Lost(Outcome),
-    /// The query was not written.
+    /// The request was not written.
     Unwritten(Outcome),
 }
 
-/// The position that an answer tells.
+/// The position that a response reports, by its age.
 #[derive(Clone, Copy, Debug)]
 enum Position {
     None,
@@ -84,41 +95,43 @@
     let role = prop_oneof![2 => Just(Role::Primary), 1 => Just(Role::Replica)];
     prop_oneof![
         5 => (role, position).prop_map(|(role, position)| End::Answered(role, position)),
-        1 => prop::sample::select(vec![Outcome::Overloaded, Outcome::Error, Outcome::Ok]).prop_map(End::WithoutRole),
+        1 => prop::sample::select(vec![Outcome::Overloaded, Outcome::Error, Outcome::Ok])
+            .prop_map(End::WithoutRole),
         3 => prop::sample::select(vec![Outcome::Reset, Outcome::Timeout, Outcome::Cancelled, Outcome::Error])
             .prop_map(End::Lost),
         1 => prop::sample::select(vec![Outcome::ConnectFailed, Outcome::NotSent]).prop_map(End::Unwritten),
     ]
 }
 
-/// What is known of a host by what it has answered.
+/// The state of a host as its responses have reported it.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct HostReports {
     role: Option<Role>,
-    role_told_at: Timestamp,
-    /// A time before which what told it was not written.
+    role_reported_at: Timestamp,
+    /// Earliest time at which the report may have been written.
     written_at: Timestamp,
-    /// When an answer was lost that no answer written since has made up for.
-    lost_at: Option<Timestamp>,
-    /// When the host began anew, unless an answer was written since.
-    began_anew_at: Option<Timestamp>,
+    /// When a response was lost; `None` once a response that was written later has been received.
+    response_lost_at: Option<Timestamp>,
+    /// When the host restarted; `None` once a response that was written later has been received.
+    restarted_at: Option<Timestamp>,
     position: LogPosition,
 }
 
-impl Known {
-    const NOTHING: Self = Self {
+impl HostReports {
+    const NONE: Self = Self {
         role: None,
-        role_told_at: Timestamp(0),
+        role_reported_at: Timestamp(0),
         written_at: Timestamp(0),
-        lost_at: None,
-        began_anew_at: None,
+        response_lost_at: None,
+        restarted_at: None,
         position: LogPosition(i64::MIN),
     };
 
-    /// Time makes up for no lost answer. Where nothing was lost a read may ask in the end.
+    /// Returns whether a fresh read may rely on the host being the primary. A lost response prevents this
+    /// until a later response; after a restart a role query is allowed in time.
     fn is_primary(&self, now: Timestamp) -> bool {
-        let may_ask = self.began_anew_at.is_none_or(|at| now - at >= ASKED_AFTER);
-        self.role == Some(Role::Primary) && self.lost_at.is_none() && may_ask
+        let may_query = self.restarted_at.is_none_or(|at| now - at >= ROLE_QUERY_INTERVAL);
+        self.role == Some(Role::Primary) && self.response_lost_at.is_none() && may_query
     }
 }
 
@@ -130,15 +143,17 @@
     host: u32,
     class: usize,
     sent_at: Timestamp,
-    /// Whether only a role recommends the host that was told just before.
+    /// Whether only a recently reported role makes the host suitable.
     relies_on_role: bool,
-    /// Whether it is not written any more where it still waits for a connection.
+    /// Whether the router has withdrawn the attempt, so that it is not written if it still waits for a
+    /// connection.
     is_withdrawn: bool,
 }
 
+/// A router, the attempts in flight at its group of hosts, and the state that their responses have reported.
 struct Group {
     world: World,
-    known: [Known; HOSTS as usize],
+    reports: [HostReports; HOSTS as usize],
     in_flight: Vec<InFlight>,
     attempts: BTreeMap<RequestId, u32>,
     classes: BTreeMap<RequestId, usize>,
@@ -155,7 +170,7 @@
         };
         Self {
             world: World::new(settings, HOSTS),
-            known: [Known::NOTHING; HOSTS as usize],
+            reports: [HostReports::NONE; HOSTS as usize],
             in_flight: Vec::new(),
             attempts: BTreeMap::new(),
             classes: BTreeMap::new(),
@@ -167,10 +182,10 @@
         Timestamp(self.world.now)
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         match step {
             Step::Request { class, written_ms_ago } => drop(self.request(*class, *written_ms_ago)),
-            Step::Leave(which) => self.leave(which),
+            Step::Leave(which) => self.disconnect_client(which),
             Step::End(which, end) => {
                 if !self.in_flight.is_empty() {
                     let ended = self.in_flight.remove(which.index(self.in_flight.len()));
@@ -178,32 +193,32 @@
                 }
             }
             Step::Started(host) => {
-                // No two starts at one time.
+                // Start times must differ.
                 self.world.now += 1;
-                self.list_anew(*host, Some(self.now()));
+                self.relist_host(*host, Some(self.now()));
             }
             Step::ListedAgain(host) => {
                 self.list(EndpointUpdate::Delta, vec![entry(*host, HostState::Removed)]);
-                self.list_anew(*host, None);
+                self.relist_host(*host, None);
             }
             Step::Drained(host) => {
                 self.list(EndpointUpdate::Delta, vec![entry(*host, HostState::Draining)]);
-                self.list_anew(*host, None);
+                self.relist_host(*host, None);
             }
-            Step::FullList => self.list_all(),
-            Step::Pass { ms } => self.pass(*ms),
+            Step::FullList => self.send_full_list(),
+            Step::Pass { ms } => self.advance_ms(*ms),
         }
     }
 
     fn request(&mut self, class: usize, written_ms_ago: i64) -> RequestId {
-        // Known before its actions are checked.
+        // The class must be recorded before the actions are checked.
         let (id, actions) = self.world.request(class, Some(written_ms_ago * MS));
         self.classes.insert(id, class);
-        self.carry_out(actions);
+        self.apply_actions(actions);
         id
     }
 
-    fn leave(&mut self, which: &Index) {
+    fn disconnect_client(&mut self, which: &Index) {
         let open: Vec<RequestId> =
             self.classes.keys().filter(|id| !self.closed.contains(id)).copied().collect();
         if !open.is_empty() {
@@ -217,31 +232,31 @@
         self.event(Event::EndpointList(update, entries));
     }
 
-    /// A new process runs under the name of the host, or it returns: what it told before is over. That is noted
-    /// before the router acts on the list.
-    fn list_anew(&mut self, host: u32, started_at: Option<Timestamp>) {
-        self.known[host as usize].began_anew_at = Some(self.now());
+    /// Lists a host as restarted or returned: its earlier reports no longer count. This is recorded before
+    /// the router acts on the list.
+    fn relist_host(&mut self, host: u32, started_at: Option<Timestamp>) {
+        self.reports[host as usize].restarted_at = Some(self.now());
         let entry = EndpointEntry { started_at, ..entry(host, HostState::Running) };
         self.list(EndpointUpdate::Delta, vec![entry]);
     }
 
-    /// A full list that says of no host that it was started lately.
-    fn list_all(&mut self) {
+    /// Sends a full list without start times.
+    fn send_full_list(&mut self) {
         let entries = (0..HOSTS).map(|host| entry(host, HostState::Running)).collect();
         self.list(EndpointUpdate::Snapshot, entries);
     }
 
-    /// Lets time pass; attempts whose time is over end without an answer.
-    fn pass(&mut self, ms: i64) {
+    /// Advances the clock; attempts past their timeout end without a response.
+    fn advance_ms(&mut self, ms: i64) {
         let until = self.world.now + ms * MS;
         while self.world.now < until {
             self.world.now = until.min(self.world.now + 10 * MS);
-            self.time_out();
+            self.end_timed_out_attempts();
             self.event(Event::Timer(0));
         }
     }
 
-    fn time_out(&mut self) {
+    fn end_timed_out_attempts(&mut self) {
         let now = self.now();
         let is_over = |attempt: &InFlight| now >= attempt.sent_at + REQUEST_TIMEOUT;
         while let Some(at) = self.in_flight.iter().position(is_over) {
@@ -252,7 +267,7 @@
 
     fn end(&mut self, ended: InFlight, end: End) {
         let (outcome, role, position, answer_lost) = match end {
-            End::Answered(role, position) => (answered(ended.class, role), Some(role), position, false),
+            End::Answered(role, position) => (outcome_of(ended.class, role), Some(role), position, false),
             End::WithoutRole(outcome) => (outcome, None, Position::None, false),
             End::Lost(outcome) => (outcome, None, Position::None, true),
             End::Unwritten(outcome) => (outcome, None, Position::None, false),
@@ -261,7 +276,7 @@
             Position::None => None,
             Position::Old { ms } => Some(LogPosition(self.world.now - ms * MS)),
         };
-        self.learn(ended, role, position, answer_lost);
+        self.record_end(ended, role, position, answer_lost);
         if outcome == Outcome::Ok {
             self.closed.insert(ended.id);
         }
@@ -279,16 +294,17 @@
         }));
     }
 
-    /// Whether another host was the primary after that time.
-    fn is_former(&self, host: u32, written_at: Timestamp) -> bool {
-        let others = (0..HOSTS).zip(&self.known).filter(|(other, _)| *other != host);
+    /// Returns whether another host was the primary after `written_at`.
+    fn has_newer_primary(&self, host: u32, written_at: Timestamp) -> bool {
+        let others = (0..HOSTS).zip(&self.reports).filter(|(other, _)| *other != host);
         others
             .into_iter()
             .any(|(_, other)| other.role == Some(Role::Primary) && other.written_at > written_at)
     }
 
-    /// An answer tells of a time not before its query was sent, and not before its position.
-    fn learn(
+    /// Records what the end of an attempt reports. A response was written no earlier than its request was
+    /// sent, and no earlier than its position.
+    fn record_end(
         &mut self,
         ended: InFlight,
         role: Option<Role>,
@@ -297,31 +313,34 @@
     ) {
         let now = self.now();
         let written_at = position.map_or(ended.sent_at, |position| ended.sent_at.max(Timestamp(position.0)));
-        let is_former = self.is_former(ended.host, written_at);
-        let known = &mut self.known[ended.host as usize];
-        known.position = known.position.max(position.unwrap_or(known.position));
+        let has_newer_primary = self.has_newer_primary(ended.host, written_at);
+        let reports = &mut self.reports[ended.host as usize];
+        reports.position = reports.position.max(position.unwrap_or(reports.position));
         if answer_lost {
-            known.lost_at = Some(now);
+            reports.response_lost_at = Some(now);
         }
-        let Some(told) = role else { return };
-        let role = if is_former { Role::Replica } else { told };
-        // It may have been the primary before it was seen as a replica.
-        if role == Role::Primary && known.role == Some(Role::Replica) && known.role_told_at > written_at {
+        let Some(reported_role) = role else { return };
+        let role = if has_newer_primary { Role::Replica } else { reported_role };
+        // The host may have been the primary before it was observed as a replica.
+        if role == Role::Primary
+            && reports.role == Some(Role::Replica)
+            && reports.role_reported_at > written_at
+        {
             return;
         }
-        known.role = Some(role);
-        known.role_told_at = now;
-        known.written_at = known.written_at.max(written_at);
-        known.lost_at = known.lost_at.filter(|lost_at| *lost_at >= known.written_at);
-        known.began_anew_at = known.began_anew_at.filter(|at| *at >= known.written_at);
+        reports.role = Some(role);
+        reports.role_reported_at = now;
+        reports.written_at = reports.written_at.max(written_at);
+        reports.response_lost_at = reports.response_lost_at.filter(|at| *at >= reports.written_at);
+        reports.restarted_at = reports.restarted_at.filter(|at| *at >= reports.written_at);
         if role == Role::Primary {
-            // A group has one: what another was before is over.
-            let others = (0..HOSTS).zip(&mut self.known).filter(|(host, _)| *host != ended.host);
+            // A group has only one primary: the hosts that were the primary before are now replicas.
+            let others = (0..HOSTS).zip(&mut self.reports).filter(|(host, _)| *host != ended.host);
             let former = others
                 .filter(|(_, other)| other.role == Some(Role::Primary) && other.written_at < written_at);
             for (_, other) in former {
                 other.role = Some(Role::Replica);
-                other.role_told_at = written_at;
+                other.role_reported_at = written_at;
                 other.written_at = written_at;
             }
         }
@@ -329,36 +348,39 @@
 
     fn event(&mut self, event: Event) {
         let actions = self.world.event(event);
-        self.carry_out(actions);
+        self.apply_actions(actions);
         self.check_withdrawn();
     }
 
-    fn withdrawn(&mut self, id: RequestId, attempt: u32) {
+    fn mark_withdrawn(&mut self, id: RequestId, attempt: u32) {
         let mut attempts = self.in_flight.iter_mut();
         if let Some(withdrawn) = attempts.find(|other| (other.id, other.attempt) == (id, attempt)) {
             withdrawn.is_withdrawn = true;
         }
     }
 
-    /// A read may wait for its connection: it must not be written on a role that has fallen into doubt meanwhile.
+    /// Checks that no fresh read still relies on a role that is in doubt: it may wait for a connection, and
+    /// must not be written then.
     fn check_withdrawn(&self) {
         let now = self.now();
-        let is_left = |attempt: &&InFlight| {
-            let known = self.known[attempt.host as usize];
-            attempt.relies_on_role && !attempt.is_withdrawn && !known.is_primary(now)
+        let is_not_withdrawn = |attempt: &&InFlight| {
+            let reports = self.reports[attempt.host as usize];
+            attempt.relies_on_role && !attempt.is_withdrawn && !reports.is_primary(now)
         };
-        let left = self.in_flight.iter().find(is_left);
-        assert!(left.is_none(), "not withdrawn at {now:?}: {left:?}, {:?}", self.known);
+        let not_withdrawn = self.in_flight.iter().find(is_not_withdrawn);
+        assert!(not_withdrawn.is_none(), "not withdrawn at {now:?}: {not_withdrawn:?}, {:?}", self.reports);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn apply_actions(&mut self, actions: Vec<Action>) {
         let mut cancelled = Vec::new();
         for action in actions {
             match action {
-                Action::Forward { id, host, requirement, .. } => self.forwarded(id, host.0, requirement),
+                Action::Forward { id, host, requirement, .. } => {
+                    self.record_forwarded(id, host.0, requirement)
+                }
                 Action::Reject { id, .. } | Action::Fail { id } => drop(self.closed.insert(id)),
                 Action::CancelAttempt { id, attempt } => cancelled.push((id, attempt)),
-                Action::WithdrawAttempt { id, attempt } => self.withdrawn(id, attempt),
+                Action::WithdrawAttempt { id, attempt } => self.mark_withdrawn(id, attempt),
                 _ => {}
             }
         }
@@ -371,20 +393,21 @@
         }
     }
 
-    /// Checks that the host may have the read, and counts it as sent there.
-    fn forwarded(&mut self, id: RequestId, host: u32, requirement: ReadRequirement) {
+    /// Checks that the host is suitable for the request, and records the attempt.
+    fn record_forwarded(&mut self, id: RequestId, host: u32, requirement: ReadRequirement) {
         let class = self.classes[&id];
-        let known = self.known[host as usize];
+        let reports = self.reports[host as usize];
         let is_proven = requirement == ReadRequirement::Any
-            || known.position >= requirement.required_position(self.now());
+            || reports.position >= requirement.required_position(self.now());
         assert!(
-            is_proven || known.is_primary(self.now()),
-            "a read of class {class} that needs {requirement:?} goes to host {host} at {:?}: {known:?}",
+            is_proven || reports.is_primary(self.now()),
+            "a read of class {class} that needs {requirement:?} goes to host {host} at {:?}: {reports:?}",
             self.now()
         );
         let attempt = self.attempts.entry(id).or_insert(0);
         let sent_at = Timestamp(self.world.now);
-        let is_recent = sent_at - known.role_told_at <= RECENT && known.began_anew_at.is_none();
+        let is_recent =
+            sent_at - reports.role_reported_at <= RECENT_REPORT_WINDOW && reports.restarted_at.is_none();
         self.in_flight.push(InFlight {
             id,
             attempt: *attempt,
@@ -397,48 +420,51 @@
         *attempt += 1;
     }
 
-    /// One host is the primary, the others follow it, and all answer at once. Writes keep coming.
-    fn recover(&mut self, primary: u32) {
-        self.list_all();
+    /// Lets one host be the primary and the others its replicas; all respond at once, and writes keep
+    /// arriving. Checks that each class of fresh reads is served in time.
+    fn check_recovery(&mut self, primary: u32) {
+        self.send_full_list();
         let mut served: BTreeSet<usize> = BTreeSet::new();
         let mut reads = BTreeMap::new();
         for ms in 0..RECOVERY_MS / 10 {
             if ms % 20 == 0 {
                 self.request(KEYED_WRITE, 1);
-                for class in READS_THAT_MUST_BE_FRESH {
+                for class in FRESH_READ_CLASSES {
                     reads.insert(self.request(class, 50), class);
                 }
             }
-            self.pass(10);
-            let answered = self.answer_all(primary);
-            served.extend(answered.iter().filter_map(|id| reads.get(id)));
+            self.advance_ms(10);
+            let served_now = self.respond_to_all(primary);
+            served.extend(served_now.iter().filter_map(|id| reads.get(id)));
         }
-        assert_eq!(served, BTreeSet::from(READS_THAT_MUST_BE_FRESH), "{:?}", self.known);
+        assert_eq!(served, BTreeSet::from(FRESH_READ_CLASSES), "{:?}", self.reports);
     }
 
-    /// Lets each host answer what is out there. Returns the requests that the primary has served.
-    fn answer_all(&mut self, primary: u32) -> Vec<RequestId> {
+    /// Lets each host respond to its attempts in flight. Returns the requests that the primary has served.
+    fn respond_to_all(&mut self, primary: u32) -> Vec<RequestId> {
         let mut served = Vec::new();
         for ended in std::mem::take(&mut self.in_flight) {
             let is_primary = ended.host == primary;
             let role = if is_primary { Role::Primary } else { Role::Replica };
             let ms = if is_primary { 0 } else { REPLICA_LAG_MS };
             self.end(ended, End::Answered(role, Position::Old { ms }));
-            served
-                .extend(Some(ended.id).filter(|_| is_primary && answered(ended.class, role) == Outcome::Ok));
+            served.extend(
+                Some(ended.id).filter(|_| is_primary && outcome_of(ended.class, role) == Outcome::Ok),
+            );
         }
         served
     }
 
-    /// Nothing comes for a while; then no position proves what a read needs that must see the present.
-    fn check_fresh_read_after_quiet_time(&mut self, primary: u32) {
+    /// Lets the group idle until no position is recent enough for a fresh read, and checks that such a read
+    /// goes to the primary.
+    fn check_fresh_read_after_idle_time(&mut self, primary: u32) {
         while !self.in_flight.is_empty() {
-            self.answer_all(primary);
+            self.respond_to_all(primary);
         }
-        self.pass(QUIET_MS);
+        self.advance_ms(IDLE_MS);
         self.request(FRESH, 1);
         let hosts: Vec<u32> = self.in_flight.iter().map(|attempt| attempt.host).collect();
-        assert_eq!(hosts, [primary], "{:?}", self.known);
+        assert_eq!(hosts, [primary], "{:?}", self.reports);
     }
 }
 
@@ -446,8 +472,8 @@
     EndpointEntry::new(HostId(host), 0, state)
 }
 
-/// How a host of this role answers a request of this class.
-fn answered(class: usize, role: Role) -> Outcome {
+/// Returns the outcome of a request of this class at a host of this role.
+fn outcome_of(class: usize, role: Role) -> Outcome {
     let is_write = settings().classes[class].freshness == Freshness::Write;
     if is_write && role == Role::Replica {
         Outcome::Misdirected
@@ -460,21 +486,21 @@
     #![proptest_config(ProptestConfig::with_cases(512))]
 
     #[test]
-    fn a_fresh_read_goes_to_a_host_on_its_role_only_after_an_answer_as_the_primary(
+    fn a_fresh_read_relies_on_a_role_only_after_a_response_as_the_primary(
         steps in prop::collection::vec(step(), 1..80),
     ) {
         let mut group = Group::new();
-        steps.iter().for_each(|step| group.take(step));
+        steps.iter().for_each(|step| group.apply_step(step));
     }
 
     #[test]
-    fn fresh_reads_are_served_in_the_end_by_a_primary_that_answers(
+    fn fresh_reads_are_eventually_served_by_a_primary_that_responds(
         steps in prop::collection::vec(step(), 1..40),
         primary in 0..HOSTS,
     ) {
         let mut group = Group::new();
-        steps.iter().for_each(|step| group.take(step));
-        group.recover(primary);
-        group.check_fresh_read_after_quiet_time(primary);
+        steps.iter().for_each(|step| group.apply_step(step));
+        group.check_recovery(primary);
+        group.check_fresh_read_after_idle_time(primary);
     }
 }
--- a/crates/decisions/tests/routing/role_doubt.rs
+++ b/crates/decisions/tests/routing/role_doubt.rs
@@ -1,4 +1,5 @@
-//! Guards against fresh reads at a host that was the primary once (stale read of brink F 8101, fifth day, and 9304, fourteenth).
+//! Guards against fresh reads at a host that is no longer the primary. Found as stale reads in `brink` panel
+//! F: run 8101, day 5, and run 9304, day 14.
 
 use crate::world::*;
 use wheelpier_decisions::*;
@@ -7,13 +8,13 @@
 const SESSION: usize = 1;
 const BOUNDED: usize = 2;
 
-fn unasked() -> Settings {
+fn without_health_checks_and_hedging() -> Settings {
     Settings { health_checks_allowed: false, hedging_allowed: false, ..settings() }
 }
 
-/// A group whose only known member was last seen as the primary 1.2 s ago.
-fn quiet_primary() -> World {
-    let mut world = World::with_positions(unasked(), 1);
+/// A group whose only known member was last observed as the primary 1.2 s ago.
+fn idle_primary() -> World {
+    let mut world = World::with_positions(without_health_checks_and_hedging(), 1);
     world.now += 1_200 * MS;
     world
 }
@@ -22,28 +23,28 @@
     !forwarded_to(&world.request(class, Some(100 * MS)).1).is_empty()
 }
 
-/// What may end a role without a response that says so.
-type RoleLoss = (&'static str, fn(&mut World));
+/// An event that may end a role without a response that reports it: its name, and a function that causes it.
+type DoubtEvent = (&'static str, fn(&mut World));
 
-const ROLE_LOSSES: [RoleLoss; 4] = [
-    ("it takes no connection", |world| {
+const DOUBT_EVENTS: [DoubtEvent; 4] = [
+    ("the host refuses a connection", |world| {
         let (id, _) = world.request(ANY, None);
         world.end_attempt(id, 0, 0, Outcome::ConnectFailed, MS);
         world.event(Event::ClientDisconnected(id));
     }),
-    ("it is silent", |world| {
+    ("the host is unresponsive", |world| {
         let (id, _) = world.request(ANY, None);
         world.advance_ms(1_300);
         world.event(Event::ClientDisconnected(id));
     }),
-    ("it is started again", |world| {
+    ("the host restarts", |world| {
         let started = EndpointEntry {
             started_at: Some(Timestamp(world.now - 50_000 * MS)),
             ..EndpointEntry::new(HostId(0), 0, HostState::Running)
         };
         world.event(Event::EndpointList(EndpointUpdate::Delta, vec![started]));
     }),
-    ("it leaves the list and returns", |world| {
+    ("the host leaves the list and returns", |world| {
         for state in [HostState::Removed, HostState::Running] {
             let entry = EndpointEntry::new(HostId(0), 0, state);
             world.event(Event::EndpointList(EndpointUpdate::Delta, vec![entry]));
@@ -52,38 +53,39 @@
 ];
 
 #[test]
-fn a_host_that_may_have_lost_its_role_gets_no_read_that_must_be_fresh() {
-    for (what, lose) in ROLE_LOSSES {
+fn a_host_that_may_have_lost_its_role_gets_no_fresh_read() {
+    for (name, cause_doubt) in DOUBT_EVENTS {
         for class in [SESSION, BOUNDED] {
-            let mut world = quiet_primary();
+            let mut world = idle_primary();
             assert!(is_forwarded(&mut world, class), "the primary takes class {class}");
-            let mut world = quiet_primary();
-            lose(&mut world);
+            let mut world = idle_primary();
+            cause_doubt(&mut world);
             world.now += 1_200 * MS;
-            assert!(!is_forwarded(&mut world, class), "{what}, class {class}");
+            assert!(!is_forwarded(&mut world, class), "{name}, class {class}");
         }
     }
 }
 
-/// An attempt that is out may be answered by a replica, and the answer be lost: what waits must not rely on the role.
+/// The response to the attempt in flight may report the replica role and be lost, so waiting reads must not
+/// rely on the role.
 #[test]
-fn an_attempt_without_an_answer_proves_no_role() {
-    let mut world = quiet_primary();
-    ROLE_LOSSES[0].1(&mut world);
+fn an_attempt_without_a_response_does_not_confirm_the_role() {
+    let mut world = idle_primary();
+    DOUBT_EVENTS[0].1(&mut world);
     world.now += 3_500 * MS;
     let (id, sent) = world.request(ANY, None);
     assert_eq!(forwarded_to(&sent), [0]);
     world.now += 300 * MS;
-    assert!(!is_forwarded(&mut world, BOUNDED), "while it is out");
+    assert!(!is_forwarded(&mut world, BOUNDED), "while the attempt is in flight");
     world.end_attempt(id, 0, 0, Outcome::Reset, 1_100 * MS);
-    assert!(!is_forwarded(&mut world, BOUNDED), "after it was lost");
+    assert!(!is_forwarded(&mut world, BOUNDED), "after its response was lost");
 }
 
 #[test]
-fn an_answer_as_the_primary_ends_the_doubt_at_once() {
+fn a_response_as_the_primary_ends_the_doubt_immediately() {
     for class in [SESSION, BOUNDED] {
-        let mut world = quiet_primary();
-        ROLE_LOSSES[0].1(&mut world);
+        let mut world = idle_primary();
+        DOUBT_EVENTS[0].1(&mut world);
         world.now += 1_200 * MS;
         let (id, sent) = world.request(ANY, None);
         assert_eq!(forwarded_to(&sent), [0]);
@@ -93,58 +95,61 @@
     }
 }
 
-/// The answer was written before the host failed: it says nothing of the time since.
+/// The response was written before the host failed, so it does not show which role the host has since.
 #[test]
-fn an_answer_from_before_the_failure_ends_no_doubt() {
-    let mut world = quiet_primary();
+fn a_response_written_before_the_failure_does_not_end_the_doubt() {
+    let mut world = idle_primary();
     let (early, _) = world.request(ANY, None);
     let written = world.now + 10 * MS;
     world.now += 500 * MS;
-    ROLE_LOSSES[0].1(&mut world);
+    DOUBT_EVENTS[0].1(&mut world);
     world.now += 300 * MS;
     world.serve_first_attempt(early, 0, 50 * MS, load_report(written, Role::Primary));
     world.now += 1_200 * MS;
     assert!(!is_forwarded(&mut world, BOUNDED));
 }
 
-/// Where nothing else tells, reads are not kept from the only host for good.
+/// Without other evidence of the role the only host would never get fresh reads again.
 #[test]
-fn one_read_in_three_seconds_may_show_whether_the_role_holds() {
-    let mut world = quiet_primary();
-    ROLE_LOSSES[0].1(&mut world);
+fn one_fresh_read_in_three_seconds_may_query_the_role() {
+    let mut world = idle_primary();
+    DOUBT_EVENTS[0].1(&mut world);
     world.now += 3_100 * MS;
     let (id, sent) = world.request(BOUNDED, None);
     assert_eq!(forwarded_to(&sent), [0]);
-    assert!(!is_forwarded(&mut world, BOUNDED), "a second one at once");
+    assert!(!is_forwarded(&mut world, BOUNDED), "a second one immediately");
     world.serve_first_attempt(id, 0, 50 * MS, load_report(world.now, Role::Primary));
     assert!(is_forwarded(&mut world, BOUNDED));
 }
 
-/// Its data prove themselves for as long as the bound allows.
+/// A position within the staleness bound is sufficient evidence.
 #[test]
-fn a_recent_position_serves_reads_whatever_the_role() {
-    let mut world = World::with_positions(unasked(), 1);
-    ROLE_LOSSES[0].1(&mut world);
+fn a_host_with_a_recent_position_serves_reads_regardless_of_its_role() {
+    let mut world = World::with_positions(without_health_checks_and_hedging(), 1);
+    DOUBT_EVENTS[0].1(&mut world);
     world.now += 700 * MS;
     assert!(is_forwarded(&mut world, BOUNDED));
 }
 
-/// A host that checks reads rejects what it may not serve: nothing is kept from it.
+/// A host that checks reads rejects those that it must not serve, so none are kept from it.
 #[test]
 fn hosts_that_check_reads_are_not_doubted() {
-    let mut world = World::with_positions(Settings { lag_policy: LagPolicy::Reject, ..unasked() }, 1);
+    let mut world = World::with_positions(
+        Settings { lag_policy: LagPolicy::Reject, ..without_health_checks_and_hedging() },
+        1,
+    );
     world.now += 1_200 * MS;
-    ROLE_LOSSES[0].1(&mut world);
+    DOUBT_EVENTS[0].1(&mut world);
     world.now += 1_200 * MS;
     assert!(is_forwarded(&mut world, BOUNDED));
 }
 
-/// A doubted primary is checked where that is possible.
+/// If health checks are possible, a primary with a doubted role is checked.
 #[test]
 fn a_health_check_ends_the_doubt() {
     let mut world = World::with_positions(Settings { hedging_allowed: false, ..settings() }, 1);
     world.now += 1_200 * MS;
-    ROLE_LOSSES[0].1(&mut world);
+    DOUBT_EVENTS[0].1(&mut world);
     world.health_checked(0, None);
     world.now += 1_200 * MS;
     let (_, sent) = world.request(BOUNDED, None);
@@ -153,12 +158,13 @@
     assert_eq!(forwarded_to(&sent), [0]);
 }
 
-/// The answer may have told that the host is a replica: no time that passes says that it is the primary.
+/// The lost response may have reported the replica role, so the passage of time does not confirm that the
+/// host is the primary.
 #[test]
-fn a_lost_answer_is_made_good_by_a_later_answer_and_by_no_time() {
+fn doubt_after_a_lost_response_ends_with_a_later_response_and_not_with_time() {
     for outcome in [Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
         for later_ms in [1, 500, 1_200, 3_100, 6_000, 20_000] {
-            let mut world = quiet_primary();
+            let mut world = idle_primary();
             let (id, _) = world.request(ANY, None);
             world.end_attempt(id, 0, 0, outcome, 50 * MS);
             world.event(Event::ClientDisconnected(id));
@@ -167,32 +173,33 @@
                 assert!(!is_forwarded(&mut world, class), "{outcome:?}, {later_ms} ms later, class {class}");
             }
             let (id, sent) = world.request(ANY, None);
-            assert_eq!(forwarded_to(&sent), [0], "reads that may be old still go there");
+            assert_eq!(forwarded_to(&sent), [0], "reads from data of any age still go there");
             world.serve_first_attempt(id, 0, 50 * MS, load_report(world.now, Role::Primary));
-            assert!(is_forwarded(&mut world, BOUNDED), "{outcome:?}, after an answer");
+            assert!(is_forwarded(&mut world, BOUNDED), "{outcome:?}, after a response");
         }
     }
 }
 
-/// A host that gets nothing but fresh reads is not given up for good: its answers are checked for their age.
+/// A host that gets only fresh reads would otherwise never be used again. The response to a role query is
+/// itself checked for its age.
 #[test]
-fn one_read_in_thirty_seconds_may_ask_after_a_lost_answer() {
-    let mut world = quiet_primary();
+fn one_fresh_read_in_thirty_seconds_may_query_the_role_after_a_lost_response() {
+    let mut world = idle_primary();
     let (id, _) = world.request(BOUNDED, None);
     world.end_attempt(id, 0, 0, Outcome::Reset, 50 * MS);
     world.event(Event::ClientDisconnected(id));
     world.now += 30_000 * MS;
     let (id, sent) = world.request(BOUNDED, None);
     assert_eq!(forwarded_to(&sent), [0]);
-    assert!(!is_forwarded(&mut world, BOUNDED), "a second one at once");
+    assert!(!is_forwarded(&mut world, BOUNDED), "a second one immediately");
     world.serve_first_attempt(id, 0, 50 * MS, load_report(world.now, Role::Primary));
     assert!(is_forwarded(&mut world, BOUNDED));
 }
 
-/// The replica's answer was written later, though it came first.
+/// The response as a replica was written later, though it arrived first.
 #[test]
-fn an_older_answer_as_the_primary_undoes_no_newer_one_as_a_replica() {
-    let mut world = quiet_primary();
+fn an_older_response_as_the_primary_does_not_override_a_newer_one_as_a_replica() {
+    let mut world = idle_primary();
     let (older, _) = world.request(ANY, None);
     let (newer, _) = world.request(ANY, None);
     let written = world.now + 10 * MS;
@@ -204,10 +211,10 @@
     assert!(!is_forwarded(&mut world, BOUNDED));
 }
 
-/// The other host has become the primary since the answer was written.
+/// The other host has become the primary since the response was written.
 #[test]
-fn an_older_answer_of_a_former_primary_deposes_nobody() {
-    let mut world = World::with_positions(unasked(), 2);
+fn an_older_response_of_a_former_primary_does_not_demote_the_new_one() {
+    let mut world = World::with_positions(without_health_checks_and_hedging(), 2);
     world.now += 1_200 * MS;
     let (older, _) = world.request(ANY, None);
     let written = world.now + 10 * MS;
@@ -219,46 +226,49 @@
     assert_eq!(forwarded_to(&world.request(BOUNDED, None).1), [1]);
 }
 
-/// An answer that came to its end tells what it tells: nothing is lost where it tells no role.
+/// A response that arrived completely is not lost, even if it reports no role.
 #[test]
-fn an_answer_without_a_role_is_not_lost() {
-    let mut world = quiet_primary();
+fn a_complete_response_without_a_role_does_not_count_as_lost() {
+    let mut world = idle_primary();
     let (id, _) = world.request(ANY, None);
     world.serve_first_attempt(id, 0, 50 * MS, None);
     world.now += 1_200 * MS;
     assert!(is_forwarded(&mut world, BOUNDED));
 }
 
-/// What a host told before it was started again, or left the list, says nothing of it now, however recent it is.
+/// A report from before the restart, or from before the host left the list, does not show its current role,
+/// however recent it is.
 #[test]
-fn a_restart_ends_the_role_at_once() {
-    for (what, lose) in &ROLE_LOSSES[2..] {
+fn a_restart_puts_the_role_in_doubt_immediately() {
+    for (name, cause_doubt) in &DOUBT_EVENTS[2..] {
         for class in [SESSION, BOUNDED] {
-            let mut world = quiet_primary();
+            let mut world = idle_primary();
             let (id, _) = world.request(ANY, None);
             world.serve_first_attempt(id, 0, 50 * MS, load_report(world.now - 1_100 * MS, Role::Primary));
             world.now += 200 * MS;
             assert!(is_forwarded(&mut world, class), "class {class}, before");
-            lose(&mut world);
-            assert!(!is_forwarded(&mut world, class), "{what}, class {class}");
+            cause_doubt(&mut world);
+            assert!(!is_forwarded(&mut world, class), "{name}, class {class}");
         }
     }
 }
 
-/// A host that takes a query and says nothing may be paused, and may have been replaced meanwhile.
+/// A host that accepts a request and does not respond may be paused, and may have been replaced as the
+/// primary meanwhile.
 #[test]
-fn an_answer_that_does_not_come_puts_the_role_in_doubt() {
-    let mut world = quiet_primary();
+fn an_overdue_response_puts_the_role_in_doubt() {
+    let mut world = idle_primary();
     world.request(ANY, Some(2_000 * MS));
     world.now += 110 * MS;
     assert!(!is_forwarded(&mut world, BOUNDED));
 }
 
-/// The part of the answer that tells the role is missing, but only a host that is no primary rejects a write so.
+/// The part of the response that reports the role is missing, but only a host that is not the primary rejects
+/// a write as misdirected.
 #[test]
-fn a_rejected_write_tells_that_its_host_is_no_primary() {
+fn a_misdirected_write_shows_that_its_host_is_not_the_primary() {
     const WRITE: usize = 3;
-    let mut world = World::with_positions(unasked(), 1);
+    let mut world = World::with_positions(without_health_checks_and_hedging(), 1);
     let (id, sent) = world.request(WRITE, None);
     assert_eq!(forwarded_to(&sent), [0]);
     world.end_attempt(id, 0, 0, Outcome::Misdirected, 50 * MS);
@@ -267,27 +277,28 @@
     assert!(!is_forwarded(&mut world, SESSION));
 }
 
-/// Reads that are forwarded may wait for a connection: when their host falls into doubt they must not be written.
+/// Forwarded reads may wait for a connection. They must not be written once the role of their host is in
+/// doubt.
 #[test]
-fn reads_forwarded_on_a_role_are_withdrawn_when_it_falls_into_doubt() {
-    for (what, lose) in ROLE_LOSSES.iter().filter(|(what, _)| *what != "it is silent") {
+fn reads_that_rely_on_a_role_are_withdrawn_when_it_is_doubted() {
+    for (name, cause_doubt) in DOUBT_EVENTS.iter().filter(|(name, _)| *name != "the host is unresponsive") {
         for class in [SESSION, BOUNDED] {
-            let mut world = quiet_primary();
+            let mut world = idle_primary();
             let (read, sent) = world.request(class, Some(100 * MS));
             assert_eq!(forwarded_to(&sent), [0]);
             world.advance_ms(50);
-            assert_eq!(world.withdrawn, [], "nothing has happened");
-            lose(&mut world);
-            assert_eq!(world.withdrawn, [(read, 0)], "{what}, class {class}");
+            assert_eq!(world.withdrawn, [], "before the event");
+            cause_doubt(&mut world);
+            assert_eq!(world.withdrawn, [(read, 0)], "{name}, class {class}");
         }
     }
 }
 
-/// A read that must be fresh and asks a host for its role is not withdrawn for the doubt that it is to end.
+/// A role query is sent because of the doubt, so the doubt is no reason to withdraw it.
 #[test]
-fn a_read_that_asks_for_the_role_is_not_withdrawn() {
-    let mut world = quiet_primary();
-    ROLE_LOSSES[0].1(&mut world);
+fn a_role_query_is_not_withdrawn() {
+    let mut world = idle_primary();
+    DOUBT_EVENTS[0].1(&mut world);
     world.now += 3_100 * MS;
     let (_, sent) = world.request(BOUNDED, None);
     assert_eq!(forwarded_to(&sent), [0]);
--- a/crates/decisions/tests/routing/rules.rs
+++ b/crates/decisions/tests/routing/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that no request may break, each in its ordinary case and in a corner case.
+//! The rules that hold for every request, each in an ordinary case and in an edge case.
 
 use crate::world::*;
 use wheelpier_decisions::*;
@@ -9,7 +9,7 @@
     let (id, actions) = world.request(3, None);
     assert!(endings(&actions).is_empty());
     let done = world.advance_ms(2_000);
-    assert!(matches!(endings(&done)[..], [Action::Reject { id: it, .. }] if *it == id));
+    assert!(matches!(endings(&done)[..], [Action::Reject { id: rejected_id, .. }] if *rejected_id == id));
 }
 
 #[test]
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_write_that_is_not_idempotent_and_may_have_run_fails_and_is_not_retried() {
+fn a_write_that_is_not_idempotent_and_may_have_been_executed_fails_and_is_not_retried() {
     for outcome in [Outcome::Reset, Outcome::Error, Outcome::Timeout, Outcome::Cancelled] {
         let mut world = World::with_positions(settings(), 3);
         let (id, sent) = world.request(3, None);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_misdirected_write_follows_the_role_to_the_new_primary() {
+fn a_misdirected_write_is_retried_at_the_new_primary() {
     let mut world = World::with_positions(settings(), 3);
     let (id, _) = world.request(3, None);
     world.now += 200 * MS;
@@ -62,10 +62,10 @@
 
 #[test]
 fn nothing_is_forwarded_to_a_draining_or_removed_host() {
-    for drop in [false, true] {
+    for is_removed in [false, true] {
         let mut world = World::with_positions(settings(), 2);
         let mut list = vec![EndpointEntry::new(HostId(0), 0, HostState::Running)];
-        if !drop {
+        if !is_removed {
             list.push(EndpointEntry::new(HostId(1), 0, HostState::Draining));
         }
         world.event(Event::EndpointList(EndpointUpdate::Snapshot, list));
@@ -76,16 +76,16 @@
 }
 
 #[test]
-fn a_restarted_host_gets_little_at_first() {
+fn a_restarted_host_gets_few_requests_at_first() {
     let mut world = World::with_positions(settings(), 3);
     let mut entry = EndpointEntry::new(HostId(1), 0, HostState::Running);
     entry.started_at = Some(Timestamp(world.now));
     world.event(Event::EndpointList(EndpointUpdate::Delta, vec![entry]));
-    let mut cold = 0;
+    let mut forwarded = 0;
     for _ in 0..8 {
-        cold += forwarded_to(&world.request(0, None).1).iter().filter(|h| **h == 1).count();
+        forwarded += forwarded_to(&world.request(0, None).1).iter().filter(|h| **h == 1).count();
     }
-    assert!(cold <= 2, "{cold}");
+    assert!(forwarded <= 2, "{forwarded}");
 }
 
 #[test]
@@ -108,20 +108,24 @@
 }
 
 #[test]
-fn a_message_from_a_peer_proves_nothing_and_harms_nothing() {
+fn a_peer_message_is_ignored() {
     let mut world = World::new(settings(), 2);
     for data in [vec![], vec![0xFF; 256], b"0=primary".to_vec()] {
         for from in [0, 1, u32::MAX] {
             assert!(world.event(Event::PeerMessage { from, data: data.clone() }).is_empty());
         }
     }
-    assert!(forwarded_to(&world.request(3, None).1).is_empty(), "no write without evidence of its own");
-    assert!(forwarded_to(&world.request(1, Some(10 * MS)).1).is_empty(), "nor a read");
+    assert!(
+        forwarded_to(&world.request(3, None).1).is_empty(),
+        "a write needs evidence from the host itself"
+    );
+    assert!(forwarded_to(&world.request(1, Some(10 * MS)).1).is_empty(), "a read needs it as well");
 }
 
-/// A position ahead of the clock is wrong: believed, it would prove the replica recent enough for good.
+/// A position ahead of the clock is wrong: if accepted, it would make the replica count as recent enough for
+/// good.
 #[test]
-fn a_position_ahead_of_the_clock_proves_nothing() {
+fn a_position_ahead_of_the_clock_is_ignored() {
     let mut world = World::with_positions(settings(), 2);
     world.health_checked(1, load_report(world.now - 5_000 * MS, Role::Replica));
     world.health_checked(1, load_report(world.now + 60_000 * MS, Role::Replica));
@@ -134,7 +138,7 @@
 }
 
 fn write_deadlines(actions: &[Action]) -> Vec<Option<Timestamp>> {
-    let write_deadline = |a: &Action| match a {
+    let write_deadline = |action: &Action| match action {
         Action::Forward { write_by, .. } => Some(*write_by),
         _ => None,
     };
@@ -149,7 +153,8 @@
         (forwarded_to(&sent), write_deadlines(&sent)),
         (vec![1], vec![Some(Timestamp(world.now - 10 * MS + 800 * MS))])
     );
-    // The primary may lose its role meanwhile. A host that checks reads rejects what it may not serve.
+    // The primary may lose its role before the read is written. A host that checks reads rejects those that
+    // it must not serve.
     let mut world = World::with_positions(settings(), 1);
     assert_eq!(write_deadlines(&world.request(2, None).1), [Some(Timestamp(world.now + 800 * MS))]);
     let mut world = World::with_positions(Settings { lag_policy: LagPolicy::Reject, ..settings() }, 2);
@@ -188,16 +193,17 @@
             && !session.is_met_by(at(8_999), written)
             && !session.is_met_by(None, written)
     );
-    for anything in [(Freshness::Any, i64::MIN), (Freshness::Session, i64::MIN), (Freshness::Write, i64::MIN)]
+    for requirement in
+        [(Freshness::Any, i64::MIN), (Freshness::Session, i64::MIN), (Freshness::Write, i64::MIN)]
     {
         assert!(
-            ReadRequirement::for_class(anything.0, LogPosition(anything.1)).is_met_by(None, written),
-            "{anything:?}"
+            ReadRequirement::for_class(requirement.0, LogPosition(requirement.1)).is_met_by(None, written),
+            "{requirement:?}"
         );
     }
 }
 
-/// A router with a write of session 7 in flight at the primary.
+/// Returns a router with a write of session 7 in flight at the primary.
 fn with_a_write_in_flight(lag_policy: LagPolicy) -> (World, RequestId) {
     let mut all = Settings {
         write_positions_tracked: true,
@@ -219,38 +225,39 @@
     forwarded_to(&world.event(Event::RequestArrived(read)))
 }
 
-/// The response of its host may have been lost with the connection: the write may have been committed.
+/// The response may have been lost with the connection, so the write may have been committed.
 #[test]
 fn a_session_with_an_unconfirmed_write_reads_at_the_primary() {
     for outcome in [Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
         let (mut world, write) = with_a_write_in_flight(LagPolicy::ServeStale);
         world.now += 100 * MS;
-        assert_eq!(session_read(&mut world, 901), [0], "while it is in flight");
+        assert_eq!(session_read(&mut world, 901), [0], "while the write is in flight");
         world.end_attempt(write, 0, 0, outcome, 100 * MS);
         world.now += 500 * MS;
-        // No replica may take the read, and the primary only once it is known to be that still.
+        // No replica may take the read, and the primary only once a response has confirmed its role.
         assert!(session_read(&mut world, 902).is_empty(), "{outcome:?}");
         let other_write = Request::new(RequestId(903), 5, 0, 1_000 * MS);
         assert_eq!(forwarded_to(&world.event(Event::RequestArrived(other_write))), [0]);
         let sent = world.end_attempt(RequestId(903), 0, 0, Outcome::Ok, MS);
-        assert_eq!(forwarded_to(&sent), [0], "{outcome:?}, after an answer");
+        assert_eq!(forwarded_to(&sent), [0], "{outcome:?}, after a response");
         world.now += 1_000 * MS;
-        assert_ne!(session_read(&mut world, 904), [0], "no longer than a write may take");
+        assert_ne!(session_read(&mut world, 904), [0], "the write can no longer be committed");
     }
 }
 
 #[test]
-fn a_session_whose_write_never_ran_reads_anywhere() {
+fn a_session_whose_write_was_not_executed_reads_anywhere() {
     for outcome in [Outcome::ConnectFailed, Outcome::Overloaded, Outcome::NotSent] {
         let (mut world, write) = with_a_write_in_flight(LagPolicy::ServeStale);
-        // Or it would be retried.
+        // Without the disconnect the write would be retried.
         world.event(Event::ClientDisconnected(write));
         world.end_attempt(write, 0, 0, outcome, 100 * MS);
         assert_ne!(session_read(&mut world, 901), [0], "{outcome:?}");
     }
 }
 
-/// The response comes after the client has gone: the session's next read must see the write.
+/// The response arrives after the client has disconnected; the next read of the session must still see the
+/// write.
 #[test]
 fn a_commit_counts_for_its_session_after_its_request_has_ended() {
     let (mut world, write) = with_a_write_in_flight(LagPolicy::ServeStale);
--- a/crates/decisions/tests/routing/source_files.rs
+++ b/crates/decisions/tests/routing/source_files.rs
@@ -1,4 +1,4 @@
-//! Routing source files stay short, and the deploy file names them all.
+//! Checks the size of the routing source files, and that the deploy file lists all of them.
 
 use std::path::Path;
 
@@ -20,11 +20,11 @@
 #[test]
 fn routing_files_stay_short_and_narrow() {
     let files = routing_files();
-    assert!(files.len() > 1, "{FOLDER} is read");
+    assert!(files.len() > 1, "{FOLDER} contains too few source files");
     for (name, text) in files {
         assert!(text.lines().count() <= MAX_LINES, "{name}: {} lines", text.lines().count());
         let wide: Vec<&str> = text.lines().filter(|line| line.chars().count() > MAX_COLUMNS).collect();
-        assert!(wide.is_empty(), "{name}, too wide: {wide:?}");
+        assert!(wide.is_empty(), "{name}, lines too wide: {wide:?}");
     }
 }
 
@@ -39,6 +39,6 @@
     let deploy = include_str!("../../../../deploy/balancer.toml");
     let policy = deploy.lines().find(|line| line.starts_with("policy")).unwrap();
     for (name, _) in routing_files() {
-        assert!(policy.contains(&format!("\"{FOLDER}/{name}\"")), "{name} is not named");
+        assert!(policy.contains(&format!("\"{FOLDER}/{name}\"")), "{name} is not listed");
     }
 }
