--- a/crates/decisions/src/routing/clock_shift.rs
+++ b/crates/decisions/src/routing/clock_shift.rs
@@ -5,9 +5,9 @@
 use crate::interface::{LogPosition, TimeDelta, Timestamp};
 
 impl Router {
-    /// Adjusts all times and positions derived from the hosts' clock after the estimate of how far that is
-    /// ahead of the router's clock rose by `shift_us` microseconds. Where the result is uncertain, data
-    /// counts as older than it is.
+    /// Adjusts the times and positions that were derived from the hosts' clock, after its estimated offset
+    /// rose by `shift_us` microseconds. The offset is the time by which the hosts' clock is ahead of the
+    /// router's. Where the result is uncertain, data counts as older than it is.
     pub fn shift_host_clock(&mut self, now: Timestamp, shift_us: i64) {
         self.now = now;
         self.shift_hosts(TimeDelta(shift_us));
--- a/crates/decisions/src/routing/context.rs
+++ b/crates/decisions/src/routing/context.rs
@@ -41,7 +41,7 @@
         self.load.groups.latency_ratio(group, role, self.now)
     }
 
-    /// Returns whether the endpoint list allows to send requests to the host.
+    /// Returns whether requests may be sent to the host according to the endpoint list.
     pub fn is_usable(self, host: &Host) -> bool {
         host.is_usable(self.settings.removal_is_advisory)
     }
--- a/crates/decisions/src/routing/outlier.rs
+++ b/crates/decisions/src/routing/outlier.rs
@@ -208,8 +208,8 @@
 }
 
 /// Returns the hosts that have overdue attempts and have not responded since those were sent. Returns none if
-/// they are the majority of the hosts with attempts in flight: then the cause is common to all, and no host
-/// is at fault.
+/// there are several and they are the majority of the hosts with attempts in flight: then the cause is common
+/// to all, and no host is at fault.
 pub(super) fn unresponsive_hosts(context: Context<'_>, requests: &PendingRequests) -> BTreeSet<HostId> {
     let attempts = || requests.attempts();
     let is_overdue = |attempt: &Attempt| {
--- a/crates/decisions/src/routing/queue.rs
+++ b/crates/decisions/src/routing/queue.rs
@@ -22,8 +22,8 @@
 /// routers cause no load.
 const IN_FLIGHT_CHECKS_PER_OBJECTIVE: i64 = 8;
 
-/// Reason why a waiting request is given up. All reasons lead to the same ending; only tests distinguish
-/// them.
+/// Reason why a waiting request is given up. It does not affect how the request ends; only tests distinguish
+/// the reasons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GiveUpReason {
     /// The latency objective cannot be met, and the class gives late responses no weight.
--- a/crates/decisions/src/routing/slow_start.rs
+++ b/crates/decisions/src/routing/slow_start.rs
@@ -9,8 +9,8 @@
 /// costly requests.
 const BUDGET_SAFETY_FACTOR: f64 = 0.75;
 
-/// Returns the fraction of its capacity that the host had when the current budget window began; 1 once it is
-/// warm.
+/// Returns the minimum fraction of its capacity that the host had when the current budget window began; 1
+/// once it is warm.
 pub(super) fn slow_start_fraction(context: Context<'_>, host: &Host) -> f64 {
     let Some(started_at) = host.started_at else { return 1.0 };
     let window_start = context.now - context.settings.slow_start_budget_window;
