--- a/src/net/console/admin_state.rs
+++ b/src/net/console/admin_state.rs
@@ -1,4 +1,4 @@
-//! What the console reads and sets: counters, readiness, drains and the fleet.
+//! The state that calls to the console read and change: counters, readiness, drains and the fleet.
 
 use super::call::Call;
 use crate::counters::Counters;
@@ -9,23 +9,23 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-/// The state of the proxy as the console reads and sets it. Copies share it.
+/// The state of the proxy that the console reads and changes. Copies share it.
 #[derive(Clone, Debug)]
 pub(crate) struct AdminState {
     pub counters: Arc<Counters>,
-    /// Whether a host that can serve is listed.
+    /// Whether the endpoint list holds a host that can serve.
     pub ready: watch::Receiver<bool>,
-    /// When the console quiesced the proxy; none while it works.
+    /// When the console quiesced the proxy; `None` if the proxy is not quiesced.
     pub quiesced: Arc<watch::Sender<Option<Instant>>>,
-    /// Notified whenever a drain of whichever kind begins or is taken back.
+    /// Notified when a drain begins, by SIGTERM or by the console, and when the console ends one.
     pub drain_changes: Arc<watch::Sender<()>>,
-    /// When the graceful shutdown began; none before.
+    /// When the graceful shutdown began; `None` before.
     pub draining: watch::Receiver<Option<Instant>>,
-    /// Where the fleet is queried, if this proxy belongs to one.
+    /// Mailbox for queries of the fleet's status; `None` if this proxy belongs to no fleet.
     pub fleet: Option<MembershipQueries>,
 }
 
-/// The status and the body that a call is answered with.
+/// The response to a call.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Reply {
     pub status: StatusCode,
@@ -44,21 +44,22 @@
 }
 
 impl AdminState {
-    /// Returns whether the proxy can serve and is not quiesced. The empty query, a balancer's check, is answered by it:
-    /// during a graceful shutdown clients that still come are served.
-    pub fn serving(&self) -> bool {
+    /// Returns whether the proxy is ready and not quiesced. Decides the answer to an empty query, with which
+    /// load balancers check the proxy: true during a graceful shutdown too, in which new clients are still
+    /// served.
+    pub fn is_serving(&self) -> bool {
         *self.ready.borrow() && self.quiesced.borrow().is_none()
     }
 
-    /// Returns whether the proxy is serving and not shutting down. The health call is answered by it.
-    pub fn healthy(&self) -> bool {
-        self.serving() && self.draining.borrow().is_none()
+    /// Returns whether the proxy is serving and not shutting down. Decides the answer to the health call.
+    pub fn is_healthy(&self) -> bool {
+        self.is_serving() && self.draining.borrow().is_none()
     }
 
-    /// Carries out a call.
+    /// Carries out a call and returns the response to it.
     pub(super) async fn carry_out(&self, call: Call) -> Reply {
         match call {
-            Call::Health if self.healthy() => Reply::text(StatusCode::OK, "ok\n"),
+            Call::Health if self.is_healthy() => Reply::text(StatusCode::OK, "ok\n"),
             Call::Health => Reply::text(StatusCode::SERVICE_UNAVAILABLE, "drained or not ready\n"),
             Call::Stats => Reply::text(StatusCode::OK, self.counters.figures()),
             Call::Fleet => self.query_fleet().await,
--- a/src/net/console/call.rs
+++ b/src/net/console/call.rs
@@ -1,4 +1,4 @@
-//! What a call to the console asks for, by its method and path (`docs/operate/console.md`).
+//! The calls to the console, by method and path (`docs/operate/console.md`).
 
 use hyper::Method;
 
@@ -7,13 +7,13 @@
 pub(super) enum Call {
     /// `GET /admin/health`: 200 while ready and not draining, else 503.
     Health,
-    /// `GET /admin/stats`: the counters, `gw.NAME=VALUE` a line.
+    /// `GET /admin/stats`: the counters, one `gw.NAME=VALUE` per line.
     Stats,
-    /// `GET /admin/fleet`: the fleet as this proxy knows it, in JSON; 404 if it belongs to none.
+    /// `GET /admin/fleet`: the fleet as this proxy knows it, in JSON; 404 if this proxy belongs to no fleet.
     Fleet,
-    /// `POST /admin/quiesce`: drain without ending.
+    /// `POST /admin/quiesce`: begins a drain that does not end the process.
     Quiesce,
-    /// `POST /admin/resume`: end the drain.
+    /// `POST /admin/resume`: ends that drain.
     Resume,
     /// A known path with another method: 405.
     WrongMethod,
@@ -22,7 +22,7 @@
 }
 
 impl Call {
-    /// Returns what a method and a path ask for. HEAD counts as GET (RFC 9110, section 9.3.2).
+    /// Returns the call with this method and path. HEAD counts as GET (RFC 9110, section 9.3.2).
     pub fn new(method: &Method, path: &str) -> Self {
         let (expected, call) = match path {
             "/admin/health" => (Method::GET, Self::Health),
--- a/src/net/console/mod.rs
+++ b/src/net/console/mod.rs
@@ -1,10 +1,11 @@
-//! The operators' console: HTTP/1.1, one call a connection, on a port of its own (`docs/operate/console.md`).
+//! The operators' console: HTTP/1.1 with one call per connection, on a separate port
+//! (`docs/operate/console.md`).
 //!
-//! - `call`: what a call asks for
-//! - `admin_state`: what the console reads and sets
+//! - `call`: the calls, by method and path
+//! - `admin_state`: the state that calls read and change
 //!
-//! Each connection is a task with a timer of its own, a bounded number of them at once, and no call waits for the core actor
-//! or a host.
+//! Each connection is served by a task with a timeout, and the number of open connections is bounded. No call
+//! waits for the core actor or a host.
 
 mod admin_state;
 mod call;
@@ -27,17 +28,18 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long a caller may take to send the complete head of its request. Every answer is due within 1 s.
+/// How long a client may take to send the complete head of its HTTP request. Every response is due within 1
+/// s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a connection may last, whatever it does.
+/// The maximum duration of a connection, whatever the client does.
 const CONNECTION_TIMEOUT: Duration = Duration::from_millis(950);
-/// How long the next caller waits while as many connections as allowed are open, before the oldest is closed. A complete call
-/// takes much less, so that callers that send nothing keep no other out.
+/// How long the next client waits while the maximum number of connections is open, before the oldest one is
+/// closed. A complete call takes much less, so clients that send nothing cannot lock others out.
 const EVICTION_DELAY: Duration = Duration::from_millis(10);
-/// How long accepting rests after it has failed.
+/// Pause in accepting after accept(2) has failed.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Binds the console's address. Waits for what this machine lacks for up to [`PROCESS_STARTUP_TIMEOUT`].
+/// Binds the console's address. Retries local faults for up to [`PROCESS_STARTUP_TIMEOUT`].
 ///
 /// # Errors
 /// When the address cannot be bound.
@@ -48,7 +50,8 @@
     listener.map_err(|error| io::Error::new(error.kind(), format!("console {address}: {error}")))
 }
 
-/// Answers callers until the task is aborted, at most `max_connections` at once: each takes a descriptor.
+/// Serves connections until the task is aborted, at most `max_connections` at once, since each takes a file
+/// descriptor.
 pub(crate) async fn serve(listener: TcpListener, state: AdminState, max_connections: usize) {
     let mut connections = Connections::default();
     loop {
@@ -72,14 +75,14 @@
 #[derive(Debug, Default)]
 struct Connections {
     tasks: JoinSet<()>,
-    /// The oldest first. May hold finished ones.
+    /// The handles of the tasks, the oldest first. Finished tasks may be among them.
     handles: VecDeque<AbortHandle>,
 }
 
 impl Connections {
     fn start(&mut self, stream: TcpStream, state: AdminState) {
         self.handles.retain(|handle| !handle.is_finished());
-        self.handles.push_back(self.tasks.spawn(answer(stream, state)));
+        self.handles.push_back(self.tasks.spawn(serve_connection(stream, state)));
     }
 
     /// Waits for a connection to end, and closes the oldest if none does within [`EVICTION_DELAY`].
@@ -93,8 +96,8 @@
     }
 }
 
-/// Answers one caller, or closes the connection at [`CONNECTION_TIMEOUT`].
-async fn answer(stream: TcpStream, state: AdminState) {
+/// Serves one call and closes its connection, after [`CONNECTION_TIMEOUT`] at the latest.
+async fn serve_connection(stream: TcpStream, state: AdminState) {
     let service = hyper::service::service_fn(move |request: Request<Incoming>| {
         let call = Call::new(request.method(), request.uri().path());
         let is_head = request.method() == Method::HEAD;
@@ -109,6 +112,7 @@
     let _ = timeout(CONNECTION_TIMEOUT, connection).await;
 }
 
+/// Carries out a call and returns the response, without a body if the method is HEAD.
 async fn respond(state: &AdminState, call: Call, is_head: bool) -> Response<Full<Bytes>> {
     let reply = state.carry_out(call).await;
     let body = if is_head { String::new() } else { reply.body };
--- a/src/net/console/tests.rs
+++ b/src/net/console/tests.rs
@@ -5,7 +5,7 @@
 use tokio::sync::watch;
 
 #[test]
-fn each_path_has_its_method() {
+fn each_path_accepts_its_method_only() {
     assert_eq!(Call::new(&Method::GET, "/admin/health"), Call::Health);
     assert_eq!(Call::new(&Method::HEAD, "/admin/health"), Call::Health);
     assert_eq!(Call::new(&Method::GET, "/admin/stats"), Call::Stats);
@@ -18,7 +18,7 @@
     assert_eq!(Call::new(&Method::GET, "/"), Call::UnknownPath);
 }
 
-fn state(ready: bool) -> AdminState {
+fn admin_state(ready: bool) -> AdminState {
     AdminState {
         counters: Arc::default(),
         ready: watch::channel(ready).1,
@@ -30,8 +30,8 @@
 }
 
 #[tokio::test]
-async fn health_says_no_before_ready_and_while_quiesced_and_yes_after_resume() {
-    let state = state(false);
+async fn health_is_503_before_ready_and_while_quiesced_and_200_after_resume() {
+    let state = admin_state(false);
     assert_eq!(state.carry_out(Call::Health).await.status, StatusCode::SERVICE_UNAVAILABLE);
     let state = AdminState { ready: watch::channel(true).1, ..state };
     assert_eq!(state.carry_out(Call::Health).await.status, StatusCode::OK);
@@ -51,13 +51,13 @@
 
     async fn console(ready: bool) -> (std::net::SocketAddr, AdminState) {
         let listener = bind("127.0.0.1:0".parse().unwrap()).await.unwrap();
-        let (address, state) = (listener.local_addr().unwrap(), state(ready));
+        let (address, state) = (listener.local_addr().unwrap(), admin_state(ready));
         tokio::spawn(serve(listener, state.clone(), 6));
         (address, state)
     }
 
-    /// What comes back, and when the connection ended, from connecting.
-    async fn ask(address: std::net::SocketAddr, bytes: &[u8]) -> (String, Duration) {
+    /// Sends bytes. Returns the response, and the time from connecting to the end of the connection.
+    async fn exchange(address: std::net::SocketAddr, bytes: &[u8]) -> (String, Duration) {
         let started = Instant::now();
         let mut stream = TcpStream::connect(address).await.unwrap();
         stream.write_all(bytes).await.unwrap();
@@ -70,14 +70,14 @@
         answer.split(' ').nth(1).unwrap_or("none")
     }
 
-    /// A whole call of this method and path; its answer.
+    /// Makes a complete call with this method and path. Returns the response.
     async fn call(address: std::net::SocketAddr, method: &str, path: &str) -> String {
         let call = format!("{method} {path} HTTP/1.1\r\nHost: p\r\nContent-Length: 0\r\n\r\n");
-        ask(address, call.as_bytes()).await.0
+        exchange(address, call.as_bytes()).await.0
     }
 
     #[tokio::test]
-    async fn calls_are_answered_with_their_status_and_the_figures() {
+    async fn calls_are_answered_with_their_status_and_the_counters() {
         let (address, state) = console(true).await;
         state.counters.set_classes(["price-lookup"]);
         assert_eq!(status(&call(address, "GET", "/admin/health").await), "200");
@@ -91,35 +91,35 @@
     }
 
     #[tokio::test]
-    async fn wrong_calls_hear_no() {
+    async fn invalid_calls_are_answered_with_an_error() {
         let (address, _) = console(true).await;
         assert_eq!(status(&call(address, "GET", "/admin/nothing").await), "404");
         assert_eq!(status(&call(address, "DELETE", "/admin/stats").await), "405");
-        let (garbage, _) = ask(address, b"\x16\x03\x01 nothing of HTTP\r\n\r\n").await;
+        let (garbage, _) = exchange(address, b"\x16\x03\x01 nothing of HTTP\r\n\r\n").await;
         assert_eq!(status(&garbage), "400");
     }
 
     #[tokio::test]
-    async fn who_sends_nothing_or_half_a_call_is_closed_within_a_second_and_keeps_nobody_waiting() {
+    async fn a_silent_or_incomplete_call_is_closed_within_a_second_and_delays_no_other() {
         let (address, _) = console(false).await;
-        let silent = tokio::spawn(ask(address, b""));
-        let half = tokio::spawn(ask(address, b"GET /admin/hea"));
-        // Meanwhile a whole call is answered at once.
-        let (health, took) = ask(address, b"GET /admin/health HTTP/1.1\r\nHost: p\r\n\r\n").await;
+        let silent = tokio::spawn(exchange(address, b""));
+        let incomplete = tokio::spawn(exchange(address, b"GET /admin/hea"));
+        // Meanwhile a complete call is answered at once.
+        let (health, took) = exchange(address, b"GET /admin/health HTTP/1.1\r\nHost: p\r\n\r\n").await;
         assert_eq!(status(&health), "503");
         assert!(took < Duration::from_millis(200), "{took:?}");
-        for caller in [silent, half] {
+        for caller in [silent, incomplete] {
             let (_, took) = caller.await.unwrap();
             assert!(took < Duration::from_secs(1), "{took:?}");
         }
     }
 
     #[tokio::test]
-    async fn many_who_send_nothing_keep_nobody_out() {
+    async fn many_silent_connections_do_not_lock_others_out() {
         let (address, _) = console(true).await;
-        let silent: Vec<_> = (0..40).map(|_| tokio::spawn(ask(address, b""))).collect();
+        let silent: Vec<_> = (0..40).map(|_| tokio::spawn(exchange(address, b""))).collect();
         tokio::time::sleep(Duration::from_millis(20)).await;
-        let (health, took) = ask(address, b"GET /admin/health HTTP/1.1\r\nHost: p\r\n\r\n").await;
+        let (health, took) = exchange(address, b"GET /admin/health HTTP/1.1\r\nHost: p\r\n\r\n").await;
         assert_eq!(status(&health), "200");
         assert!(took < Duration::from_millis(700), "{took:?}");
         for caller in silent {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// As many calls at once as may come: each is answered, though few are served at once.
+    /// Guards against calls that are closed without an answer when more arrive than are served at once.
     #[tokio::test]
     async fn many_calls_at_once_are_all_answered() {
         let (address, _) = console(true).await;
--- a/src/net/frontend/client/statements.rs
+++ b/src/net/frontend/client/statements.rs
@@ -82,7 +82,7 @@
 
     /// Answers whether the proxy is ready. A quiesced one is not, so that load balancers send new clients elsewhere.
     fn handle_readiness_check(&mut self) {
-        let answer = if self.context.admin.serving() {
+        let answer = if self.context.admin.is_serving() {
             QueuedAnswer::Ready
         } else {
             self.record_rejection(&Fault::NotReady);
