--- a/src/net/frontend/client/waiting.rs
+++ b/src/net/frontend/client/waiting.rs
@@ -178,7 +178,7 @@
     /// Ends the connection if it has to release its buffers.
     fn release_if_reclaimed(&self, reclaims: &[Arc<Reclaim>]) -> Result<(), ConnectionEnd> {
         let bytes = self.admission.buffers.bytes();
-        if reclaims.iter().any(|reclaim| reclaim.claims(self.account, bytes)) {
+        if reclaims.iter().any(|reclaim| reclaim.claim(self.account, bytes)) {
             return Err(Fault::Rejected(self.context.retry_after()).into());
         }
         Ok(())
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -24,8 +24,8 @@
     let index = index.ok_or_else(|| Fault::Invalid(InvalidRequest::UnknownClass(comment.class.clone())))?;
     let class = &names.classes[index];
     if class.is_write != is_write {
-        let does = if class.is_write { "writes" } else { "reads" };
-        return Err(Fault::Invalid(InvalidRequest::ClassMismatch { class: class.name.clone(), does }));
+        let verb = if class.is_write { "writes" } else { "reads" };
+        return Err(Fault::Invalid(InvalidRequest::ClassMismatch { class: class.name.clone(), verb }));
     }
     if class.needs_key && comment.key.is_none() {
         return Err(Fault::Statement(StatementError::Lacks("k")));
--- a/src/net/json_stream.rs
+++ b/src/net/json_stream.rs
@@ -1,30 +1,31 @@
-//! Splits a stream into JSON objects, however they are cut, joined, indented or separated by blank lines.
+//! Splits a byte stream into JSON objects, however the stream is divided into reads, and whether or not the
+//! objects are indented or separated by white space.
 //!
-//! One pass over the bytes finds where each object ends; what is in it is left to others. Bounds the length of an object and
-//! rejects bytes that are none.
+//! One pass over the bytes finds the end of each object; its content is not parsed here. The length of an
+//! object is bounded, and anything between objects other than white space is an error.
 
 use bytes::{Buf, BytesMut};
 
-/// The longest object, in bytes.
+/// The maximum length of an object, in bytes.
 const MAX_OBJECT_BYTES: usize = 4 << 20;
 
-/// What [`JsonStream::next`] returns.
+/// An item of a stream, as [`JsonStream::next`] returns it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum StreamItem {
-    /// The end of a line outside of any object: a sign of life.
+    /// A line break outside of any object. Shows that the sender is alive.
     LineEnd,
     /// A complete object.
     Object(Vec<u8>),
 }
 
-/// Why a stream cannot be read on.
+/// An error after which the rest of the stream cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum JsonStreamError {
     /// An object is longer than [`MAX_OBJECT_BYTES`].
-    #[error("an object is too long")]
+    #[error("a JSON object is longer than {MAX_OBJECT_BYTES} bytes")]
     TooLong,
-    /// Something else than an object begins.
-    #[error("not an object")]
+    /// A byte outside of objects is neither white space nor the start of an object.
+    #[error("data between JSON objects")]
     NotAnObject,
 }
 
@@ -32,34 +33,34 @@
 #[derive(Debug, Default)]
 pub(super) struct JsonStream {
     buffer: BytesMut,
-    /// How many bytes of the buffer were scanned.
+    /// Number of bytes at the front of the buffer that were scanned.
     scanned: usize,
-    /// How many objects and arrays are open.
+    /// Number of objects and arrays that are open at the end of the scanned bytes.
     depth: usize,
     in_string: bool,
-    /// Whether the previous byte was a backslash that escapes the next.
+    /// Whether the last scanned byte was a backslash that escapes the next one.
     is_escaped: bool,
 }
 
 impl JsonStream {
-    /// Adds bytes that have been read.
+    /// Appends bytes that were read from the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next complete item; none until more has been read.
+    /// Returns the next complete item; `None` if more bytes are needed.
     ///
     /// # Errors
-    /// When something else than an object begins, or an object is too long.
+    /// When there is something else than white space between objects, or an object is too long.
     pub fn next(&mut self) -> Result<Option<StreamItem>, JsonStreamError> {
         while let Some(byte) = self.buffer.get(self.scanned).copied() {
             self.scanned += 1;
             if self.depth == 0 {
-                if self.scan_between(byte)? {
+                if self.scan_outside_object(byte)? {
                     self.take_scanned();
                     return Ok(Some(StreamItem::LineEnd));
                 }
-            } else if self.scan_within(byte) {
+            } else if self.scan_inside_object(byte) {
                 return Ok(Some(StreamItem::Object(self.take_scanned().to_vec())));
             }
         }
@@ -73,7 +74,7 @@
     }
 
     /// Scans a byte outside of any object. Returns whether it ends a line.
-    fn scan_between(&mut self, byte: u8) -> Result<bool, JsonStreamError> {
+    fn scan_outside_object(&mut self, byte: u8) -> Result<bool, JsonStreamError> {
         match byte {
             b'{' => {
                 self.buffer.advance(self.scanned - 1);
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Scans a byte of an object. Returns whether it is the last.
-    fn scan_within(&mut self, byte: u8) -> bool {
+    /// Scans a byte of an object. Returns whether it ends the object.
+    fn scan_inside_object(&mut self, byte: u8) -> bool {
         match (self.in_string, byte) {
             (true, _) if self.is_escaped => self.is_escaped = false,
             (true, b'\\') => self.is_escaped = true,
@@ -100,6 +101,7 @@
         self.depth == 0
     }
 
+    /// Removes the scanned bytes from the buffer and returns them.
     fn take_scanned(&mut self) -> BytesMut {
         self.buffer.split_to(std::mem::take(&mut self.scanned))
     }
--- a/src/net/local_faults/tests.rs
+++ b/src/net/local_faults/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn local_faults_are_distinguished_from_those_of_the_path_and_the_other_side() {
+fn local_faults_are_distinguished_from_errors_of_the_network_and_the_peer() {
     use libc::*;
     for number in [EADDRNOTAVAIL, EMFILE, ENFILE, ENOBUFS, ENOMEM, EINTR] {
         assert!(is_local_fault(&error(number)), "{number}");
@@ -34,14 +34,14 @@
 }
 
 #[tokio::test]
-async fn a_lasting_local_fault_is_returned_in_time_and_another_failure_at_once() {
+async fn a_persistent_local_fault_is_returned_by_the_deadline_and_other_errors_at_once() {
     let began = Instant::now();
-    let lasting = retry_local_faults(began + Duration::from_millis(200), || async {
+    let persistent = retry_local_faults(began + Duration::from_millis(200), || async {
         Err::<(), _>(error(libc::EMFILE))
     })
     .await;
     assert!(
-        is_local_fault(&lasting.expect("returned").unwrap_err())
+        is_local_fault(&persistent.expect("returned").unwrap_err())
             && began.elapsed() <= Duration::from_millis(220)
     );
     let began = Instant::now();
--- a/src/net/memory.rs
+++ b/src/net/memory.rs
@@ -1,5 +1,5 @@
-//! Memory accounting by purpose, as the actors use it: reservations, their accounts, and the reclaim of client buffers
-//! that were recalled and not released in time. The budget's rules stand in [`crate::budget`].
+//! Memory accounting for the actors: reservations by purpose and account, and the reclaim of client buffers
+//! that were recalled and not released in time. The rules of the budget are in [`crate::budget`].
 
 use super::clock::Clock;
 use crate::budget::plan::{Plan, SOLE_ACCOUNT};
@@ -13,18 +13,20 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Memory that a connection takes beside its buffers, in bytes: the actor, its timers, its task in the runtime and the
-/// socket's bookkeeping.
+/// Memory that a connection takes in addition to its buffers, in bytes: the actor, its timers, its task in
+/// the runtime and the socket's bookkeeping.
 pub(crate) const CONNECTION_BYTES: u64 = 6 * 1024;
-/// Memory that a request in flight takes beside its statement, in bytes: its entries in the request table and the router,
-/// its timer and its place in mailboxes.
+/// Memory that a request in flight takes in addition to its statement, in bytes: its entries in the request
+/// table and the router, its timer and its place in mailboxes.
 pub(crate) const REQUEST_BYTES: u64 = 1024;
-/// Between two reclaims, while what was reclaimed is still overdue.
+/// Minimum time between two reclaims while recalled buffers stay overdue.
 const RECLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Rejections for one purpose are logged at most once in this time; each line counts those since the last.
+/// Minimum time between two log lines for the same purpose. Each line counts the rejections since the
+/// previous one.
 const LOG_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
 
-/// Client buffers of an account that have to be released: clients claim parts of it until nothing is left.
+/// An amount of buffer memory that the clients of an account have to release. Each client that releases its
+/// buffers claims a part of the amount until nothing is left.
 #[derive(Debug)]
 pub(crate) struct Reclaim {
     account: AccountId,
@@ -32,8 +34,9 @@
 }
 
 impl Reclaim {
-    /// Claims this many bytes for a client of the account. Returns whether that client has to release them.
-    pub fn claims(&self, account: AccountId, bytes: u64) -> bool {
+    /// Claims up to `bytes` for a client with this account. Returns whether the client has to release its
+    /// buffers: if it is of the account in question and an amount was left.
+    pub fn claim(&self, account: AccountId, bytes: u64) -> bool {
         let claim = |remaining: u64| (remaining > 0).then(|| remaining.saturating_sub(bytes));
         account == self.account && self.remaining_bytes.fetch_update(Relaxed, Relaxed, claim).is_ok()
     }
@@ -45,12 +48,12 @@
     budget: Budget,
     plan: Arc<Plan>,
     clock: Clock,
-    /// Notified of each rejected reservation.
+    /// Notified when a reservation is rejected.
     rejected: Arc<Notify>,
 }
 
 impl Memory {
-    /// Returns the accounting of a budget that was made from this plan.
+    /// Returns the accounting for a budget that was made from `plan`.
     pub fn new(budget: Budget, plan: Plan, clock: Clock) -> Self {
         Self { budget, plan: Arc::new(plan), clock, rejected: Arc::default() }
     }
@@ -68,12 +71,12 @@
     /// Reserves the memory of one more connection.
     ///
     /// # Errors
-    /// When the budget has none left.
+    /// When the budget has too little left.
     pub fn reserve_connection(&self) -> Result<Reservation, BudgetExceeded> {
         self.reserve(Purpose::Connections, SOLE_ACCOUNT, CONNECTION_BYTES)
     }
 
-    /// Returns an empty reservation for a client's buffers, to be resized as they grow.
+    /// Returns an empty reservation for a client's buffers, to be resized as the buffers grow.
     ///
     /// # Errors
     /// Never: zero bytes always fit.
@@ -81,10 +84,11 @@
         self.reserve(Purpose::ClientBuffers, self.unidentified_clients(), 0)
     }
 
-    /// Changes a reservation to this account and this many bytes.
+    /// Assigns a reservation to an account and resizes it.
     ///
     /// # Errors
-    /// When the budget has too few left; the reservation then stays as it was.
+    /// When the budget has too little left. The reservation is not enlarged then, but may already be smaller
+    /// or belong to the new account.
     pub fn resize_reservation(
         &self,
         reservation: &mut Reservation,
@@ -95,7 +99,7 @@
             return Ok(());
         }
         let now = self.clock.now();
-        // Shrink before the change of account, so that the new account needs no more than the new size.
+        // Shrink first, so that the new account needs no more than the new size.
         if bytes < reservation.bytes() {
             self.notify_rejection(reservation.resize(bytes, now))?;
         }
@@ -103,7 +107,7 @@
         self.notify_rejection(reservation.resize(bytes, now))
     }
 
-    /// Reserves the memory of a request whose statement has this many bytes.
+    /// Reserves the memory of a request whose statement has a length of `statement_bytes`.
     ///
     /// # Errors
     /// When the budget has too little left.
@@ -117,7 +121,8 @@
         self.reserve(Purpose::Requests, self.account(class, tenant), bytes)
     }
 
-    /// Reserves the longest answer to a request that may have to wait for those ahead of it on its connection.
+    /// Reserves memory for the longest answer to a pipelined request, which is held until the requests ahead
+    /// of it on the same connection are answered.
     ///
     /// # Errors
     /// When the budget has too little left.
@@ -126,13 +131,14 @@
         self.reserve(Purpose::UpstreamBuffers, self.account(class, tenant), bytes)
     }
 
-    /// Returns how many bytes all large answers together may take: half of what is planned for buffers of hosts.
+    /// Returns the memory that all large answers together may take, in bytes: half of the cap for upstream
+    /// buffers.
     pub fn max_large_answers_bytes(&self) -> u64 {
         self.plan.limits[Purpose::UpstreamBuffers as usize].cap / 2
     }
 
-    /// Reserves what is held of one large answer. All of them share the account of least weight, so that they never
-    /// displace answers of ordinary length.
+    /// Reserves memory for the buffered part of a large answer. All large answers share the account of the
+    /// least weight, so that they never displace answers of ordinary length.
     ///
     /// # Errors
     /// When the budget has too little left.
@@ -149,6 +155,7 @@
         self.notify_rejection(self.budget.reserve(purpose, account, bytes, self.clock.now()))
     }
 
+    /// Notifies [`Self::watch`] if a reservation was rejected. Returns the result unchanged.
     fn notify_rejection<T>(&self, result: Result<T, BudgetExceeded>) -> Result<T, BudgetExceeded> {
         if result.is_err() {
             self.rejected.notify_one();
@@ -156,12 +163,13 @@
         result
     }
 
-    /// Logs rejections and publishes what of client buffers has to be reclaimed, until the task is aborted.
+    /// Logs rejected reservations and publishes which client buffers are reclaimed, until the task is
+    /// aborted.
     pub async fn watch(self, reclaims: watch::Sender<Vec<Arc<Reclaim>>>) {
         let mut log = RejectionLog::new();
         loop {
             self.rejected.notified().await;
-            log.note(&self.budget, self.clock.now());
+            log.record(&self.budget, self.clock.now());
             self.reclaim_overdue(&reclaims, &mut log).await;
         }
     }
@@ -179,7 +187,7 @@
             tokio::select! {
                 () = sleep_until(wake_at) => {}
                 () = self.rejected.notified() => {
-                    log.note(&self.budget, self.clock.now());
+                    log.record(&self.budget, self.clock.now());
                     sleep(RECLAIM_RETRY_INTERVAL).await;
                 }
             }
@@ -187,7 +195,7 @@
     }
 }
 
-/// Returns the reclaim for an overdue recall; none unless the recall is of an account of client buffers.
+/// Returns the reclaim for an overdue recall; `None` if the recall is not for an account of client buffers.
 fn reclaim(recall: &PendingReclaim) -> Option<Arc<Reclaim>> {
     let account = recall.account.filter(|_| recall.purpose == Purpose::ClientBuffers)?;
     Some(Arc::new(Reclaim { account, remaining_bytes: AtomicU64::new(recall.bytes) }))
@@ -195,21 +203,22 @@
 
 /// Logs rejected reservations by purpose, at a bounded rate.
 struct RejectionLog {
-    /// How many rejections of each purpose were noted so far.
-    noted: [u64; PURPOSES.len()],
+    /// Number of rejections of each purpose that were recorded so far.
+    recorded: [u64; PURPOSES.len()],
     rate_limit: RateLimitedLog<Purpose>,
 }
 
 impl RejectionLog {
     fn new() -> Self {
-        Self { noted: [0; PURPOSES.len()], rate_limit: RateLimitedLog::new(LOG_INTERVAL) }
+        Self { recorded: [0; PURPOSES.len()], rate_limit: RateLimitedLog::new(LOG_INTERVAL) }
     }
 
-    fn note(&mut self, budget: &Budget, now: Timestamp) {
+    /// Records the rejections since the previous call, and logs them where the rate limit allows.
+    fn record(&mut self, budget: &Budget, now: Timestamp) {
         for purpose in PURPOSES {
             let total = budget.rejections(purpose);
-            let noted = std::mem::replace(&mut self.noted[purpose as usize], total);
-            let Some(rejected) = self.rate_limit.record(now, purpose, total - noted) else { continue };
+            let recorded = std::mem::replace(&mut self.recorded[purpose as usize], total);
+            let Some(rejected) = self.rate_limit.record(now, purpose, total - recorded) else { continue };
             let used_bytes = budget.used(purpose);
             tracing::warn!(%purpose, rejected, used_bytes, "memory reservations rejected");
         }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between the actors of the proxy, independent of the protocol that a client or a host speaks. Types only.
+//! Messages between the actors of the proxy, independent of the protocols that clients and hosts speak.
 
 use crate::config::Config;
 use crate::endpoint_list::EndpointList;
@@ -16,13 +16,13 @@
 
 /// Length of `'\x`, which stands before the hexadecimal digits of a value.
 const VALUE_PREFIX_LENGTH: usize = 3;
-/// Length of `'`, which stands behind the hexadecimal digits of a value.
+/// Length of `'`, which stands after the hexadecimal digits of a value.
 const VALUE_SUFFIX_LENGTH: usize = 1;
 
 /// A statement in its canonical form, with the ranges of the parts that the proxy replaces.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
-    /// The complete text, as a client of PostgreSQL's protocol writes it.
+    /// The complete text, as clients of PostgreSQL's protocol send it.
     pub text: Bytes,
     /// Range in `text` of the client's timeout in milliseconds.
     pub timeout_range: Range<usize>,
@@ -31,15 +31,15 @@
 }
 
 impl Statement {
-    /// Returns the text with this timeout, all else unchanged.
+    /// Returns the text with the client's timeout replaced by `timeout`.
     pub fn with_timeout(&self, timeout: Duration) -> Vec<u8> {
         let timeout = timeout_digits(timeout);
         let (before, after) = (&self.text[..self.timeout_range.start], &self.text[self.timeout_range.end..]);
         [before, timeout.as_bytes(), after].concat()
     }
 
-    /// Returns a write's text with this timeout and the parameter's name in place of the value, and the value's bytes;
-    /// none for a read.
+    /// Returns a write's text with `timeout` in place of the client's timeout and the parameter `name` in
+    /// place of the value, and the bytes of the value; `None` for a read.
     pub fn with_value_parameter(&self, name: &str, timeout: Duration) -> Option<(Vec<u8>, Vec<u8>)> {
         let digits = self.value_range.clone()?;
         let value = decode_hex(self.text.get(digits.clone())?);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Returns the timeout in whole milliseconds, at least one.
+/// Formats a timeout in whole milliseconds, at least one.
 fn timeout_digits(timeout: Duration) -> String {
     timeout.as_millis().max(1).to_string()
 }
@@ -77,19 +77,19 @@
     pub tenant: usize,
     /// The group of hosts that holds the data.
     pub group: u32,
-    /// Whether it writes.
+    /// Whether the statement writes.
     pub is_write: bool,
     /// The session, if the statement names one.
     pub session: Option<SessionId>,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     pub is_client_retry: bool,
-    /// When the session's last write was, on the hosts' clock, if the client says so.
+    /// The time of the session's last write on the hosts' clock, if the client gives it.
     pub last_write_at: Option<Timestamp>,
-    /// How long the client waits.
+    /// How long the client waits for the answer.
     pub timeout: Duration,
-    /// The id that the client gave it, unique among the requests in flight.
+    /// The id that the client gave the request, unique among the requests in flight.
     pub client_request_id: String,
-    /// What is forwarded to the host.
+    /// The statement that is forwarded to a host.
     pub statement: Statement,
 }
 
@@ -98,10 +98,10 @@
 pub struct Value {
     /// The value itself.
     pub content: Bytes,
-    /// The PostgreSQL messages that brought it, if the host speaks that protocol: a client of the same protocol gets
-    /// them unchanged.
+    /// The PostgreSQL messages in which the host sent the value, if it speaks that protocol: a client of the
+    /// same protocol gets them unchanged.
     pub postgres_messages: Option<Bytes>,
-    /// What follows `postgres_messages`, if the value is too long to be held in memory.
+    /// The rest of the answer after `postgres_messages`, if the value is too long to be held in memory.
     pub remainder: Option<Remainder>,
 }
 
@@ -110,44 +110,45 @@
 pub enum Answer {
     /// A host's value, as the host wrote it.
     Served(Value),
-    /// Nothing was done; a retry is harmless.
+    /// The request had no effect; a retry is harmless.
     Rejected {
         /// How long the client should wait before it retries.
         retry_after: Option<TimeDelta>,
     },
-    /// No value could be had; the request may have had an effect.
+    /// No host answered in time; the request may have had an effect.
     Failed,
-    /// The request does not fit this installation.
+    /// The request contradicts the settings, the endpoint list or another request.
     Invalid(InvalidRequest),
 }
 
-/// Why a well-formed statement does not fit this installation. The text goes to the client.
+/// Why a well-formed statement is not a valid request to this proxy. The text is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
     /// The settings have no such class, or it accepts no more requests.
     #[error("there is no class `{0}`")]
     UnknownClass(String),
     /// The statement writes where its class reads, or the other way round.
-    #[error("the class `{class}` {does}, the statement does not")]
+    #[error("the class `{class}` {verb}, the statement does not")]
     ClassMismatch {
         /// The class.
         class: String,
-        /// What statements of the class do.
-        does: &'static str,
+        /// The operation of the class: `reads` or `writes`.
+        verb: &'static str,
     },
-    /// Discovery lists no such group.
+    /// The endpoint list has no such group.
     #[error("there is no group {0}")]
     UnknownGroup(u32),
-    /// Hosts identify requests by their ids: with two of one id neither answer would be certain.
+    /// Another request with the same id is open. Hosts identify requests by these ids, so their answers could
+    /// be mixed up.
     #[error("a request with this id is open")]
     DuplicateId,
-    /// A parameter's value cannot stand in a statement.
+    /// The value of a parameter cannot be written as a literal in a statement.
     #[error("{0}")]
     Parameter(String),
 }
 
 impl InvalidRequest {
-    /// Returns the reason that counters and logs give for it.
+    /// Returns the reason under which counters and logs record it.
     pub fn reason(&self) -> RejectionReason {
         match self {
             Self::UnknownClass(_) => RejectionReason::UnknownClass,
@@ -162,7 +163,7 @@
 /// A message to a client's actor.
 #[derive(Debug)]
 pub(crate) enum ClientMessage {
-    /// The final answer to one of its requests.
+    /// The final answer to one of the client's requests.
     Answer(RequestId, Answer),
 }
 
@@ -173,7 +174,8 @@
     RequestArrived(Box<Arrival>),
     /// A client has disconnected before its request was answered.
     ClientDisconnected(RequestId),
-    /// The answer is due earlier than was said at the arrival: requests behind it on its connection wait for it.
+    /// The answer to a request is due earlier than [`Arrival::reply_due`], since a request that was read
+    /// later waits behind it on the same connection.
     DeadlineShortened { id: RequestId, reply_due: Instant },
     /// An attempt has ended.
     AttemptEnded(Box<AttemptEnd>),
@@ -188,7 +190,7 @@
 }
 
 impl CoreEvent {
-    /// Returns its name in log lines.
+    /// Returns the name of the event in log lines.
     pub fn name(&self) -> &'static str {
         match self {
             Self::RequestArrived(_) => "request arrived",
@@ -203,29 +205,30 @@
     }
 }
 
-/// A request as it reaches the core actor.
+/// A request on its way from a client actor to the core actor.
 #[derive(Debug)]
 pub(crate) struct Arrival {
     /// The proxy's own id for the request.
     pub id: RequestId,
     pub request: Request,
-    /// When its last byte was read.
+    /// When the last byte of the request was read.
     pub arrived_at: Instant,
-    /// When its answer is due, also for the sake of the requests behind it on its connection.
+    /// When the answer is due: early enough also for the requests that wait behind this one on the same
+    /// connection.
     pub reply_due: Instant,
-    /// Mailbox of the client's actor.
+    /// Mailbox of the client actor, for the answer.
     pub client: mpsc::Sender<ClientMessage>,
-    /// Whether the client's connection is still open.
+    /// Tells whether the client's connection is still open.
     pub client_liveness: PeerLiveness,
 }
 
-/// A log position as a host writes it, in Unix milliseconds.
+/// A log position as reported by a host, in Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ReportedPosition(pub f64);
 
 impl ReportedPosition {
-    /// Returns the position in whole milliseconds: a commit's rounded up, so that no later read misses it; an applied
-    /// position rounded down, as a lower bound.
+    /// Returns the position rounded to whole milliseconds: up for a commit, so that no later read misses it;
+    /// down for an applied position, which is a lower bound.
     pub fn rounded(self, is_commit: bool) -> LogPosition {
         let milliseconds = if is_commit { self.0.ceil() } else { self.0.floor() };
         // Saturates: a host may report any number.
@@ -241,30 +244,31 @@
     pub attempt: u32,
     pub host: HostId,
     pub outcome: Outcome,
-    /// From the core actor's command to the end.
+    /// Time from the core actor's command to the end of the attempt.
     pub latency: TimeDelta,
-    /// When writing the query began; none if it did not.
+    /// When writing the query began; `None` if it did not.
     pub write_started_at: Option<Instant>,
-    /// When the query's last byte was written; none if it was not.
+    /// When the last byte of the query was written; `None` if it was not.
     pub written_at: Option<Instant>,
-    /// The log position that the answer reported.
+    /// The log position in the answer.
     pub position: Option<ReportedPosition>,
-    /// The role that the answer reported.
+    /// The role in the answer.
     pub role: Option<Role>,
-    /// Whether the query was, or may have been, written, and the part of its answer that tells the role did not arrive.
+    /// Whether the query was or may have been written and the part of the answer that contains the role did
+    /// not arrive.
     pub answer_lost: bool,
     /// The value; only with [`Outcome::Ok`].
     pub value: Option<Value>,
-    /// How it was transferred, for the log.
+    /// Details of the transfer, for the log.
     pub transfer: Transfer,
 }
 
-/// How an attempt's query and answer were transferred.
+/// Details of the transfer of an attempt's query and answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Transfer {
-    /// The connection's number in log lines; none if there was no connection.
+    /// The id of the connection in log lines; `None` if there was no connection.
     pub connection_id: Option<u64>,
-    /// Bytes that were read of the answer.
+    /// Number of bytes of the answer that were read.
     pub bytes_read: usize,
 }
 
@@ -273,8 +277,8 @@
 pub(crate) struct HealthCheckResult {
     pub host: HostId,
     pub outcome: Outcome,
-    /// From the core actor's command to the end.
+    /// Time from the core actor's command to the end of the health check.
     pub latency: TimeDelta,
-    /// The load report; only with [`Outcome::Ok`], and only where the settings have load reports.
+    /// The load report; only with [`Outcome::Ok`], and only if the settings allow load reports.
     pub report: Option<LoadReport>,
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,19 +1,21 @@
-//! The proxy on sockets: one actor for each client, for each host, for discovery and for the core. No decisions here.
+//! The network side of the proxy: actors that own sockets, one for each client, each host, discovery and the
+//! core. Routing and other decisions are made in `wheelpier_decisions`, without I/O.
 //!
-//! - `proxy`, `serve`: binds the addresses; starts the actors, runs and stops them
+//! - `proxy`, `serve`: bind the addresses; start the actors, run and stop them
 //! - `core`: owns the router and the requests in flight
 //! - `frontend`: clients and their protocols
 //! - `upstream`: hosts and their protocols
 //! - `discovery`, `json_stream`: the endpoint lists
 //! - `console`: the operators' HTTP console
 //! - `peers`: the other proxies of the fleet
-//! - `messages`, `stream`: what the actors send to one another
-//! - `memory`, `rejections`, `clock`: shared by the actors
-//! - `socket`, `local_faults`: system calls
+//! - `messages`, `stream`: the messages between actors, and the stream that carries a large answer
+//! - `memory`, `rejections`, `clock`: memory accounting, records of rejections and time, shared by the actors
+//! - `socket`, `local_faults`: TCP connections, and retries of system calls that lack local resources
 //!
-//! Why no mailbox can deadlock: the core actor may wait for a host's mailbox, so a host's actor never waits for the core's:
-//! it keeps its events until there is capacity. The core actor never waits for a client: a client's mailbox has capacity
-//! for the answers to all requests that the client may have in flight.
+//! Mailboxes cannot deadlock. The core actor may wait for capacity in a host actor's mailbox, so a host actor
+//! never waits for the core's: it keeps its events until the core has capacity. The core actor never waits
+//! for a client actor, whose mailbox has capacity for the answers to all requests that the client may have in
+//! flight.
 
 pub mod clock;
 pub(crate) mod console;
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -20,7 +20,7 @@
     LogCounters,
     /// Read the configuration file again.
     ReloadConfiguration,
-    /// Shut down gracefully: serve clients that still come for a while, answer every request that was read, and end.
+    /// Shut down gracefully: accept clients for a while longer, answer every request that was read, and end.
     Drain,
 }
 
@@ -39,7 +39,7 @@
     /// Binds the addresses of the configuration.
     ///
     /// # Errors
-    /// When an address cannot be bound, or the memory plan cannot be kept.
+    /// When an address cannot be bound, or the reserves of the memory plan do not fit.
     pub async fn bind(config: Config) -> io::Result<Self> {
         let listeners = Listeners::bind(&config.listeners()).await?;
         let console = match config.console {
@@ -52,22 +52,22 @@
         };
         let budget = config.plan.budget().map_err(io::Error::other)?;
         let counters = Arc::new(Counters::default());
-        serve::name_classes(&counters, &config);
+        serve::set_class_names(&counters, &config);
         Ok(Self { config, listeners, console, peers, counters, budget })
     }
 
-    /// Returns where the operators' console listens, if it does.
+    /// Returns the address of the operators' console; `None` if it is not configured.
     ///
     /// # Errors
-    /// When the system cannot tell the address.
+    /// Those of getsockname(2).
     pub fn console_address(&self) -> io::Result<Option<SocketAddr>> {
         self.console.as_ref().map(TcpListener::local_addr).transpose()
     }
 
-    /// Returns where clients connect, and the protocol spoken there.
+    /// Returns the protocol and the address of each listener for clients.
     ///
     /// # Errors
-    /// When the system cannot tell an address.
+    /// Those of getsockname(2).
     pub fn addresses(&self) -> io::Result<Vec<(Protocol, SocketAddr)>> {
         self.listeners.addresses()
     }
@@ -82,7 +82,7 @@
         self.budget.clone()
     }
 
-    /// Serves until [`Control::Drain`] has come and all requests are answered.
+    /// Serves until [`Control::Drain`] was received and all requests are answered.
     ///
     /// # Errors
     /// When the settings contradict one another, or an actor has failed.
--- a/src/net/rejections.rs
+++ b/src/net/rejections.rs
@@ -1,5 +1,5 @@
-//! Rejections of connections and requests: counted by reason, and logged with their cause at a bounded rate for each
-//! reason.
+//! Rejections of connections and requests: counted by reason, and logged with their cause at a bounded rate
+//! for each reason.
 
 use super::clock::Clock;
 use crate::counters::Counters;
@@ -9,7 +9,8 @@
 use std::fmt::Display;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A reason is logged at most once in this time; each line counts the rejections since the last.
+/// Minimum time between two log lines for the same reason. Each line counts the rejections since the previous
+/// one.
 const LOG_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
 
 /// Records rejections. Copies share the counters and the log's rate limit.
@@ -21,12 +22,13 @@
 }
 
 impl Rejections {
-    /// Returns a recorder on these counters.
+    /// Returns a recorder that counts in `counters`.
     pub fn new(counters: Arc<Counters>, clock: Clock) -> Self {
         Self { counters, clock, rate_limit: Arc::new(Mutex::new(RateLimitedLog::new(LOG_INTERVAL))) }
     }
 
-    /// Counts a rejection and logs it unless its reason was logged within the last second. `cause` says what was wrong.
+    /// Counts a rejection, and logs it unless its reason was logged within [`LOG_INTERVAL`]. `cause` is the
+    /// text of the error in the log line.
     pub fn record(&self, reason: RejectionReason, cause: impl Display) {
         self.counters.rejected(reason);
         let mut rate_limit = self.rate_limit.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -22,30 +22,30 @@
 use tokio::task::JoinHandle;
 use tokio::time::{timeout, Instant};
 
-/// Events that may wait for the core actor.
+/// Capacity of the core actor's mailbox, in events.
 const CORE_MAILBOX_CAPACITY: usize = 1024;
-/// How long the fleet may take to agree that this proxy has left, once its clients are served.
+/// How long a shutdown waits, after all clients are served, for the fleet to agree that this proxy has left.
 const FLEET_LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Names the classes of the configuration in the counters.
-pub(super) fn name_classes(counters: &Counters, config: &Config) {
+/// Gives the counters the names of the configured classes.
+pub(super) fn set_class_names(counters: &Counters, config: &Config) {
     counters.set_classes(config.names.classes.iter().map(|class| class.name.as_str()));
 }
 
-/// The sending ends of what the actors watch.
+/// The sending halves of the channels through which commands reach the actors.
 #[derive(Debug)]
 struct Channels {
-    /// Where discovery is polled.
+    /// The address of discovery.
     discovery: watch::Sender<SocketAddr>,
-    /// The latest configuration that was reloaded.
+    /// The configuration after the latest reload.
     reloaded: watch::Sender<Option<Config>>,
-    /// When a graceful shutdown began.
+    /// When the graceful shutdown began; `None` before.
     draining: watch::Sender<Option<Instant>>,
-    /// Notified when a drain begins, of whichever kind.
+    /// Notified when a drain begins, by SIGTERM or by the console, and when the console ends one.
     drain_changes: Arc<watch::Sender<()>>,
 }
 
-/// What several actors share.
+/// State that several actors share.
 #[derive(Debug)]
 struct Shared {
     clock: Clock,
@@ -56,7 +56,7 @@
     memory: Memory,
 }
 
-/// The channels of the background tasks.
+/// The ends of channels that the background tasks use.
 #[derive(Debug)]
 struct BackgroundChannels {
     discovery_addresses: watch::Receiver<SocketAddr>,
@@ -73,7 +73,7 @@
     channels: Channels,
     acceptor: JoinHandle<()>,
     core: JoinHandle<()>,
-    /// Ends once this proxy has left the fleet.
+    /// The membership actor, which ends once this proxy has left the fleet.
     fleet: Option<JoinHandle<()>>,
     background: Vec<JoinHandle<()>>,
 }
@@ -81,7 +81,7 @@
 /// Starts the actors.
 ///
 /// # Errors
-/// When the settings contradict one another, or the system has no random numbers.
+/// When the settings contradict one another, or the system provides no random numbers.
 pub(super) fn start(proxy: Proxy) -> io::Result<Server> {
     let Proxy { config, listeners, console, peers, counters, budget } = proxy;
     let clock = Clock::start();
@@ -123,7 +123,7 @@
     })
 }
 
-/// Starts this proxy's part in the fleet, if the configuration names peers.
+/// Starts the membership actor, if the configuration names peers. Returns `None` if it does not.
 fn start_fleet(
     config: &Config,
     listener: Option<peers::PeerListener>,
@@ -184,7 +184,7 @@
 }
 
 impl BackgroundChannels {
-    /// Starts the tasks that run beside the acceptor and the core until they are aborted.
+    /// Starts the tasks that run alongside the acceptor and the core until they are aborted.
     fn spawn(
         self,
         config: &Config,
@@ -228,7 +228,7 @@
             tokio::select! {
                 Some(command) = control.recv() => self.carry_out(command),
                 result = &mut self.acceptor => break result.map_err(io::Error::other),
-                // Without the core no request can be answered: end rather than accept any.
+                // Without the core no request can be answered, so the proxy ends.
                 result = &mut self.core => break result.map_err(io::Error::other),
             }
         };
@@ -252,12 +252,12 @@
         tracing::info!(totals = %self.counters, "counters");
     }
 
-    /// Reads the configuration file again. Keeps the present configuration if the file is not valid.
+    /// Reads the configuration file again. Keeps the current configuration if the file is invalid.
     fn reload(&mut self) {
         match self.config.reload() {
             Ok(config) => {
                 self.counters.configuration_reloaded();
-                name_classes(&self.counters, &config);
+                set_class_names(&self.counters, &config);
                 self.channels.discovery.send_replace(config.discovery);
                 self.channels.reloaded.send_replace(Some(config.clone()));
                 self.config = config;
@@ -269,13 +269,14 @@
         }
     }
 
+    /// Waits until this proxy has left the fleet, logs the counters and stops the actors that still run.
     async fn stop(mut self) {
         if let Some(fleet) = self.fleet.take() {
             let _ = timeout(FLEET_LEAVE_TIMEOUT, fleet).await;
         }
         self.log_counters();
-        // After a graceful shutdown all client actors have ended, and with them all requests; where the core has failed they
-        // have not.
+        // A graceful shutdown ends after the last client actor, and so after the last request. Only after a
+        // failure of the core can requests be left.
         let unanswered_requests = self.counters.outstanding();
         if unanswered_requests > 0 {
             tracing::error!(unanswered_requests, "stopped with unanswered requests");
@@ -287,7 +288,8 @@
     }
 }
 
-/// Notifies the core of a graceful shutdown, so that requests whose hosts hang are answered before the process is killed.
+/// Notifies the core when a graceful shutdown begins, so that requests to hosts that hang are answered before
+/// the process is killed.
 async fn forward_drain(
     mut draining: watch::Receiver<Option<Instant>>,
     settings: watch::Receiver<Arc<FrontendSettings>>,
@@ -301,9 +303,10 @@
     let _ = events.send(CoreEvent::DrainStarted(reply_by)).await;
 }
 
-/// Gives each reloaded configuration to the core and then to the acceptor: a request of a new class must find the class
-/// there. Runs as a task of its own, so that a full mailbox of the core delays no shutdown. The schedule of a shutdown that
-/// has begun stays: the process that began it waits by the settings of that time.
+/// Sends each reloaded configuration to the core and only then to the acceptor and the clients: the core has
+/// to know a new class before its first request. Runs as a separate task, so that a full mailbox of the core
+/// does not delay a shutdown. A shutdown that has begun keeps its schedule: whoever sent SIGTERM waits
+/// according to the settings of that time.
 async fn forward_reloads(
     mut reloads: watch::Receiver<Option<Config>>,
     events: mpsc::Sender<CoreEvent>,
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,8 +1,9 @@
-//! A TCP connection that behaves as recv(2) and send(2) are documented on Linux.
+//! A TCP connection with the semantics of recv(2) and send(2) as Linux documents them.
 //!
-//! Interrupted calls are repeated, a bounded number of times before other tasks have their turn, and a transfer that
-//! moves fewer bytes than asked for says nothing about what is left. (The runtime's own stream takes a short read for an
-//! empty socket and waits for the next edge of epoll(7); here only a call that would block does so.)
+//! Calls that a signal interrupts are repeated, up to [`MAX_INTERRUPTIONS`] times before the task yields. A
+//! short read or write does not show that the socket is empty or full: only a call that would block makes the
+//! task wait for the next edge of epoll(7). (Tokio's own stream takes a short read for an empty socket, and
+//! waits for that edge.)
 
 use std::future::Future;
 use std::io::{self, Read, Write};
@@ -16,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::task::unconstrained;
 
-/// How often an interrupted call is repeated in one turn of its task.
+/// How many times a call is made in one poll of its task while signals interrupt it.
 const MAX_INTERRUPTIONS: u32 = 16;
 
 /// A TCP connection.
@@ -24,7 +25,7 @@
 pub(crate) struct Socket(Arc<TcpStream>);
 
 impl Socket {
-    /// Connects, with small writes sent at once (TCP_NODELAY).
+    /// Connects, and sets TCP_NODELAY so that small writes are sent at once.
     ///
     /// # Errors
     /// When the connection cannot be established.
@@ -34,19 +35,20 @@
         Ok(Self(Arc::new(stream)))
     }
 
-    /// Returns a handle on whether the other side is still there, which does not keep the connection open.
+    /// Returns a handle that tells whether the peer is still connected.
     pub fn liveness(&self) -> PeerLiveness {
         PeerLiveness(Arc::downgrade(&self.0))
     }
 }
 
-/// Whether the other side of a connection is still there. Does not keep the connection open.
+/// A handle that tells whether the peer of a connection is still connected. It does not keep the connection
+/// open.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerLiveness(Weak<TcpStream>);
 
 impl PeerLiveness {
-    /// Returns whether the other side has shut down its sending, or the connection is closed. Asks the system: the task
-    /// that owns the connection may not have run since.
+    /// Returns whether the peer has shut down its sending half, or the connection is closed. Checks the
+    /// socket itself, since the task that owns the connection may not have run yet.
     pub async fn has_closed(&self) -> bool {
         let Some(stream) = self.0.upgrade() else { return true };
         matches!(peek(&stream), Ok(0)) || is_ready(peer_closed(&stream)).await
@@ -67,7 +69,7 @@
     }
 }
 
-/// Repeats a call that is interrupted by a signal, up to [`MAX_INTERRUPTIONS`] times.
+/// Makes a call again while a signal interrupts it, [`MAX_INTERRUPTIONS`] times in all.
 ///
 /// # Errors
 /// Those of the call; `Interrupted` if it was interrupted each time.
@@ -81,7 +83,7 @@
     call()
 }
 
-/// Lets other tasks have their turn before this one is polled again.
+/// Returns `Pending` and wakes the task at once, so that other tasks run before it is polled again.
 fn yield_to_others<T>(context: &Context<'_>) -> Poll<T> {
     context.waker().wake_by_ref();
     Poll::Pending
@@ -134,8 +136,8 @@
     }
 }
 
-/// Returns how many bytes are unread at a socket, one at the most; 0 at the end of the stream. Asks the system, since the
-/// runtime may not have looked yet.
+/// Returns 1 if a socket has unread bytes, or 0 at the end of the stream. Makes a system call, since the
+/// runtime may not have polled the socket yet.
 ///
 /// # Errors
 /// `WouldBlock` when there is nothing to read, or the connection's error.
@@ -143,19 +145,19 @@
     socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
 }
 
-/// Returns whether there are unread bytes. Use it before closing a connection on a timer: the runtime may not have looked
-/// at the socket yet, and a request that has arrived must not be closed on.
+/// Returns whether a socket has unread bytes. To be checked before a timer closes a connection: a request may
+/// have arrived that the runtime has not seen yet.
 pub(crate) fn has_unread_bytes(stream: &TcpStream) -> bool {
     matches!(peek(stream), Ok(1..))
 }
 
-/// Returns once the other side has shut down its sending, even if earlier bytes are still unread. Tokio's priority
-/// readiness reports that shutdown and is not set by ordinary bytes.
+/// Returns once the peer has shut down its sending half, even if earlier bytes are still unread. Tokio's
+/// priority readiness reports that shutdown and is not set by ordinary bytes.
 pub(crate) async fn peer_closed(stream: &TcpStream) {
     loop {
         match stream.ready(Interest::PRIORITY).await {
             Ok(ready) if !ready.is_read_closed() => {
-                // Urgent data, which has no meaning here: clear the readiness.
+                // Urgent data, which the protocols do not use: clear the readiness.
                 let _ = stream.try_io(Interest::PRIORITY, || -> io::Result<()> {
                     Err(io::ErrorKind::WouldBlock.into())
                 });
@@ -165,7 +167,7 @@
     }
 }
 
-/// Returns whether a future is ready now.
+/// Polls a future once, outside of Tokio's cooperative budget. Returns whether it is ready.
 pub(crate) async fn is_ready(future: impl Future<Output = ()>) -> bool {
     tokio::select! {
         biased;
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,23 +1,26 @@
-//! Passes the remainder of a large answer from its host to its client chunk by chunk.
+//! The stream that carries the remainder of a large answer, chunk by chunk, from its host's connection to its
+//! client actor.
 //!
-//! The host's side waits for the client's: an answer holds at most [`MAX_BUFFERED_BYTES`], however long it is and
-//! however slowly its client reads.
+//! The sender waits for the receiver: at most [`MAX_BUFFERED_BYTES`] of an answer are in memory, however long
+//! it is and however slowly its client reads.
 
 use bytes::Bytes;
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::mpsc;
 
-/// The longest chunk, in bytes.
+/// The maximum length of a chunk, in bytes.
 pub(crate) const CHUNK_BYTES: usize = 64 * 1024;
-/// Chunks that may wait for the client.
+/// Number of chunks that may wait for the receiver.
 const MAX_QUEUED_CHUNKS: usize = 1;
-/// The most memory that one answer takes: a chunk being read, those that wait, and one being written.
+/// The most memory that one answer takes, in bytes: a chunk being read, those that wait, and one being
+/// written.
 pub(crate) const MAX_BUFFERED_BYTES: usize = (MAX_QUEUED_CHUNKS + 2) * CHUNK_BYTES;
 
-/// A chunk, or none to say that the answer is complete.
+/// A chunk, or `None` when the answer is complete.
 type Item = Option<Bytes>;
 
-/// The receiving half. Copies share it; [`Remainder::take`] gives it to the first that asks.
+/// A handle on the receiving half of a stream. Copies share it; only the first [`Remainder::take`] obtains
+/// it.
 #[derive(Clone, Debug)]
 pub struct Remainder(Arc<Mutex<Option<Chunks>>>);
 
@@ -31,24 +34,24 @@
 impl Eq for Remainder {}
 
 impl Remainder {
-    /// Takes the chunks; none if another copy has taken them.
+    /// Takes the receiving half; `None` if it was taken already.
     pub(crate) fn take(&self) -> Option<Chunks> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 }
 
-/// The chunks, in order.
+/// The receiving half of a stream: the chunks in order.
 #[derive(Debug)]
 pub(crate) struct Chunks(mpsc::Receiver<Item>);
 
-/// What [`Chunks::next`] returns.
+/// The next chunk of a stream, or its end.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Chunk {
     /// The next bytes.
     Bytes(Bytes),
     /// The answer is complete.
     End,
-    /// The answer broke off before its end.
+    /// The sender was dropped before the answer was complete.
     Aborted,
 }
 
@@ -63,12 +66,12 @@
     }
 }
 
-/// The sending half. Dropping it without [`ChunkSender::finish`] aborts the answer.
+/// The sending half of a stream. Dropping it without [`ChunkSender::finish`] aborts the answer.
 #[derive(Debug)]
 pub(crate) struct ChunkSender(mpsc::Sender<Item>);
 
 impl ChunkSender {
-    /// Sends a chunk once there is capacity. Returns whether the client still takes chunks.
+    /// Sends a chunk once there is capacity. Returns whether the receiver still exists.
     pub async fn send(&self, bytes: Bytes) -> bool {
         self.0.send(Some(bytes)).await.is_ok()
     }
--- a/src/net/stream/tests.rs
+++ b/src/net/stream/tests.rs
@@ -6,7 +6,7 @@
 const SHORT_TIMEOUT: Duration = Duration::from_millis(50);
 
 #[tokio::test]
-async fn the_host_waits_for_the_client() {
+async fn the_sender_waits_for_the_receiver() {
     let (sender, remainder) = channel();
     assert!(sender.send(Bytes::from_static(b"a")).await);
     assert!(timeout(SHORT_TIMEOUT, sender.send(Bytes::from_static(b"b"))).await.is_err());
@@ -27,11 +27,11 @@
 }
 
 #[tokio::test]
-async fn the_host_is_notified_that_the_client_has_disconnected() {
+async fn sending_fails_once_the_receiver_is_dropped() {
     let (sender, remainder) = channel();
     let copy = remainder.clone();
     assert_eq!(copy, remainder);
     drop(remainder.take());
-    assert!(copy.take().is_none(), "one takes it");
+    assert!(copy.take().is_none(), "only one copy takes the receiving half");
     assert!(!sender.send(Bytes::from_static(b"a")).await);
 }
