--- a/src/net/frontend/client/answers.rs
+++ b/src/net/frontend/client/answers.rs
@@ -1,4 +1,4 @@
-//! Answers back to the client, in the order of its requests.
+//! Answers to the client, in the order of its requests.
 
 use super::limits::WRITE_BATCH_BYTES;
 use super::{Client, ConnectionEnd};
@@ -11,20 +11,20 @@
 use std::io;
 use tokio::time::Instant;
 
-/// What is written to a client when its turn comes.
+/// An answer in the pipeline, written in the order of requests.
 pub(super) enum QueuedAnswer {
-    /// What the protocol itself answers, encoded.
+    /// An encoded answer of the conversation itself.
     Bytes(BytesMut),
     /// The proxy is ready.
     Ready,
     /// A host's value.
     Value(Value),
-    /// There is no value.
+    /// An error.
     Fault(Fault),
 }
 
 impl<C: Conversation> Client<C> {
-    /// Queues the answer to a request until its turn comes.
+    /// Queues the answer to a request until the answers ahead of it are written.
     pub(super) fn queue_answer(&mut self, id: RequestId, answer: Answer) {
         let mut bytes = 0;
         let answer = match answer {
@@ -43,16 +43,16 @@
         if self.pipeline.finish(id, answer) {
             if let Some(reservation) = self.answer_reservations.get_mut(&id) {
                 let account = reservation.account();
-                // Less than was reserved: never rejected.
+                // Never rejected: the answer is not longer than reserved.
                 let _ = self.context.memory.resize_reservation(reservation, account, bytes as u64);
             }
         }
     }
 
-    /// Writes the answers whose turn it is. Returns whether there were any.
+    /// Writes the answers that are next in order. Returns whether there were any.
     ///
     /// # Errors
-    /// When the connection has broken, or a host has aborted a long answer.
+    /// When the connection has failed, or a large answer was aborted.
     pub(super) async fn write_answers(&mut self) -> Result<bool, ConnectionEnd> {
         let mut has_written = false;
         while let Some(ready) = self.pipeline.pop_answer() {
@@ -72,7 +72,7 @@
         Ok(has_written)
     }
 
-    /// Encodes an answer into the write buffer. Returns what follows of a long one.
+    /// Encodes an answer into the write buffer. Returns the remaining chunks of a large one.
     fn encode(&mut self, answer: QueuedAnswer) -> Option<Chunks> {
         let Self { conversation, write_buffer, .. } = self;
         match answer {
@@ -88,10 +88,11 @@
         None
     }
 
-    /// Writes a long answer as it comes.
+    /// Writes the chunks of a large answer as they arrive.
     ///
     /// # Errors
-    /// As [`Self::write`]; also if the host aborts the answer, which the client sees by the end of its connection.
+    /// Those of [`Self::write`], and if the answer is aborted: the end of the connection shows the client
+    /// that it is incomplete.
     async fn write_chunks(&mut self, mut chunks: Chunks) -> io::Result<()> {
         self.flush().await?;
         loop {
--- a/src/net/frontend/client/buffers.rs
+++ b/src/net/frontend/client/buffers.rs
@@ -7,14 +7,14 @@
 use bytes::BytesMut;
 
 impl<C: Conversation> Client<C> {
-    /// Accounts for the buffers as they are. If the memory budget has too little left, the connection ends once all
-    /// requests are answered.
+    /// Adjusts the reservation to the current size of the buffers. If the memory budget has too little left,
+    /// the connection ends once all requests are answered.
     ///
     /// # Errors
     /// When the memory budget has too little left and no request is open.
     pub(super) fn account_buffers(&mut self) -> Result<(), ConnectionEnd> {
         if self.read_buffer.is_empty() && self.read_buffer.capacity() > MAX_RETAINED_CAPACITY {
-            // Many connections stay idle after one long statement.
+            // Releases the memory, since many connections stay idle after one long statement.
             self.read_buffer = BytesMut::new();
         }
         let Err(fault) = self.reserve_buffers() else { return Ok(()) };
@@ -26,14 +26,14 @@
         Ok(())
     }
 
-    /// Reserves memory for the buffers as they are.
+    /// Reserves memory for the current size of the buffers.
     ///
     /// # Errors
-    /// When the memory budget has too little left: the client may retry.
+    /// [`Fault::Rejected`] when the memory budget has too little left.
     pub(super) fn reserve_buffers(&mut self) -> Result<(), Fault> {
         let capacity = self.read_buffer.capacity() + self.write_buffer.capacity();
         let bytes = capacity + self.conversation.buffered_bytes() + self.pipeline.waiting_bytes();
-        // Buffers shrink a little with each message: only complete steps are worth accounting for.
+        // Buffers shrink a little with each message: rounding avoids an adjustment for each.
         let bytes = bytes.next_multiple_of(ACCOUNTING_STEP) as u64;
         let reservation = &mut self.admission.buffers;
         let resized = self.context.memory.resize_reservation(reservation, self.account, bytes);
--- a/src/net/frontend/client/dispatch.rs
+++ b/src/net/frontend/client/dispatch.rs
@@ -1,4 +1,4 @@
-//! Requests to the core actor: their start, shortened deadlines, and their withdrawal.
+//! Start of requests at the core actor, shortened deadlines, and withdrawal.
 
 use super::answers::QueuedAnswer;
 use super::{Client, ConnectionEnd};
@@ -12,11 +12,10 @@
 use crate::pipeline::StartedRequest;
 use tokio::time::Instant;
 
-/// A request that was read and not sent to the core actor.
+/// A request that was read and has not been sent to the core actor.
 pub(super) struct PendingRequest {
-    /// The request itself.
     pub request: Request,
-    /// When its last byte was read.
+    /// When the last byte of the request was read.
     pub arrived_at: Instant,
 }
 
@@ -24,25 +23,25 @@
     /// Sends the requests that may run to the core actor.
     ///
     /// # Errors
-    /// When the core actor has ended, or the client breaks the protocol.
+    /// When the core actor has ended, or the client violates the protocol.
     pub(super) async fn start_requests(&mut self) -> Result<(), ConnectionEnd> {
         if self.pipeline.waiting_bytes() == 0 {
             return Ok(());
         }
-        // The client may have left while the previous answer was written, when nothing was read.
+        // The client may have closed its side while the previous answer was written, when nothing was read.
         if is_ready(peer_closed(&self.socket)).await {
             self.state.is_peer_closed = true;
-            self.abandon_requests().await;
+            self.withdraw_requests().await;
             return Ok(());
         }
         if self.pipeline.running() == 0 {
-            // Consumes a cancellation that came after the end of the request it was meant for.
+            // Discards a cancellation that arrived after the end of the request that it was meant for.
             is_ready(cancelled(self.cancellation.as_ref())).await;
         }
         if !self.conversation.is_pipelined()
             && self.conversation.take_cancellation(&mut self.read_buffer, &mut self.write_buffer)?
         {
-            // Cancelled before it was started: no request is running.
+            // No request is running, so none has to be withdrawn.
             drop(self.pipeline.cancel_all());
         }
         while let Some(started) = self.pipeline.start_next() {
@@ -53,7 +52,8 @@
         Ok(())
     }
 
-    /// Sends one request to the core actor. Returns whether there was memory for its answer.
+    /// Sends one request to the core actor, or requeues it if the memory budget has too little left for its
+    /// answer. Returns whether it was sent.
     async fn start_request(
         &mut self,
         started: StartedRequest<PendingRequest>,
@@ -78,14 +78,14 @@
             request,
             arrived_at,
             reply_due: self.context.clock.instant(effective_deadline),
-            client: self.address.clone(),
+            client: self.answer_sender.clone(),
             client_liveness: self.socket.liveness(),
         };
         self.send(CoreEvent::RequestArrived(Box::new(arrival))).await?;
         Ok(true)
     }
 
-    /// Tells the core actor of answers that are due earlier than it knows.
+    /// Sends the core actor the deadlines that have become earlier since their requests were started.
     ///
     /// # Errors
     /// When the core actor has ended.
@@ -97,22 +97,24 @@
         Ok(())
     }
 
-    /// Withdraws all requests, since the client has left.
-    pub(super) async fn abandon_requests(&mut self) {
+    /// Withdraws all requests after the client has closed its side.
+    pub(super) async fn withdraw_requests(&mut self) {
         for id in self.pipeline.abandon(|| QueuedAnswer::Fault(Fault::ClientLeft)) {
             self.withdraw(id).await;
         }
     }
 
-    /// Cancels the request whose answer is next, as the client has asked on another connection. The others go on.
+    /// Cancels the first request without an answer, after a cancel request on another connection. Other
+    /// requests continue.
     pub(super) async fn cancel_first_request(&mut self) {
         if let Some(id) = self.pipeline.cancel_first(QueuedAnswer::Fault(Fault::Cancelled)) {
             self.withdraw(id).await;
         }
     }
 
-    /// Cancels the running request if the client has asked for it on this connection, where its protocol allows that.
-    pub(super) async fn cancel_if_asked(&mut self) {
+    /// Cancels the running request if the client has sent a cancellation on this connection and its protocol
+    /// supports that.
+    pub(super) async fn cancel_if_requested(&mut self) {
         if self.conversation.is_pipelined() || self.pipeline.running() == 0 {
             return;
         }
@@ -126,6 +128,7 @@
         }
     }
 
+    /// Tells the core actor that the client no longer waits for a request.
     async fn withdraw(&mut self, id: RequestId) {
         self.answer_reservations.remove(&id);
         // Fails only if the core actor has ended.
--- a/src/net/frontend/client/draining.rs
+++ b/src/net/frontend/client/draining.rs
@@ -1,5 +1,5 @@
-//! What a drain means for a client's actor: when one begins or ends, what the connection may do then, and how long a write
-//! may take. The rules stand in [`crate::drain::connection`].
+//! Effects of drains on a client actor: the signal that one begins or ends, what the connection may do under
+//! it, and how long a write may stall. The rules are in [`crate::drain::connection`].
 
 use super::answers::QueuedAnswer;
 use super::limits::{DRAIN_WRITE_STALL_TIMEOUT, WRITE_STALL_TIMEOUT};
@@ -13,23 +13,23 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// Notified when a drain begins or is taken back.
+/// Notified when a drain begins, and when the console ends one.
 pub(super) struct DrainSignals(watch::Receiver<()>);
 
 impl DrainSignals {
-    /// Returns the signals of drains that begin or are taken back from now on.
+    /// Returns the signals of drains that begin or end from now on.
     pub fn of(context: &ClientContext) -> Self {
         Self(context.admin.drain_changes.subscribe())
     }
 
-    /// Returns once a drain has begun or has been taken back. Cancel safe.
+    /// Returns once a drain has begun or ended. Cancel safe.
     pub async fn changed(&mut self) {
         if self.0.changed().await.is_err() {
             pending().await
         }
     }
 
-    /// Returns once the startup of a connection has had its time under a drain.
+    /// Returns once a drain is in force and the time that it leaves for the startup of a connection is over.
     pub async fn startup_deadline(&mut self, context: &ClientContext) {
         loop {
             match context.startup_deadline() {
@@ -46,7 +46,8 @@
 }
 
 impl<C: Conversation> Client<C> {
-    /// Returns what the connection may do now; `has_partial_message` says whether part of a message was read.
+    /// Returns what the drains in force permit the connection. `has_partial_message` is whether a part of a
+    /// message was read.
     pub(super) fn drain_decision(&self, has_partial_message: bool) -> DrainDecision {
         if !self.context.is_draining() {
             return DrainDecision::OPEN;
@@ -60,12 +61,13 @@
         connection::decide(self.context.active_drains(), state, clock.now())
     }
 
-    /// Returns whether nothing further may be read.
+    /// Returns whether a drain forbids reading anything further.
     pub(super) fn is_finishing(&self) -> bool {
         self.drain_decision(false).permission >= Permission::Finishing
     }
 
-    /// Makes all answers due at once: they are overdue under the drain, and the client has sent more.
+    /// Makes all answers due at once and ends the connection after them. Called when answers are overdue
+    /// under a drain and the client has sent more.
     pub(super) fn answer_now(&mut self) {
         if self.state.closing.is_none() {
             self.state.closing = Some(ConnectionEnd::Closed(CloseReason::Drained));
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Returns by when the client has to take something of what is written, which it last did at `last_progress_at`.
+    /// Returns when a stalled write fails, if the last bytes were written at `last_progress_at`.
     pub(super) fn write_deadline(&self, last_progress_at: Instant) -> Instant {
         let clock = self.context.clock;
         let undrained = last_progress_at + WRITE_STALL_TIMEOUT;
--- a/src/net/frontend/client/end.rs
+++ b/src/net/frontend/client/end.rs
@@ -1,4 +1,4 @@
-//! The end of a client connection: why it ends, the error that the client gets, and the close itself.
+//! The end of a client connection: its reason, the error that the client is sent, and the close itself.
 
 use super::limits::{LINGER_TIMEOUT, MAX_LINGER_BYTES, MAX_RETAINED_CAPACITY};
 use super::{Activity, Client};
@@ -16,13 +16,14 @@
 /// Why a connection ends.
 #[derive(Debug)]
 pub(super) enum ConnectionEnd {
-    /// The client gets no error.
+    /// Without an error for the client.
     Closed(CloseReason),
-    /// The client gets this fault; what it still sends is read and dropped for a while.
+    /// With this fault; bytes that the client still sends are read and discarded for a while.
     Fault(Fault),
-    /// The client gets this fault and is closed at once, since its slot is needed.
+    /// With this fault, and closed at once since the slot is needed.
     Evicted(Fault),
-    /// Too many invalid statements. What was read is answered; the client gets an error if it has sent more.
+    /// After too many invalid statements. The statements that were read are answered; the client is sent an
+    /// error only if it has sent more.
     ProtocolErrors,
 }
 
@@ -38,15 +39,15 @@
     }
 }
 
-/// The error that a connection ends with.
+/// The error with which a connection ends.
 struct FatalError {
     fault: Fault,
-    /// Whether what the client still sends is read and dropped for a while.
+    /// Whether bytes that the client still sends are read and discarded for a while.
     lingers: bool,
 }
 
 impl<C: Conversation> Client<C> {
-    /// Writes the error that the connection ends with, if any, and closes it.
+    /// Writes the error with which the connection ends, if any, and closes the connection.
     pub(super) async fn close(&mut self, end: ConnectionEnd) {
         let (reason, fatal_error) = self.fatal_error(end);
         self.admission.entry.log_close(&reason, self.context.is_draining());
@@ -56,19 +57,20 @@
             self.write_fatal_error(&error.fault).await;
             let _ = self.socket.shutdown().await;
             if lingers {
-                let _ = timeout(self.linger_timeout(), self.drop_unread()).await;
+                let _ = timeout(self.linger_timeout(), self.discard_unread()).await;
                 return;
             }
         }
         let _ = self.socket.shutdown().await;
         if lingers && has_unread_bytes(&self.socket) {
-            // A close with unread bytes resets the connection, which discards answers that the system has not sent yet:
-            // the client sees the end of the stream first, and closes its side.
+            // Closing a socket with unread bytes resets the connection, which discards answers that the
+            // system has not sent yet. So the client is given time to see the end of the stream and to close
+            // its side.
             let _ = timeout(self.linger_timeout(), peer_closed(&self.socket)).await;
         }
     }
 
-    /// Returns why the connection ends, and the error that its client gets, if any.
+    /// Returns the reason for the log and the error for the client, if there is one.
     fn fatal_error(&self, end: ConnectionEnd) -> (CloseReason, Option<FatalError>) {
         match end {
             ConnectionEnd::Closed(reason) => (reason, None),
@@ -78,7 +80,7 @@
             ConnectionEnd::Evicted(fault) => {
                 (CloseReason::Fault(fault.clone()), Some(FatalError { fault, lingers: false }))
             }
-            // Everything was answered: a further error would be a second answer to the last statement.
+            // Everything was answered: another error would be a second answer to the last statement.
             ConnectionEnd::ProtocolErrors if self.read_buffer.is_empty() => {
                 (CloseReason::ProtocolErrors, None)
             }
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Writes a fatal error. The read buffer is released before that: others may wait for its memory.
+    /// Writes a fatal error. The read buffer is released first, since others may wait for its memory.
     async fn write_fatal_error(&mut self, fault: &Fault) {
         self.context.counters.malformed_statement();
         self.record_rejection(fault);
@@ -99,8 +101,8 @@
         let _ = self.flush().await;
     }
 
-    /// Returns how long the connection stays open behind its last bytes so that they arrive; not beyond the forced close of
-    /// a drain.
+    /// Returns how long the connection stays open after its last bytes, so that they reach the client:
+    /// [`LINGER_TIMEOUT`], but not beyond the time at which a drain closes connections by force.
     fn linger_timeout(&self) -> Duration {
         let force_close_at = connection::force_close_at(self.context.active_drains());
         let remaining = force_close_at.map(|force_close_at| {
@@ -109,8 +111,8 @@
         LINGER_TIMEOUT.min(remaining.unwrap_or(LINGER_TIMEOUT))
     }
 
-    /// Reads what the client still sends and drops it.
-    async fn drop_unread(&mut self) -> io::Result<()> {
+    /// Reads and discards bytes that the client still sends, up to [`MAX_LINGER_BYTES`].
+    async fn discard_unread(&mut self) -> io::Result<()> {
         let mut remaining = MAX_LINGER_BYTES;
         while remaining > 0 {
             self.read_buffer.clear();
--- a/src/net/frontend/client/mod.rs
+++ b/src/net/frontend/client/mod.rs
@@ -1,18 +1,18 @@
-//! A client connection: one actor each, whatever protocol it speaks. It owns the connection's slot, its times and the
-//! requests that have no answer yet; what bytes mean is decided by the [`Conversation`].
+//! The actor of a client connection, whatever protocol the client speaks. It owns the connection's slot, its
+//! timeouts and the requests that have no answer yet; the [`Conversation`] decodes and encodes messages.
 //!
-//! | file | owns |
+//! | file | content |
 //! | --- | --- |
 //! | `mod.rs` | the actor and its loop |
-//! | `state.rs`, `limits.rs` | the connection's times and flags; its timeouts and sizes |
-//! | `startup.rs` | the time up to the open session |
-//! | `statements.rs` | from bytes into the pipeline |
-//! | `dispatch.rs` | requests to the core actor, and their withdrawal |
-//! | `answers.rs` | answers back to the client, in the order of requests |
-//! | `waiting.rs` | what the actor waits for |
-//! | `draining.rs` | what a drain means for the connection |
+//! | `state.rs`, `limits.rs` | the connection's times and flags; constants of its timeouts and sizes |
+//! | `startup.rs` | the startup, up to the open session |
+//! | `statements.rs` | decoding of statements into the pipeline |
+//! | `dispatch.rs` | start and withdrawal of requests at the core actor |
+//! | `answers.rs` | answers to the client, in the order of requests |
+//! | `waiting.rs` | the events that the actor waits for |
+//! | `draining.rs` | effects of a drain on the connection |
 //! | `buffers.rs`, `output.rs` | memory accounting of buffers; writes to the socket |
-//! | `end.rs` | why the connection ends, and its close |
+//! | `end.rs` | the end of the connection: its reason, the error for the client, the close |
 
 mod answers;
 mod buffers;
@@ -57,24 +57,24 @@
 use tokio::time::Instant;
 use waiting::IdleSignals;
 
-/// What a connection is given when it is admitted.
+/// The resources and signals of an admitted connection.
 #[derive(Debug)]
 pub(super) struct AdmittedConnection {
-    /// Its slot, until it ends.
+    /// The connection's slot, freed when the connection ends.
     pub slot: ClientSlot,
-    /// Notified if it is evicted during its startup; dropped after that.
+    /// Notified if the connection is evicted during its startup; dropped afterwards.
     pub startup_eviction: Option<Arc<Notify>>,
-    /// Notified if it is evicted before its first request; dropped after that.
+    /// Notified if the connection is evicted before its first request; dropped afterwards.
     pub first_request_eviction: Option<Arc<Notify>>,
-    /// Memory of the connection itself.
+    /// The memory reservation of the connection itself.
     pub _connection: Reservation,
-    /// Memory of its buffers.
+    /// The memory reservation of its buffers.
     pub buffers: Reservation,
-    /// Its entry among the open connections.
+    /// Its entry in the registry of open connections.
     pub entry: ConnectionEntry,
-    /// Buffers that have to be released.
+    /// Client buffers that have to be released.
     pub reclaims: watch::Receiver<Vec<Arc<Reclaim>>>,
-    /// Signalled when idle clients are asked to leave.
+    /// Signalled under connection pressure, when idle connections are closed.
     pub connection_pressure: watch::Receiver<()>,
 }
 
@@ -84,28 +84,28 @@
     conversation: C,
     context: ClientContext,
     request_ids: RequestIds,
-    /// Answers from the core actor.
+    /// Receives answers from the core actor.
     mailbox: mpsc::Receiver<ClientMessage>,
-    /// The sending half of `mailbox`, to be given to the core actor.
-    address: mpsc::Sender<ClientMessage>,
+    /// The sending half of `mailbox`, for the core actor.
+    answer_sender: mpsc::Sender<ClientMessage>,
     read_buffer: BytesMut,
     write_buffer: BytesMut,
     /// Requests whose answers are not written yet.
     pipeline: Pipeline<PendingRequest, QueuedAnswer>,
-    /// Memory for the answers of requests that run behind others.
+    /// Memory reservations for the answers to requests that run behind others.
     answer_reservations: HashMap<RequestId, Reservation>,
     state: ClientState,
     admission: AdmittedConnection,
-    /// The account of its buffers: that of unidentified clients until it sends a request, then that of the request's class
-    /// and tenant.
+    /// The memory account of the buffers: the one of unidentified clients until the client sends a request,
+    /// then the one of the latest request's class and tenant.
     account: AccountId,
-    /// Notified of drains.
+    /// Notified when a drain begins or ends.
     drains: DrainSignals,
-    /// The key by which its requests may be cancelled from another connection.
+    /// The registration of the key with which requests can be cancelled from another connection.
     cancellation: Option<Registration>,
 }
 
-/// Serves one client until its connection ends.
+/// Serves a client until its connection ends.
 pub(super) async fn serve(
     stream: TcpStream,
     protocol: Protocol,
@@ -135,15 +135,16 @@
     ) -> Self {
         let limits =
             if conversation.is_pipelined() { context.pipeline_limits } else { PipelineLimits::SEQUENTIAL };
-        // An answer for each request that runs, and for each that was cancelled or abandoned meanwhile.
-        let (address, mailbox) = mpsc::channel(2 * limits.max_running);
+        // Capacity for an answer to each running request, and to each that was cancelled or withdrawn in the
+        // meantime.
+        let (answer_sender, mailbox) = mpsc::channel(2 * limits.max_running);
         let is_over_limit = admission.slot.taken() > context.max_clients;
         Self {
             socket: stream.into(),
             conversation,
             request_ids,
             mailbox,
-            address,
+            answer_sender,
             read_buffer: BytesMut::with_capacity(INITIAL_CAPACITY),
             write_buffer: BytesMut::with_capacity(INITIAL_CAPACITY),
             pipeline: Pipeline::new(limits),
@@ -163,7 +164,7 @@
             Ok(()) => self.serve_requests().await,
             Err(end) => end,
         };
-        self.abandon_requests().await;
+        self.withdraw_requests().await;
         self.close(end).await;
     }
 
@@ -180,8 +181,8 @@
     /// Does what can be done without waiting, then waits for one event.
     ///
     /// # Errors
-    /// When the connection ends: no client is closed or asked to leave that has requests without answers or has sent bytes
-    /// that were not looked at.
+    /// When the connection ends. No connection is closed or evicted on purpose while requests are unanswered
+    /// or bytes that the client has sent are unread.
     async fn serve_next(&mut self, signals: &mut IdleSignals) -> Result<(), ConnectionEnd> {
         self.advance().await?;
         if self.pipeline.is_empty() {
@@ -206,22 +207,22 @@
         } else if self.is_rejected_over_limit() && self.state.has_sent_request {
             Some(CloseReason::OverLimit)
         } else if self.is_finishing() {
-            // A client that never pauses is never found idle. All that was read is answered; its client sends what was not
-            // read on another connection.
+            // A client that sends without pause is never idle. Everything that was read is answered; the
+            // client repeats the rest on another connection.
             Some(CloseReason::Drained)
         } else {
             None
         }
     }
 
-    /// Reads statements, starts the requests that may run and writes the answers whose turn it is, until nothing more can
-    /// be done without an event.
+    /// Decodes statements, starts the requests that may run and writes the answers that are next in order,
+    /// until nothing more can be done without another event.
     ///
     /// # Errors
-    /// When the connection has broken, or the core actor has ended.
+    /// When the connection has failed, or the core actor has ended.
     async fn advance(&mut self) -> Result<(), ConnectionEnd> {
         loop {
-            self.read_statements();
+            self.decode_statements();
             self.start_requests().await?;
             self.report_shortened_deadlines().await?;
             let has_written = self.write_answers().await?;
@@ -231,19 +232,20 @@
         }
     }
 
-    /// Returns whether its requests are rejected, since it was accepted when all slots were taken and they still are.
+    /// Returns whether requests are rejected: when the connection was accepted all slots were taken, and they
+    /// still are.
     fn is_rejected_over_limit(&self) -> bool {
         self.state.is_over_limit && self.admission.slot.taken() > self.context.max_clients
     }
 
-    /// Counts and logs a rejection that this actor decided alone.
+    /// Counts and logs a rejection that was decided by this actor.
     fn record_rejection(&self, fault: &Fault) {
         if let Some(reason) = fault.reason() {
             self.context.rejections.record(reason, fault.text());
         }
     }
 
-    /// Records for the log what this actor does now.
+    /// Records the current activity for the log.
     fn set_activity(&self, activity: Activity) {
         let (open_requests, buffered_bytes) = (self.pipeline.len(), self.read_buffer.len());
         self.admission.entry.update(activity, open_requests, buffered_bytes, self.state.last_read_at);
--- a/src/net/frontend/client/output.rs
+++ b/src/net/frontend/client/output.rs
@@ -9,10 +9,10 @@
 use tokio::time::{sleep_until, Instant};
 
 impl<C: Conversation> Client<C> {
-    /// Writes all that is in the write buffer.
+    /// Writes the contents of the write buffer.
     ///
     /// # Errors
-    /// As [`Self::write`].
+    /// Those of [`Self::write`].
     pub(super) async fn flush(&mut self) -> io::Result<()> {
         let bytes = self.write_buffer.split();
         if bytes.is_empty() {
@@ -24,13 +24,13 @@
         self.write(&bytes).await
     }
 
-    /// Writes these bytes.
+    /// Writes bytes to the client.
     ///
     /// # Errors
-    /// When the connection has broken, or the client takes nothing of what is written for too long.
+    /// When the connection has failed, or the client accepts no bytes for too long.
     pub(super) async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.set_activity(Activity::Writing);
-        // Usually the system takes all at once.
+        // Usually the socket buffer takes all bytes at once.
         let mut remaining = match self.socket.try_write(bytes) {
             Ok(written) => &bytes[written..],
             Err(_) => bytes,
@@ -45,7 +45,7 @@
                     last_progress_at = Instant::now();
                 }
                 () = sleep_until(deadline) => return Err(io::ErrorKind::TimedOut.into()),
-                // The deadline depends on the drain.
+                // The deadline depends on drains: compute it again.
                 () = self.drains.changed() => {}
             }
         }
--- a/src/net/frontend/client/startup.rs
+++ b/src/net/frontend/client/startup.rs
@@ -9,11 +9,11 @@
 use tokio::time::{sleep_until, Instant};
 
 impl<C: Conversation> Client<C> {
-    /// Serves the startup within its time. Returns once the session is open.
+    /// Serves the startup until the session is open.
     ///
     /// # Errors
-    /// When the connection has broken or is no session, when the startup takes too long, and when the connection is
-    /// evicted. A connection that has sent its first bytes by then is heard once more.
+    /// When the connection has failed or carries only a cancel request, when the startup takes too long, and
+    /// when the connection is evicted. First bytes that are unread at that time are still read.
     pub(super) async fn open_session(&mut self) -> Result<(), ConnectionEnd> {
         let context = self.context.clone();
         // A silent client must not delay the end of a drain.
@@ -25,7 +25,7 @@
         let deadline = self.state.startup_deadline();
         loop {
             tokio::select! {
-                // A session that is open by now stays.
+                // Polled first: a session that is open by now is kept.
                 biased;
                 opened = self.read_startup() => return opened,
                 () = notified(eviction.as_deref()) => {}
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Reads up to the open session. Cancel safe: what was read stays in the read buffer.
+    /// Reads messages until the session is open. Cancel safe: bytes that were read stay in the read buffer.
     async fn read_startup(&mut self) -> Result<(), ConnectionEnd> {
         loop {
             self.set_activity(Activity::Startup);
--- a/src/net/frontend/client/state.rs
+++ b/src/net/frontend/client/state.rs
@@ -1,5 +1,6 @@
-//! The state of one client connection beside its buffers and its pipeline: how far the client has come, its times, and
-//! whether the connection is about to end. No I/O; the actor says what time it is.
+//! The state of a client connection apart from its buffers and its pipeline: the client's progress, times,
+//! and whether the connection is about to end. Without I/O and without a clock: the actor passes the current
+//! time.
 
 use super::end::ConnectionEnd;
 use super::limits::{
@@ -7,29 +8,30 @@
 };
 use tokio::time::Instant;
 
-/// The state of one client connection.
+/// The state of a client connection.
 pub(super) struct ClientState {
-    /// When it was accepted.
+    /// When the connection was accepted.
     pub accepted_at: Instant,
     /// When bytes were last read.
     pub last_read_at: Instant,
     /// When bytes were last read, or an answer was last written.
     pub last_activity_at: Instant,
-    /// When the message began that is not complete yet.
+    /// When the current incomplete message began; `None` if there is none.
     pub partial_since: Option<Instant>,
-    /// Until when no further statement is read, after an invalid one.
+    /// The end of the pause after an invalid statement, in which no further statement is read.
     pub paused_until: Option<Instant>,
-    /// For how many turns the connection was kept for the sake of unread bytes.
+    /// Number of turns for which the connection was kept open because of unread bytes.
     pub unread_turns: u32,
-    /// Invalid statements so far.
+    /// Number of invalid statements so far.
     pub protocol_errors: u32,
     /// Whether the client has sent a request.
     pub has_sent_request: bool,
-    /// Whether the client has ended its side.
+    /// Whether the client has closed its side.
     pub is_peer_closed: bool,
-    /// Whether all slots were taken when it was accepted: its requests are rejected while they are.
+    /// Whether all slots were taken when the connection was accepted. Its requests are rejected for as long
+    /// as they are.
     pub is_over_limit: bool,
-    /// Why the connection ends once all requests are answered; nothing further is read then.
+    /// Why the connection ends once all requests are answered; nothing further is read if set.
     pub closing: Option<ConnectionEnd>,
 }
 
@@ -51,17 +53,18 @@
         }
     }
 
-    /// Returns whether a further statement may be read, as far as the pipeline has capacity.
+    /// Returns whether a further statement may be read, provided that the pipeline has capacity.
     pub fn takes_statements(&self) -> bool {
         self.closing.is_none() && self.paused_until.is_none()
     }
 
-    /// Returns until when the startup may take.
+    /// Returns when the startup has to be complete.
     pub fn startup_deadline(&self) -> Instant {
         self.accepted_at + STARTUP_TIMEOUT
     }
 
-    /// Returns when the next complete statement is due: one that has begun, or the first one. `None` if none is due.
+    /// Returns when the incomplete message or the first statement has to be complete; `None` if neither is
+    /// awaited.
     pub fn statement_deadline(&self) -> Option<Instant> {
         if self.closing.is_some() {
             return None;
@@ -80,13 +83,15 @@
         self.unread_turns = 0;
     }
 
-    /// Records that the client has ended its side. What it sent before is no longer held back by a pause.
+    /// Records that the client has closed its side. Statements that it sent before are no longer delayed by a
+    /// pause.
     pub fn record_peer_closed(&mut self) {
         self.is_peer_closed = true;
         self.paused_until = None;
     }
 
-    /// Records an invalid statement: the next one has to wait, and after the last that is allowed the connection ends.
+    /// Records an invalid statement. The next one is delayed; after [`MAX_PROTOCOL_ERRORS`] the connection
+    /// ends.
     pub fn record_protocol_error(&mut self, now: Instant) {
         self.protocol_errors += 1;
         self.paused_until = Some(now + ERROR_BACKOFF * self.protocol_errors);
--- a/src/net/frontend/client/state/tests.rs
+++ b/src/net/frontend/client/state/tests.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 #[tokio::test]
-async fn the_first_statement_is_due_from_the_accept_and_later_ones_from_their_first_byte() {
+async fn the_first_deadline_counts_from_the_accept_and_later_ones_from_the_first_byte() {
     let accepted_at = Instant::now();
     let begun_at = accepted_at + Duration::from_secs(1);
     let mut state = ClientState::new(accepted_at, false);
--- a/src/net/frontend/client/statements.rs
+++ b/src/net/frontend/client/statements.rs
@@ -1,4 +1,4 @@
-//! From bytes into the pipeline: statements that were read become requests, or answers that are known at once.
+//! Decoding of statements into the pipeline, as requests or as answers that are known at once.
 
 use super::answers::QueuedAnswer;
 use super::dispatch::PendingRequest;
@@ -16,13 +16,13 @@
 use tokio::time::Instant;
 
 impl<C: Conversation> Client<C> {
-    /// Returns whether a further statement would be read.
+    /// Returns whether a further statement may be read.
     pub(super) fn takes_statements(&self) -> bool {
         self.state.takes_statements() && self.pipeline.has_capacity()
     }
 
-    /// Reads all complete statements that the pipeline has capacity for.
-    pub(super) fn read_statements(&mut self) {
+    /// Decodes the complete statements in the read buffer, as far as the pipeline has capacity.
+    pub(super) fn decode_statements(&mut self) {
         while !self.read_buffer.is_empty() && self.takes_statements() {
             let mut reply = BytesMut::new();
             match self.conversation.next_event(&mut self.read_buffer, &mut reply) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Ends the connection with a fault once all that was read is answered, and in time for the fault itself.
+    /// Ends the connection with a fault once all requests are answered, within [`ERROR_ANSWER_TIMEOUT`].
     pub(super) fn close_with_fault(&mut self, fault: Fault) {
         if self.state.closing.is_none() {
             self.state.closing = Some(ConnectionEnd::Fault(fault));
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Counts and logs a statement that is no request.
+    /// Counts and logs an invalid statement, and delays the next one.
     pub(super) fn record_protocol_error(&mut self, fault: &Fault) {
         self.context.counters.malformed_statement();
         self.record_rejection(fault);
@@ -72,7 +72,7 @@
                 self.handle_readiness_check();
             }
             ClientEvent::Answered => self.state.has_sent_request = true,
-            // What it has sent before is answered.
+            // Requests that were sent before are still answered.
             ClientEvent::Terminated => {
                 self.state.closing = Some(ConnectionEnd::Closed(CloseReason::ClientLeft));
             }
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Answers whether the proxy is ready. A quiesced one is not, so that load balancers send new clients elsewhere.
+    /// Answers whether the proxy is ready. A quiesced proxy is not, so that load balancers send new clients
+    /// elsewhere.
     fn handle_readiness_check(&mut self) {
         let answer = if self.context.admin.is_serving() {
             QueuedAnswer::Ready
@@ -102,11 +103,11 @@
     fn queue_request(&mut self, request: Request) {
         self.account = self.context.memory.account(request.class, request.tenant);
         if self.state.is_peer_closed {
-            // The client may be gone, or have nothing more to send: a request from it is not executed.
+            // The client may be gone, or may only have nothing more to send: the request is not executed.
             return self.push_answer(QueuedAnswer::Fault(Fault::ClientLeft));
         }
         if self.is_rejected_over_limit() {
-            // The time for a retry spreads clients that would return at once otherwise.
+            // The retry-after time keeps rejected clients from returning all at once.
             self.context
                 .rejections
                 .record(RejectionReason::NoConnectionSlot, "all client connection slots are taken");
@@ -123,7 +124,7 @@
         self.pipeline.push(pipelined, PendingRequest { request, arrived_at: self.state.last_read_at });
     }
 
-    /// Answers a statement that is no request; the next one is read after a pause.
+    /// Answers an invalid statement; the next one is read after a pause.
     fn reject_statement(&mut self, fault: Fault) {
         self.record_protocol_error(&fault);
         self.push_answer(QueuedAnswer::Fault(fault));
--- a/src/net/frontend/client/waiting.rs
+++ b/src/net/frontend/client/waiting.rs
@@ -1,4 +1,4 @@
-//! What a client's actor waits for, while requests are open and while none is.
+//! The events that a client actor waits for, while requests are open and while none is.
 
 use super::limits::{MAX_UNREAD_TURNS, PRESSURE_IDLE_TIMEOUT, READ_AHEAD_BYTES};
 use super::{Activity, AdmittedConnection, Client, ConnectionEnd};
@@ -21,29 +21,30 @@
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// What a client's actor does about bytes that arrive while requests are open.
+/// How a client actor treats bytes that arrive while requests are open.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReadMode {
-    /// It reads them.
+    /// Reads them.
     Read,
-    /// It leaves them in the socket, and waits for the client to end its side.
+    /// Leaves them in the socket, and waits until the client closes its side.
     WatchClose,
-    /// It leaves them in the socket, and waits until there are some.
+    /// Leaves them in the socket, and waits until some arrive.
     WatchBytes,
 }
 
-/// What may end a connection while it has no request open.
+/// The signals that may end a connection while no request is open.
 pub(super) struct IdleSignals {
-    /// Idle clients are asked to leave.
+    /// Signals connection pressure: idle connections are closed.
     connection_pressure: watch::Receiver<()>,
-    /// Buffers have to be released.
+    /// Client buffers that have to be released.
     reclaims: watch::Receiver<Vec<Arc<Reclaim>>>,
-    /// The connection is evicted, until its first request.
+    /// Signals the eviction of the connection; `None` after its first request.
     first_request_eviction: Option<Arc<Notify>>,
 }
 
 impl IdleSignals {
-    /// Returns the signals of a connection whose session was opened now: earlier reclaims don't concern it.
+    /// Returns the signals for a session that was just opened. Reclaims that were published earlier don't
+    /// concern it.
     pub fn of(admission: &mut AdmittedConnection) -> Self {
         let mut reclaims = admission.reclaims.clone();
         reclaims.mark_unchanged();
@@ -55,7 +56,8 @@
     }
 }
 
-/// Reads bytes, or waits for what the mode says. Returns how many bytes there are; 0 if the client has ended its side.
+/// Reads bytes, or waits as `mode` tells. Returns the number of bytes read or seen; 0 if the client has
+/// closed its side.
 async fn read_or_watch(socket: &mut Socket, read_buffer: &mut BytesMut, mode: ReadMode) -> io::Result<usize> {
     match mode {
         ReadMode::Read => socket.read_buf(read_buffer).await,
@@ -67,7 +69,7 @@
     }
 }
 
-/// Returns once this is notified; never if there is none.
+/// Returns once `notify` is notified; never if it is `None`.
 pub(super) async fn notified(notify: Option<&Notify>) {
     match notify {
         Some(notify) => notify.notified().await,
@@ -76,15 +78,15 @@
 }
 
 impl<C: Conversation> Client<C> {
-    /// Waits for one event while requests are open, or while statements have to wait after an error.
+    /// Waits for one event while requests are open, or during the pause after an invalid statement.
     ///
     /// # Errors
-    /// When the connection has broken.
+    /// When the connection has failed, or the memory budget has too little left.
     pub(super) async fn wait_for_answers(&mut self) -> Result<(), ConnectionEnd> {
         if !self.read_buffer.is_empty() {
             self.account_buffers()?;
         }
-        self.note_partial_message();
+        self.record_partial_message();
         let message_deadline = self.state.partial_since.and(self.state.statement_deadline());
         let decision = self.drain_decision(false);
         let reevaluate_at = decision.reevaluate_at.map(|time| self.context.clock.instant(time));
@@ -101,8 +103,10 @@
             },
             () = cancelled(cancellation.as_ref()) => self.cancel_first_request().await,
             () = sleep_until_some(paused_until), if paused_until.is_some() => self.state.paused_until = None,
-            () = sleep_until_some(message_deadline), if message_deadline.is_some() => self.fail_partial_message(),
-            // What may be read depends on the drain.
+            () = sleep_until_some(message_deadline), if message_deadline.is_some() => {
+                self.fail_partial_message();
+            }
+            // The next call decides again what the drain permits.
             () = sleep_until_some(reevaluate_at), if reevaluate_at.is_some() => {}
             () = drains.changed() => {}
         }
@@ -112,13 +116,13 @@
     /// Waits for one event while no request is open.
     ///
     /// # Errors
-    /// When the connection has broken, or has to end.
+    /// When the connection has failed, or has to end.
     pub(super) async fn wait_for_request(&mut self, signals: &mut IdleSignals) -> Result<(), ConnectionEnd> {
         signals.first_request_eviction.take_if(|_| self.state.has_sent_request);
-        let has_partial = self.note_partial_message();
+        let has_partial = self.record_partial_message();
         let statement_deadline = self.state.statement_deadline();
         self.set_activity(if has_partial { Activity::Receiving } else { Activity::Idle });
-        // What arrives at the drain's end may still be its first request, or the rest of one.
+        // The first request, or the rest of a message, may still arrive until this time.
         let close_idle_at = self.drain_decision(has_partial).close_idle_at;
         let close_idle_at = close_idle_at.map(|time| self.context.clock.instant(time));
         let Self { socket, read_buffer, drains, .. } = self;
@@ -130,14 +134,16 @@
             }
             () = notified(signals.first_request_eviction.as_deref()) => return Err(self.evict()),
             () = sleep_until_some(close_idle_at), if close_idle_at.is_some() => {
-                // The time of a message that has begun is over, however much of it still arrives.
+                // An incomplete message is not waited for any longer, even if more bytes of it have arrived.
                 if has_partial || !self.has_bytes_to_read() {
                     return Err(ConnectionEnd::Closed(CloseReason::Drained));
                 }
                 yield_now().await;
             }
             () = drains.changed() => {}
-            Ok(()) = signals.reclaims.changed() => self.release_if_reclaimed(&signals.reclaims.borrow_and_update())?,
+            Ok(()) = signals.reclaims.changed() => {
+                self.release_if_reclaimed(&signals.reclaims.borrow_and_update())?;
+            }
             Ok(()) = signals.connection_pressure.changed() => {
                 if !has_partial && self.state.last_activity_at.elapsed() >= PRESSURE_IDLE_TIMEOUT {
                     return Err(ConnectionEnd::Closed(CloseReason::ConnectionPressure));
@@ -147,15 +153,15 @@
         Ok(())
     }
 
-    /// Returns whether bytes have arrived that are about to be read, for a connection that would be closed otherwise. They
-    /// keep it open for [`MAX_UNREAD_TURNS`] only: a socket that holds bytes and gives none would keep this task from
-    /// waiting.
+    /// Returns whether a connection that is due to be closed stays open because the socket has unread bytes.
+    /// It stays open for [`MAX_UNREAD_TURNS`] turns only: a socket that reports bytes and returns none would
+    /// otherwise keep this task busy forever.
     pub(super) fn has_bytes_to_read(&mut self) -> bool {
         self.state.unread_turns += 1;
         self.state.unread_turns <= MAX_UNREAD_TURNS && has_unread_bytes(&self.socket)
     }
 
-    /// Fails the message that is not complete in time, or closes a connection whose first request hasn't come.
+    /// Fails a message that is not complete in time, or closes a connection without a first request in time.
     async fn handle_statement_deadline(&mut self) -> Result<(), ConnectionEnd> {
         if self.state.partial_since.is_some() {
             self.fail_partial_message();
@@ -167,7 +173,7 @@
         Ok(())
     }
 
-    /// Records the eviction of a connection without a request. Returns what it ends with.
+    /// Records the eviction of a connection without a request. Returns how the connection ends.
     fn evict(&self) -> ConnectionEnd {
         self.context
             .rejections
@@ -184,8 +190,8 @@
         Ok(())
     }
 
-    /// Notes when a message began that is not complete yet. Returns whether there is one.
-    fn note_partial_message(&mut self) -> bool {
+    /// Records when an incomplete message began. Returns whether there is one.
+    fn record_partial_message(&mut self) -> bool {
         let has_partial = self.conversation.has_partial_message(&self.read_buffer);
         if has_partial && self.takes_statements() {
             self.state.partial_since.get_or_insert_with(Instant::now);
@@ -193,13 +199,15 @@
         has_partial
     }
 
+    /// Ends the connection with an error for a message that was not complete in time.
     fn fail_partial_message(&mut self) {
         self.state.partial_since = None;
         self.close_with_fault(Fault::ProtocolViolation("a message did not come to its end".to_owned()));
     }
 
-    /// Returns what to do about bytes that arrive. While the pipeline is full some are read ahead, to see the client leave
-    /// early; after an error, once the connection is to end, and late in a drain none are read.
+    /// Returns how bytes that arrive are treated. While the pipeline is full, up to [`READ_AHEAD_BYTES`] are
+    /// read ahead, so that the end of the client's side is seen early. None are read during a pause after an
+    /// invalid statement, once the connection is about to end, and late in a drain.
     fn read_mode(&self, permission: Permission) -> ReadMode {
         if permission == Permission::Overdue && self.state.closing.is_none() {
             return ReadMode::WatchBytes;
@@ -216,14 +224,14 @@
     /// Handles the result of a read: more bytes, or the end of the client's side.
     ///
     /// # Errors
-    /// When the connection has broken.
+    /// When the connection has failed.
     async fn handle_read(&mut self, read: io::Result<usize>) -> Result<(), ConnectionEnd> {
         if read? == 0 {
             self.state.record_peer_closed();
-            self.abandon_requests().await;
+            self.withdraw_requests().await;
         } else {
             self.state.record_read(Instant::now());
-            self.cancel_if_asked().await;
+            self.cancel_if_requested().await;
         }
         Ok(())
     }
