--- a/src/net/frontend/conversation.rs
+++ b/src/net/frontend/conversation.rs
@@ -1,27 +1,29 @@
-//! The client's side of a protocol: bytes in, typed events and bytes out, no sockets and no clock.
+//! The interface of a client protocol: bytes in, typed events and bytes out, without sockets and without a
+//! clock.
 //!
-//! The client's actor owns times, the connection slot and the requests; a conversation owns what bytes mean. It is asked for
-//! one event at a time, so that what it answers itself is written in the order of requests.
+//! The client actor owns the timeouts, the connection slot and the requests; a conversation decodes and
+//! encodes messages. The actor takes one event at a time, so that answers of the conversation itself are
+//! written in the order of requests.
 
 use super::cancel::CancelKey;
 use super::fault::Fault;
 use crate::net::messages::Value;
 use bytes::{Bytes, BytesMut};
 
-/// What a client has sent.
+/// An event that is decoded from a client's messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ClientEvent {
-    /// A message that needs nothing from the actor: a part of the startup, or one that is skipped.
+    /// A message that needs no action of the actor: a part of the startup, or one that is skipped.
     NoRequest,
     /// The startup is complete.
     SessionOpened,
-    /// A request that was answered by the protocol itself and has no effect.
+    /// A request without effect, which the conversation has answered itself.
     Answered,
-    /// The question whether the proxy is ready, to be answered by [`Conversation::write_ready`] or as a fault.
+    /// A check whether the proxy is ready, to be answered with [`Conversation::write_ready`] or a fault.
     ReadinessCheck,
-    /// A statement, in the form of PostgreSQL's protocol whatever protocol it came in.
+    /// A statement, in the form of PostgreSQL's protocol even if the client speaks another one.
     Statement(Bytes),
-    /// A statement that cannot be executed, to be answered as this fault.
+    /// A statement that cannot be executed, to be answered with this fault.
     InvalidStatement(Fault),
     /// The client has terminated the session.
     Terminated,
@@ -29,47 +31,52 @@
     CancelRequest(CancelKey),
 }
 
-/// The protocol's state on one connection.
+/// The state of a client protocol on one connection.
 pub(super) trait Conversation {
-    /// Takes the next message from the front of the read buffer; `None` while it is not complete. What the protocol itself
-    /// answers is appended to `out`.
+    /// Takes the next message from the front of `input`; `None` if it is incomplete. Answers of the
+    /// conversation itself are appended to `output`.
     ///
     /// # Errors
-    /// When nothing that follows can be read. The connection ends with [`Self::write_fatal`].
-    fn next_event(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<ClientEvent>, Fault>;
+    /// When the rest of the stream cannot be read. The connection then ends with [`Self::write_fatal`].
+    fn next_event(
+        &mut self,
+        input: &mut BytesMut,
+        output: &mut BytesMut,
+    ) -> Result<Option<ClientEvent>, Fault>;
 
-    /// Returns whether part of a message was read.
-    fn has_partial_message(&self, read: &BytesMut) -> bool;
+    /// Returns whether a part of a message was read.
+    fn has_partial_message(&self, input: &BytesMut) -> bool;
 
-    /// Returns how many bytes it keeps of a message that is not complete.
+    /// Returns how many bytes of an incomplete message the conversation holds outside of `input`.
     fn buffered_bytes(&self) -> usize;
 
-    /// Returns whether a client may send requests before it has the answers to earlier ones, which are answered in order.
+    /// Returns whether a client may send further requests before it has the answers to earlier ones. Answers
+    /// are written in the order of requests.
     fn is_pipelined(&self) -> bool;
 
-    /// Takes a cancellation of the open request from the front of the read buffer and answers it. Returns whether there was
-    /// one.
+    /// Takes a cancellation of the open request from the front of `input` and answers it. Returns whether
+    /// there was one.
     ///
     /// # Errors
-    /// When what was read violates the protocol.
-    fn take_cancellation(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<bool, Fault>;
+    /// When the bytes in `input` violate the protocol.
+    fn take_cancellation(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, Fault>;
 
     /// Answers [`ClientEvent::ReadinessCheck`]: the proxy is ready.
-    fn write_ready(&mut self, out: &mut BytesMut);
+    fn write_ready(&mut self, output: &mut BytesMut);
 
     /// Answers a statement with its value.
-    fn write_value(&mut self, value: &Value, out: &mut BytesMut);
+    fn write_value(&mut self, value: &Value, output: &mut BytesMut);
 
-    /// Begins the answer with a value that is too long to be held; its remainder is written unchanged. Returns whether the
-    /// protocol can do so.
-    fn begin_large_value(&mut self, value: &Value, out: &mut BytesMut) -> bool;
+    /// Begins the answer with a value that is too long to be held in memory; its remainder is written
+    /// unchanged. Returns whether the protocol supports that.
+    fn begin_large_value(&mut self, value: &Value, output: &mut BytesMut) -> bool;
 
     /// Ends an answer that [`Self::begin_large_value`] has begun.
-    fn end_large_value(&mut self, out: &mut BytesMut);
+    fn end_large_value(&mut self, output: &mut BytesMut);
 
     /// Answers a statement, or [`ClientEvent::ReadinessCheck`], with a fault.
-    fn write_fault(&mut self, fault: &Fault, out: &mut BytesMut);
+    fn write_fault(&mut self, fault: &Fault, output: &mut BytesMut);
 
-    /// Writes the error that the connection ends with.
-    fn write_fatal(&mut self, fault: &Fault, out: &mut BytesMut);
+    /// Writes the error with which the connection ends.
+    fn write_fatal(&mut self, fault: &Fault, output: &mut BytesMut);
 }
--- a/src/net/frontend/fault.rs
+++ b/src/net/frontend/fault.rs
@@ -1,4 +1,5 @@
-//! What clients get when there is no value, encoded for each protocol. The texts are part of the interface.
+//! The errors that clients are sent in place of a value, encoded for each protocol. The texts are part of the
+//! interface.
 
 use crate::interface::TimeDelta;
 use crate::net::messages::InvalidRequest;
@@ -10,7 +11,8 @@
     numbers, put_done, put_error, put_message, Done, DoneKind, Notice, PacketType, Status, PACKET_SIZE,
 };
 
-/// A TLS alert: fatal, protocol version (RFC 8446, 6). A client that begins with TLS can read nothing else.
+/// The fatal TLS alert `protocol_version` (RFC 8446, section 6), the only answer that a client which begins
+/// with TLS can read.
 const TLS_ALERT: [u8; 7] = [0x15, 0x03, 0x01, 0x00, 0x02, 0x02, 0x46];
 /// The TDS error class of an error that the user can correct.
 const USER_ERROR_CLASS: u8 = 16;
@@ -19,40 +21,41 @@
 /// The lowest TDS error class that ends the connection.
 const FATAL_ERROR_CLASS: u8 = 20;
 
-/// Why there is no value, or why a connection ends.
+/// Why a client gets no value, or why its connection ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
-    /// Rejected: nothing was done and a retry is harmless, after this time if there is one. The proxy's side.
+    /// The request was rejected and had no effect; a retry is harmless, after this time if one is given.
+    /// Caused by the proxy.
     Rejected(Option<TimeDelta>),
-    /// There is no endpoint list yet, or the proxy is quiesced. The proxy's side.
+    /// There is no endpoint list yet, or the proxy is quiesced. Caused by the proxy.
     NotReady,
-    /// No host answered in time; the request may have had an effect. The hosts' side.
+    /// No host answered in time; the request may have had an effect. Caused by the hosts.
     Failed,
-    /// The client has ended its side of the connection.
+    /// The client has closed its side of the connection.
     ClientLeft,
     /// The client has cancelled the request.
     Cancelled,
-    /// The statement is not UTF-8. The client's side, as all that follow.
+    /// The statement is not UTF-8. Caused by the client, as all variants below.
     Encoding,
-    /// The statement has another form, or lacks or repeats a part.
+    /// The statement has an unsupported form, or a field is missing, repeated or invalid.
     Statement(StatementError),
-    /// The procedure call that carries the statement has another form.
+    /// The procedure call that carries the statement is malformed.
     Syntax(String),
-    /// The statement does not fit this installation.
+    /// The statement is well-formed, but not a valid request to this proxy.
     Invalid(InvalidRequest),
-    /// It uses a part of the protocol that is not supported.
+    /// The client uses a feature of the protocol that is not supported.
     Unsupported(String),
     /// A message exceeds the length limit.
     TooLong,
     /// The stream violates the protocol.
     ProtocolViolation(String),
-    /// The login is not accepted.
+    /// The login is rejected.
     Login(String),
-    /// The client speaks another protocol than this port's, and is answered in that one.
+    /// The client speaks another protocol than the port, and is answered in the client's protocol.
     WrongProtocol(ForeignProtocol),
 }
 
-/// What a fault means for the connection.
+/// Whether a fault ends the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Severity {
     /// The connection stays open.
@@ -62,7 +65,7 @@
 }
 
 impl Severity {
-    /// Returns its name in PostgreSQL's protocol.
+    /// Returns the name of the severity in PostgreSQL's protocol.
     fn name(self) -> &'static str {
         match self {
             Self::Error => "ERROR",
@@ -99,7 +102,7 @@
 }
 
 impl Fault {
-    /// Returns the text that clients are sent.
+    /// Returns the text that the client is sent.
     pub fn text(&self) -> String {
         match self {
             Self::Rejected(_) => "not now: trying again is harmless".to_owned(),
@@ -122,8 +125,8 @@
         }
     }
 
-    /// Returns the reason that counters and logs give for it; `None` if nothing was rejected, or if the core actor has
-    /// counted the rejection.
+    /// Returns the reason under which counters and logs record the fault; `None` if nothing was rejected, or
+    /// if the core actor has recorded the rejection.
     pub fn reason(&self) -> Option<RejectionReason> {
         Some(match self {
             Self::Rejected(_) | Self::Failed | Self::ClientLeft | Self::Cancelled => return None,
@@ -141,7 +144,7 @@
         })
     }
 
-    /// Returns after how many milliseconds the client may retry, if it is given a time.
+    /// Returns the time after which the client may retry, in milliseconds; `None` if it is not told one.
     fn retry_after_ms(&self) -> Option<i64> {
         match self {
             Self::Rejected(retry_after) => retry_after.map(|retry_after| (retry_after.0 / 1000).max(1)),
@@ -181,14 +184,14 @@
         }
     }
 
-    /// Encodes it as an ErrorResponse of PostgreSQL's protocol.
-    pub fn put_postgres(&self, severity: Severity, out: &mut BytesMut) {
+    /// Encodes the fault as an ErrorResponse of PostgreSQL's protocol.
+    pub fn put_postgres(&self, severity: Severity, output: &mut BytesMut) {
         let retry_after = self.retry_after_ms().map(|ms| ms.to_string());
-        pgwire::error(out, severity.name(), self.sqlstate(), &self.text(), retry_after.as_deref());
+        pgwire::error(output, severity.name(), self.sqlstate(), &self.text(), retry_after.as_deref());
     }
 
-    /// Encodes it as the tokens ERROR and DONE of TDS.
-    pub fn put_tds(&self, kind: DoneKind, severity: Severity, out: &mut BytesMut) {
+    /// Encodes the fault as the tokens ERROR and DONE of TDS.
+    pub fn put_tds(&self, kind: DoneKind, severity: Severity, output: &mut BytesMut) {
         let class = match self {
             _ if severity == Severity::Fatal => FATAL_ERROR_CLASS,
             Self::Encoding | Self::Statement(_) | Self::Syntax(_) => SYNTAX_ERROR_CLASS,
@@ -198,19 +201,20 @@
             Some(ms) => format!("{}. Come again after {ms} ms.", self.text()),
             None => self.text(),
         };
-        put_error(out, &Notice { number: self.number(), state: 1, class, message });
-        put_done(out, kind, Done { error: true, ..Done::default() });
+        put_error(output, &Notice { number: self.number(), state: 1, class, message });
+        put_done(output, kind, Done { error: true, ..Done::default() });
     }
 
-    /// Encodes it for a client of another protocol, whose connection ends with it.
-    pub fn put_foreign(&self, foreign: ForeignProtocol, out: &mut BytesMut) {
+    /// Encodes the fault for a client that speaks another protocol than the port, whose connection ends with
+    /// it.
+    pub fn put_foreign(&self, foreign: ForeignProtocol, output: &mut BytesMut) {
         match foreign {
-            ForeignProtocol::Tls => out.put_slice(&TLS_ALERT),
-            ForeignProtocol::Protocol(Protocol::Postgres, _) => self.put_postgres(Severity::Fatal, out),
+            ForeignProtocol::Tls => output.put_slice(&TLS_ALERT),
+            ForeignProtocol::Protocol(Protocol::Postgres, _) => self.put_postgres(Severity::Fatal, output),
             ForeignProtocol::Protocol(Protocol::Tds, _) => {
                 let mut payload = BytesMut::new();
                 self.put_tds(DoneKind::Batch, Severity::Fatal, &mut payload);
-                put_message(out, PacketType::Result, Status::default(), &payload, PACKET_SIZE);
+                put_message(output, PacketType::Result, Status::default(), &payload, PACKET_SIZE);
             }
         }
     }
--- a/src/net/frontend/postgres.rs
+++ b/src/net/frontend/postgres.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL's protocol 3 with a client: simple queries, which may be pipelined.
+//! The client side of PostgreSQL's protocol 3: simple queries, which may be pipelined.
 
 use super::cancel::CancelKey;
 use super::conversation::{ClientEvent, Conversation};
@@ -8,18 +8,19 @@
 use crate::protocol::Protocol;
 use bytes::BytesMut;
 
-/// The first bytes of TDS: a packet of type PRELOGIN that is the complete message. Read as a startup packet it would exceed
-/// the length limit.
+/// The first bytes of a TDS client: a packet of type PRELOGIN that is a complete message. A startup packet of
+/// PostgreSQL's protocol cannot begin with them: its length would exceed the limit.
 const TDS_PRELOGIN: [u8; 2] = [0x12, 0x01];
 
 /// A session of PostgreSQL's protocol.
 #[derive(Debug)]
 pub(super) struct Postgres {
-    /// The key that cancel requests name.
+    /// The key for cancel requests, which the client is sent.
     cancel_key: CancelKey,
     /// Whether the startup is complete.
     is_open: bool,
-    /// Whether all messages up to Sync are skipped, after an error in extended ones.
+    /// Whether messages are skipped up to the next Sync, after a message of the unsupported extended query
+    /// protocol.
     is_skipping: bool,
 }
 
@@ -29,38 +30,44 @@
         Self { cancel_key, is_open: false, is_skipping: false }
     }
 
-    fn startup(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<ClientEvent>, Fault> {
-        if read.starts_with(&TDS_PRELOGIN) {
+    /// Handles a message of the startup.
+    fn handle_startup(
+        &mut self,
+        input: &mut BytesMut,
+        output: &mut BytesMut,
+    ) -> Result<Option<ClientEvent>, Fault> {
+        if input.starts_with(&TDS_PRELOGIN) {
             return Err(Fault::WrongProtocol(ForeignProtocol::Protocol(Protocol::Tds, Protocol::Postgres)));
         }
-        let Some((startup, length)) = Startup::parse(read)? else { return Ok(None) };
-        let _ = read.split_to(length);
+        let Some((startup, length)) = Startup::parse(input)? else { return Ok(None) };
+        let _ = input.split_to(length);
         match startup {
             Startup::Encryption => {
-                out.extend_from_slice(b"N");
+                output.extend_from_slice(b"N");
                 Ok(Some(ClientEvent::NoRequest))
             }
             Startup::Cancel(key) => Ok(Some(ClientEvent::CancelRequest(key))),
             Startup::Unsupported => Err(Fault::Unsupported("only protocol 3 is spoken".to_owned())),
             Startup::Session { minor } => {
-                pgwire::welcome(out, minor, (self.cancel_key.process, self.cancel_key.secret));
+                pgwire::welcome(output, minor, (self.cancel_key.process, self.cancel_key.secret));
                 self.is_open = true;
                 Ok(Some(ClientEvent::SessionOpened))
             }
         }
     }
 
-    fn query(&mut self, text: BytesMut, out: &mut BytesMut) -> ClientEvent {
-        let Ok(words) = std::str::from_utf8(&text) else {
+    /// Handles the text of a simple query.
+    fn handle_query(&mut self, text: BytesMut, output: &mut BytesMut) -> ClientEvent {
+        let Ok(statement) = std::str::from_utf8(&text) else {
             return ClientEvent::InvalidStatement(Fault::Encoding);
         };
-        if words.trim_matches(|c: char| c.is_whitespace() || c == ';').is_empty() {
+        if statement.trim_matches(|c: char| c.is_whitespace() || c == ';').is_empty() {
             return ClientEvent::ReadinessCheck;
         }
-        match session_command(words) {
+        match session_command_tag(statement) {
             Some(tag) => {
-                pgwire::command_complete(out, tag);
-                pgwire::ready(out);
+                pgwire::command_complete(output, tag);
+                pgwire::ready(output);
                 ClientEvent::Answered
             }
             None => ClientEvent::Statement(text.freeze()),
@@ -69,11 +76,15 @@
 }
 
 impl Conversation for Postgres {
-    fn next_event(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<ClientEvent>, Fault> {
+    fn next_event(
+        &mut self,
+        input: &mut BytesMut,
+        output: &mut BytesMut,
+    ) -> Result<Option<ClientEvent>, Fault> {
         if !self.is_open {
-            return self.startup(read, out);
+            return self.handle_startup(input, output);
         }
-        let Some((message, length)) = FrontendMessage::parse(read)? else { return Ok(None) };
+        let Some((message, length)) = FrontendMessage::parse(input)? else { return Ok(None) };
         let query = match message {
             FrontendMessage::Query(text) if !self.is_skipping => Some(text.len()),
             FrontendMessage::Terminate => return Ok(Some(ClientEvent::Terminated)),
@@ -83,29 +94,30 @@
             FrontendMessage::Extended if !self.is_skipping => {
                 self.is_skipping = true;
                 Fault::Unsupported("only simple queries are served".to_owned())
-                    .put_postgres(Severity::Error, out);
+                    .put_postgres(Severity::Error, output);
                 None
             }
             FrontendMessage::Sync => {
                 self.is_skipping = false;
-                pgwire::ready(out);
+                pgwire::ready(output);
                 None
             }
             FrontendMessage::Query(_) | FrontendMessage::Extended | FrontendMessage::Copy => None,
         };
-        let mut bytes = read.split_to(length);
+        let mut bytes = input.split_to(length);
         Ok(Some(match query {
             Some(length) => {
+                // Skips the message's type and length.
                 let mut text = bytes.split_off(5);
                 text.truncate(length);
-                self.query(text, out)
+                self.handle_query(text, output)
             }
             None => ClientEvent::NoRequest,
         }))
     }
 
-    fn has_partial_message(&self, read: &BytesMut) -> bool {
-        !read.is_empty()
+    fn has_partial_message(&self, input: &BytesMut) -> bool {
+        !input.is_empty()
     }
 
     fn buffered_bytes(&self) -> usize {
@@ -116,48 +128,49 @@
         true
     }
 
-    /// Cancel requests come on a connection of their own.
-    fn take_cancellation(&mut self, _read: &mut BytesMut, _out: &mut BytesMut) -> Result<bool, Fault> {
+    /// Always returns false: cancel requests arrive on separate connections.
+    fn take_cancellation(&mut self, _input: &mut BytesMut, _output: &mut BytesMut) -> Result<bool, Fault> {
         Ok(false)
     }
 
-    fn write_ready(&mut self, out: &mut BytesMut) {
-        pgwire::empty_query(out);
-        pgwire::ready(out);
+    fn write_ready(&mut self, output: &mut BytesMut) {
+        pgwire::empty_query(output);
+        pgwire::ready(output);
     }
 
-    fn write_value(&mut self, value: &Value, out: &mut BytesMut) {
+    fn write_value(&mut self, value: &Value, output: &mut BytesMut) {
         match &value.postgres_messages {
-            Some(messages) => out.extend_from_slice(messages),
-            None => pgwire::row(out, "content", &value.content),
+            Some(messages) => output.extend_from_slice(messages),
+            None => pgwire::row(output, "content", &value.content),
         }
-        pgwire::ready(out);
+        pgwire::ready(output);
     }
 
-    fn begin_large_value(&mut self, value: &Value, out: &mut BytesMut) -> bool {
-        value.postgres_messages.iter().for_each(|messages| out.extend_from_slice(messages));
+    fn begin_large_value(&mut self, value: &Value, output: &mut BytesMut) -> bool {
+        value.postgres_messages.iter().for_each(|messages| output.extend_from_slice(messages));
         value.postgres_messages.is_some()
     }
 
-    fn end_large_value(&mut self, out: &mut BytesMut) {
-        pgwire::ready(out);
+    fn end_large_value(&mut self, output: &mut BytesMut) {
+        pgwire::ready(output);
     }
 
-    fn write_fault(&mut self, fault: &Fault, out: &mut BytesMut) {
-        fault.put_postgres(Severity::Error, out);
-        pgwire::ready(out);
+    fn write_fault(&mut self, fault: &Fault, output: &mut BytesMut) {
+        fault.put_postgres(Severity::Error, output);
+        pgwire::ready(output);
     }
 
-    fn write_fatal(&mut self, fault: &Fault, out: &mut BytesMut) {
+    fn write_fatal(&mut self, fault: &Fault, output: &mut BytesMut) {
         match fault {
-            Fault::WrongProtocol(foreign) => fault.put_foreign(*foreign, out),
-            _ => fault.put_postgres(Severity::Fatal, out),
+            Fault::WrongProtocol(foreign) => fault.put_foreign(*foreign, output),
+            _ => fault.put_postgres(Severity::Fatal, output),
         }
     }
 }
 
-/// Returns the command tag of a statement that only sets up a session. Client libraries send them; they have no effect here.
-fn session_command(words: &str) -> Option<&'static str> {
-    let verb = words.split_whitespace().next()?.trim_end_matches(';');
+/// Returns the command tag of a statement that only configures a session. Client libraries send such
+/// statements; they have no effect here.
+fn session_command_tag(statement: &str) -> Option<&'static str> {
+    let verb = statement.split_whitespace().next()?.trim_end_matches(';');
     ["SET", "RESET", "DISCARD"].into_iter().find(|tag| verb.eq_ignore_ascii_case(tag))
 }
--- a/src/net/frontend/tds/mod.rs
+++ b/src/net/frontend/tds/mod.rs
@@ -1,5 +1,5 @@
-//! TDS with a client: the protocol's two statements as batches or through `sp_executesql`, and what drivers send by
-//! themselves while they connect, pool and test a connection.
+//! The client side of TDS: the two supported statements, as batches or through `sp_executesql`, and the
+//! statements and calls that drivers send on their own when they open, pool and test a connection.
 
 mod procedure_call;
 mod startup;
@@ -15,47 +15,47 @@
     Status, Value as Datum, PACKET_SIZE,
 };
 
-/// The database name that clients get.
+/// The database name that clients are told.
 const DATABASE: &str = "store";
 /// The answer to `SELECT @@VERSION`.
 const VERSION: &str = "Microsoft SQL Server 2019 compatible (wheelpier)";
-/// The first byte of PostgreSQL's startup packets: the high byte of a length.
+/// The first byte of a PostgreSQL startup packet: the high byte of its length.
 const POSTGRES_STARTUP: u8 = 0;
-/// The first byte of a TLS handshake, with which TDS 8.0 begins.
+/// The first byte of a TLS handshake, with which TDS 8.0 connections begin.
 const TLS_HANDSHAKE: u8 = 0x16;
-/// The first byte of multiplexed requests (MC-SMP, 2.2.1).
+/// The first byte of a packet with multiplexed requests (MARS; MC-SMP, section 2.2.1).
 const MARS: u8 = 0x53;
 
-/// How far the session has come.
+/// The stage of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// PRELOGIN has to come.
+    /// PRELOGIN is expected.
     Prelogin,
-    /// LOGIN7 has to come.
+    /// LOGIN7 is expected.
     Login,
-    /// The client requires encryption, and was answered that there is none.
+    /// The client requires encryption, which is not supported. The next message is answered with an error.
     EncryptionRequired,
     /// The startup is complete.
     Open,
 }
 
-/// How the open request is answered.
+/// Properties of the open request that its answer depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct OpenRequest {
-    /// Whether it is a procedure call; else it is a batch.
+    /// Whether the request is a procedure call; otherwise it is a batch.
     is_call: bool,
     /// Whether the answer has to acknowledge a reset of the session.
     acknowledges_reset: bool,
-    /// The value that the answer holds, if the client tests the connection by one.
+    /// The value in the answer to a connection test such as `SELECT 1`, once the proxy is ready.
     test_value: Option<Datum>,
 }
 
-/// A session of TDS.
+/// A TDS session.
 #[derive(Debug)]
 pub(super) struct Tds {
     assembler: Assembler,
     stage: Stage,
-    /// The agreed packet size in bytes.
+    /// The negotiated packet size in bytes.
     packet_size: usize,
     open: OpenRequest,
 }
@@ -68,12 +68,12 @@
         Self { assembler, stage: Stage::Prelogin, packet_size: PACKET_SIZE, open }
     }
 
-    /// Takes the next complete message from the front of the read buffer.
-    fn message(&mut self, read: &mut BytesMut) -> Result<Option<Message>, Fault> {
+    /// Takes the next complete message from the front of `input`.
+    fn next_message(&mut self, input: &mut BytesMut) -> Result<Option<Message>, Fault> {
         if self.assembler.begun() {
-            return Ok(self.assembler.next(read)?);
+            return Ok(self.assembler.next(input)?);
         }
-        match (self.stage, read.first()) {
+        match (self.stage, input.first()) {
             (Stage::Prelogin, Some(&POSTGRES_STARTUP)) => {
                 Err(Fault::WrongProtocol(ForeignProtocol::Protocol(Protocol::Postgres, Protocol::Tds)))
             }
@@ -81,30 +81,30 @@
             (Stage::Open, Some(&MARS)) => {
                 Err(Fault::Unsupported("several requests at once (MARS) are not served".to_owned()))
             }
-            _ => Ok(self.assembler.next(read)?),
+            _ => Ok(self.assembler.next(input)?),
         }
     }
 
-    /// Handles a message of the open session.
-    fn request(&mut self, message: &Message, out: &mut BytesMut) -> Result<ClientEvent, Fault> {
+    /// Handles a message of an open session.
+    fn handle_request(&mut self, message: &Message, output: &mut BytesMut) -> Result<ClientEvent, Fault> {
         let is_call = message.kind == PacketType::Rpc;
         self.open = OpenRequest { is_call, acknowledges_reset: message.status.reset, test_value: None };
         if message.status.ignore {
-            // Aborted by the client, which waits for the end of the answer.
+            // The client has aborted this request, and waits for the end of its answer.
             let mut payload = BytesMut::new();
             put_done(&mut payload, DoneKind::Batch, Done { error: true, ..Done::default() });
-            self.put(&payload, out);
+            self.put_packets(&payload, output);
             return Ok(ClientEvent::Answered);
         }
         let text = match message.kind {
             PacketType::SqlBatch => batch(&message.payload)?,
             PacketType::Rpc => match procedure_call::statement_of(rpc(&message.payload)?) {
                 Ok(Some(text)) => text,
-                Ok(None) => return Ok(self.done(out)),
+                Ok(None) => return Ok(self.answer_without_row(output)),
                 Err(fault) => return Ok(ClientEvent::InvalidStatement(fault)),
             },
             PacketType::Attention => {
-                self.put(&attention(), out);
+                self.put_packets(&attention_ack(), output);
                 return Ok(ClientEvent::Answered);
             }
             PacketType::Transaction => {
@@ -118,15 +118,15 @@
             }
             _ => return Err(Fault::Unsupported("only batches and calls are served".to_owned())),
         };
-        Ok(self.statement(text, out))
+        Ok(self.handle_statement(text, output))
     }
 
-    /// Handles a statement, whether it came in a batch or in a call.
-    fn statement(&mut self, text: String, out: &mut BytesMut) -> ClientEvent {
+    /// Handles a statement from a batch or a procedure call.
+    fn handle_statement(&mut self, text: String, output: &mut BytesMut) -> ClientEvent {
         let words: Vec<&str> = text.split_whitespace().collect();
-        let starts = |start: &[&str]| {
-            words.len() >= start.len()
-                && words.iter().zip(start).all(|(word, expected)| word.eq_ignore_ascii_case(expected))
+        let starts_with = |prefix: &[&str]| {
+            words.len() >= prefix.len()
+                && words.iter().zip(prefix).all(|(word, expected)| word.eq_ignore_ascii_case(expected))
         };
         let bare = text.trim_matches(|c: char| c.is_whitespace() || c == ';');
         let is = |other: &str| bare.eq_ignore_ascii_case(other);
@@ -138,53 +138,53 @@
             return ClientEvent::ReadinessCheck;
         }
         if is("SELECT @@VERSION") {
-            return self.row(Datum::Text(VERSION.to_owned()), out);
+            return self.answer_value(Datum::Text(VERSION.to_owned()), output);
         }
         if is("SELECT @@SPID") || is("SELECT @@TRANCOUNT") {
-            return self.row(Datum::Int(i64::from(is("SELECT @@SPID"))), out);
+            return self.answer_value(Datum::Int(i64::from(is("SELECT @@SPID"))), output);
         }
-        if starts(&["USE"]) {
-            let mut payload = self.begin();
+        if starts_with(&["USE"]) {
+            let mut payload = self.begin_answer();
             put_database(&mut payload);
-            self.finish(payload, 0, out);
+            self.finish_answer(payload, 0, output);
             return ClientEvent::Answered;
         }
         let parts = text.split([';', '\n']).map(str::trim).filter(|part| !part.is_empty());
         let sets = |part: &str| part.get(..4).is_some_and(|verb| verb.eq_ignore_ascii_case("SET "));
-        if starts(&["IF", "@@TRANCOUNT", ">", "0"]) || parts.clone().all(sets) {
-            return self.done(out);
+        if starts_with(&["IF", "@@TRANCOUNT", ">", "0"]) || parts.clone().all(sets) {
+            return self.answer_without_row(output);
         }
         ClientEvent::Statement(text.into())
     }
 
-    /// Answers without a row.
-    fn done(&mut self, out: &mut BytesMut) -> ClientEvent {
-        let payload = self.begin();
-        self.finish(payload, 0, out);
+    /// Answers the open request without a row.
+    fn answer_without_row(&mut self, output: &mut BytesMut) -> ClientEvent {
+        let payload = self.begin_answer();
+        self.finish_answer(payload, 0, output);
         ClientEvent::Answered
     }
 
-    /// Answers with a row of one value.
-    fn row(&mut self, value: Datum, out: &mut BytesMut) -> ClientEvent {
+    /// Answers the open request with a row of one value.
+    fn answer_value(&mut self, value: Datum, output: &mut BytesMut) -> ClientEvent {
         let kind = match value {
             Datum::Int(_) => DataType::Int { size: 4, nullable: true },
             _ => DataType::Text,
         };
-        self.put_row("", kind, value, out);
+        self.put_row("", kind, value, output);
         ClientEvent::Answered
     }
 
-    /// Encodes an answer with a row of one value.
-    fn put_row(&mut self, name: &str, kind: DataType, value: Datum, out: &mut BytesMut) {
+    /// Encodes an answer with a row of one column.
+    fn put_row(&mut self, name: &str, kind: DataType, value: Datum, output: &mut BytesMut) {
         let columns = [Column { name: name.to_owned(), kind }];
-        let mut payload = self.begin();
+        let mut payload = self.begin_answer();
         put_columns(&mut payload, &columns);
         put_row(&mut payload, &columns, &[value]);
-        self.finish(payload, 1, out);
+        self.finish_answer(payload, 1, output);
     }
 
-    /// Returns an answer's first tokens.
-    fn begin(&mut self) -> BytesMut {
+    /// Returns the first tokens of an answer.
+    fn begin_answer(&mut self) -> BytesMut {
         let mut payload = BytesMut::new();
         if std::mem::take(&mut self.open.acknowledges_reset) {
             put_environment(&mut payload, &Environment::Reset);
@@ -192,8 +192,8 @@
         payload
     }
 
-    /// Appends an answer's last tokens and encodes it.
-    fn finish(&mut self, mut payload: BytesMut, rows: u64, out: &mut BytesMut) {
+    /// Appends the last tokens of an answer and encodes it.
+    fn finish_answer(&mut self, mut payload: BytesMut, rows: u64, output: &mut BytesMut) {
         let done = Done { counted: rows > 0, rows, ..Done::default() };
         if self.open.is_call {
             put_done(&mut payload, DoneKind::InProc, Done { more: true, ..done });
@@ -202,99 +202,104 @@
         } else {
             put_done(&mut payload, DoneKind::Batch, done);
         }
-        self.put(&payload, out);
+        self.put_packets(&payload, output);
     }
 
-    /// Encodes a payload as packets.
-    fn put(&self, payload: &[u8], out: &mut BytesMut) {
-        put_message(out, PacketType::Result, Status::default(), payload, self.packet_size);
+    /// Encodes a payload as packets of the negotiated size.
+    fn put_packets(&self, payload: &[u8], output: &mut BytesMut) {
+        put_message(output, PacketType::Result, Status::default(), payload, self.packet_size);
     }
 }
 
 impl Conversation for Tds {
-    fn next_event(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<ClientEvent>, Fault> {
-        let Some(message) = self.message(read)? else { return Ok(None) };
+    fn next_event(
+        &mut self,
+        input: &mut BytesMut,
+        output: &mut BytesMut,
+    ) -> Result<Option<ClientEvent>, Fault> {
+        let Some(message) = self.next_message(input)? else { return Ok(None) };
         match self.stage {
-            Stage::Prelogin => self.prelogin(&message, out),
-            Stage::Login => self.login(&message, out),
+            Stage::Prelogin => self.handle_prelogin(&message, output),
+            Stage::Login => self.handle_login(&message, output),
             Stage::EncryptionRequired => Err(Fault::Login("encryption is not had here".to_owned())),
-            Stage::Open => self.request(&message, out),
+            Stage::Open => self.handle_request(&message, output),
         }
         .map(Some)
     }
 
-    fn has_partial_message(&self, read: &BytesMut) -> bool {
-        self.assembler.begun() || !read.is_empty()
+    fn has_partial_message(&self, input: &BytesMut) -> bool {
+        self.assembler.begun() || !input.is_empty()
     }
 
     fn buffered_bytes(&self) -> usize {
         self.assembler.held()
     }
 
-    /// One request at a time, but for an attention (2.2.1.7).
+    /// Always returns false: clients send one request at a time, apart from an attention (section 2.2.1.7).
     fn is_pipelined(&self) -> bool {
         false
     }
 
-    fn take_cancellation(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<bool, Fault> {
-        // Anything else waits for the answer: a second request, or a violation of the protocol.
-        if self.assembler.begun() || !PacketType::Attention.begins(read) {
+    fn take_cancellation(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, Fault> {
+        // Anything else, a second request or a protocol violation, is left unread until the answer is
+        // written.
+        if self.assembler.begun() || !PacketType::Attention.begins(input) {
             return Ok(false);
         }
-        let is_cancelled = self.message(read)?.is_some();
+        let is_cancelled = self.next_message(input)?.is_some();
         if is_cancelled {
-            self.put(&attention(), out);
+            self.put_packets(&attention_ack(), output);
         }
         Ok(is_cancelled)
     }
 
-    fn write_ready(&mut self, out: &mut BytesMut) {
+    fn write_ready(&mut self, output: &mut BytesMut) {
         match self.open.test_value.take() {
-            Some(value) => drop(self.row(value, out)),
-            None => drop(self.done(out)),
+            Some(value) => drop(self.answer_value(value, output)),
+            None => drop(self.answer_without_row(output)),
         }
     }
 
-    fn write_value(&mut self, value: &Value, out: &mut BytesMut) {
+    fn write_value(&mut self, value: &Value, output: &mut BytesMut) {
         let content = Datum::Binary(value.content.clone());
-        self.put_row("content", DataType::LongBinary, content, out);
+        self.put_row("content", DataType::LongBinary, content, output);
     }
 
-    /// TDS encodes a value's bytes otherwise than PostgreSQL's protocol.
-    fn begin_large_value(&mut self, _value: &Value, _out: &mut BytesMut) -> bool {
+    /// Always returns false: the remainder has PostgreSQL's encoding, which TDS does not share.
+    fn begin_large_value(&mut self, _value: &Value, _output: &mut BytesMut) -> bool {
         false
     }
 
-    fn end_large_value(&mut self, _out: &mut BytesMut) {}
+    fn end_large_value(&mut self, _output: &mut BytesMut) {}
 
-    fn write_fault(&mut self, fault: &Fault, out: &mut BytesMut) {
+    fn write_fault(&mut self, fault: &Fault, output: &mut BytesMut) {
         let kind = if self.open.is_call { DoneKind::Proc } else { DoneKind::Batch };
-        let mut payload = self.begin();
+        let mut payload = self.begin_answer();
         fault.put_tds(kind, Severity::Error, &mut payload);
-        self.put(&payload, out);
+        self.put_packets(&payload, output);
     }
 
-    fn write_fatal(&mut self, fault: &Fault, out: &mut BytesMut) {
+    fn write_fatal(&mut self, fault: &Fault, output: &mut BytesMut) {
         match fault {
-            Fault::WrongProtocol(foreign) => fault.put_foreign(*foreign, out),
+            Fault::WrongProtocol(foreign) => fault.put_foreign(*foreign, output),
             _ => {
                 let mut payload = BytesMut::new();
                 fault.put_tds(DoneKind::Batch, Severity::Fatal, &mut payload);
-                self.put(&payload, out);
+                self.put_packets(&payload, output);
             }
         }
     }
 }
 
-/// Encodes the notice of the session's database.
+/// Encodes the notice that names the session's database.
 fn put_database(payload: &mut BytesMut) {
     put_environment(payload, &Environment::Database(DATABASE.to_owned()));
     let message = format!("Changed database context to '{DATABASE}'.");
     put_info(payload, &Notice { number: numbers::DATABASE, state: 2, class: 0, message });
 }
 
-/// Returns the acknowledgement of an attention (2.2.1.7).
-fn attention() -> BytesMut {
+/// Returns the acknowledgement of an attention (section 2.2.1.7).
+fn attention_ack() -> BytesMut {
     let mut payload = BytesMut::new();
     put_done(&mut payload, DoneKind::Batch, Done { attention: true, ..Done::default() });
     payload
--- a/src/net/frontend/tds/procedure_call.rs
+++ b/src/net/frontend/tds/procedure_call.rs
@@ -1,11 +1,12 @@
-//! Statements that come as procedure calls: `sp_executesql` with its parameters.
+//! Statements in procedure calls: `sp_executesql` with its parameters.
 
 use crate::net::frontend::fault::Fault;
 use crate::net::messages::InvalidRequest;
 use std::fmt::Write;
 use wheelpier_tds::{Parameter, Procedure, Rpc, Value as Datum};
 
-/// Returns the statement that a call executes, its parameters substituted; `None` if it only resets the session.
+/// Returns the statement that a call executes, with parameters replaced by their values; `None` if the call
+/// only resets the session.
 ///
 /// # Errors
 /// When the procedure is not supported, or the call lacks its statement or a parameter.
@@ -20,15 +21,16 @@
     let Some(Parameter { value: Datum::Text(text), .. }) = parameters.next() else {
         return Err(Fault::Syntax("sp_executesql lacks its statement".to_owned()));
     };
-    let declared = match parameters.next() {
-        Some(Parameter { value: Datum::Text(declared), .. }) => declared,
+    let declarations = match parameters.next() {
+        Some(Parameter { value: Datum::Text(declarations), .. }) => declarations,
         _ => String::new(),
     };
-    let mut names = declared.split(',').filter_map(|declaration| declaration.split_whitespace().next());
+    let mut declared_names =
+        declarations.split(',').filter_map(|declaration| declaration.split_whitespace().next());
     let values: Vec<(String, Datum)> = parameters
         .map(|parameter| {
-            // Those without a name stand in the order in which they were declared.
-            let declared = names.next().unwrap_or_default();
+            // Parameters without a name are in the order of their declarations.
+            let declared = declared_names.next().unwrap_or_default();
             let name = if parameter.name.is_empty() { declared.to_owned() } else { parameter.name };
             (name, parameter.value)
         })
@@ -36,53 +38,53 @@
     substitute(&text, &values).map(Some)
 }
 
-/// Substitutes parameters by their values, outside of quotes and of the comment at the end.
+/// Replaces parameters by their values, except in quoted text and in the comment at the end.
 fn substitute(text: &str, values: &[(String, Datum)]) -> Result<String, Fault> {
     let end = text.find("/*").unwrap_or(text.len());
     let (statement, comment) = text.split_at(end);
-    let mut out = String::with_capacity(text.len());
+    let mut output = String::with_capacity(text.len());
     let mut is_quoted = false;
     let mut remaining = statement;
     while let Some(at) = remaining.find(['\'', '@']) {
-        out.push_str(&remaining[..at]);
+        output.push_str(&remaining[..at]);
         if remaining.as_bytes()[at] == b'\'' {
             is_quoted = !is_quoted;
-            out.push('\'');
+            output.push('\'');
             remaining = &remaining[at + 1..];
         } else if is_quoted {
-            out.push('@');
+            output.push('@');
             remaining = &remaining[at + 1..];
         } else {
-            let name = remaining[at + 1..].find(|c: char| !c.is_alphanumeric() && c != '_');
+            let name_length = remaining[at + 1..].find(|c: char| !c.is_alphanumeric() && c != '_');
             let (name, after) =
-                remaining[at..].split_at(name.map_or(remaining.len() - at, |length| length + 1));
+                remaining[at..].split_at(name_length.map_or(remaining.len() - at, |length| length + 1));
             let value = values.iter().find(|(other, _)| other.eq_ignore_ascii_case(name));
             let (_, value) = value.ok_or_else(|| Fault::Syntax(format!("{name} has no value")))?;
-            put_literal(&mut out, name, value)?;
+            put_literal(&mut output, name, value)?;
             remaining = after;
         }
     }
-    out.push_str(remaining);
-    out.push_str(comment);
-    Ok(out)
+    output.push_str(remaining);
+    output.push_str(comment);
+    Ok(output)
 }
 
 /// Appends a value as a literal.
-fn put_literal(out: &mut String, name: &str, value: &Datum) -> Result<(), Fault> {
+fn put_literal(output: &mut String, name: &str, value: &Datum) -> Result<(), Fault> {
     let written = match value {
         Datum::Null => return Err(Fault::Invalid(InvalidRequest::Parameter(format!("{name} is null")))),
-        Datum::Int(number) => write!(out, "'{number}'"),
+        Datum::Int(number) => write!(output, "'{number}'"),
         Datum::Text(text) if text.contains('\'') || text.contains("/*") => {
             return Err(Fault::Invalid(InvalidRequest::Parameter(format!(
                 "{name} holds a quote or a comment"
             ))));
         }
-        Datum::Text(text) => write!(out, "'{text}'"),
+        Datum::Text(text) => write!(output, "'{text}'"),
         Datum::Binary(bytes) => {
-            out.reserve(bytes.len() * 2 + 4);
-            out.push_str("'\\x");
-            let digits = bytes.iter().try_for_each(|byte| write!(out, "{byte:02x}"));
-            out.push('\'');
+            output.reserve(bytes.len() * 2 + 4);
+            output.push_str("'\\x");
+            let digits = bytes.iter().try_for_each(|byte| write!(output, "{byte:02x}"));
+            output.push('\'');
             digits
         }
     };
--- a/src/net/frontend/tds/startup.rs
+++ b/src/net/frontend/tds/startup.rs
@@ -13,8 +13,12 @@
 const PROGRAM: &str = "wheelpier";
 
 impl Tds {
-    /// Answers PRELOGIN: no encryption, and one request at a time.
-    pub(super) fn prelogin(&mut self, message: &Message, out: &mut BytesMut) -> Result<ClientEvent, Fault> {
+    /// Answers PRELOGIN: encryption and MARS are not supported.
+    pub(super) fn handle_prelogin(
+        &mut self,
+        message: &Message,
+        output: &mut BytesMut,
+    ) -> Result<ClientEvent, Fault> {
         if message.kind != PacketType::Prelogin {
             return Err(Fault::ProtocolViolation("PRELOGIN has to come first".to_owned()));
         }
@@ -23,12 +27,16 @@
         self.stage = if requires_encryption { Stage::EncryptionRequired } else { Stage::Login };
         let mut payload = BytesMut::new();
         Prelogin { version: (15, 0, 2000), ..Prelogin::default() }.put(&mut payload);
-        self.put(&payload, out);
+        self.put_packets(&payload, output);
         Ok(ClientEvent::NoRequest)
     }
 
-    /// Answers LOGIN7: the session is open.
-    pub(super) fn login(&mut self, message: &Message, out: &mut BytesMut) -> Result<ClientEvent, Fault> {
+    /// Answers LOGIN7 and opens the session.
+    pub(super) fn handle_login(
+        &mut self,
+        message: &Message,
+        output: &mut BytesMut,
+    ) -> Result<ClientEvent, Fault> {
         if message.kind != PacketType::Login {
             return Err(Fault::ProtocolViolation("LOGIN7 has to follow".to_owned()));
         }
@@ -51,8 +59,8 @@
         put_login_ack(&mut payload, &ack);
         put_environment(&mut payload, &Environment::PacketSize(packet_size));
         put_done(&mut payload, DoneKind::Batch, Done::default());
-        // The answer itself still goes in packets of the old size.
-        self.put(&payload, out);
+        // This answer is still sent in packets of the initial size.
+        self.put_packets(&payload, output);
         self.packet_size = packet_size;
         self.assembler.agree(packet_size);
         self.stage = Stage::Open;
