--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -1,4 +1,5 @@
-//! The accept loop: accepts connections, starts an actor for each, and ends after SIGTERM once all clients have left.
+//! The accept loop: accepts connections, starts an actor for each, and ends after SIGTERM once all clients
+//! have disconnected.
 
 mod handover;
 
@@ -20,31 +21,31 @@
 use tokio::task::{yield_now, JoinSet};
 use tokio::time::{sleep_until, Instant};
 
-pub(super) use handover::Directed;
+pub(super) use handover::Redirection;
 
-/// Pause in accepting after this machine has run out of descriptors or buffers.
+/// Pause in accepting after this machine has run out of file descriptors or buffers.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// The source of request numbers; copies share it, so that no number is used twice.
+/// A generator of request ids. Copies share the counter, so that no id is used twice.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RequestIds(Arc<AtomicU64>);
 
 impl RequestIds {
-    /// Returns a number that was not used before.
+    /// Returns an id that was not used before.
     pub fn next(&self) -> RequestId {
         RequestId(self.0.fetch_add(1, Relaxed))
     }
 }
 
-/// What the accept loop waits for.
+/// An event of the accept loop.
 enum AcceptorEvent {
     /// A connection was accepted, or accepting has failed.
     Accepted(io::Result<(Protocol, TcpStream)>),
-    /// The pause in accepting is over.
+    /// The pause after a failed accept is over.
     BackoffElapsed,
     /// The actor of a client has ended.
     ClientEnded,
-    /// SIGTERM came.
+    /// SIGTERM was received.
     ShutdownStarted,
     /// The next step of the listeners' handover is due.
     HandoverDue,
@@ -63,18 +64,19 @@
     clients: JoinSet<()>,
     /// Changes once, at SIGTERM.
     draining: watch::Receiver<Option<Instant>>,
-    /// Until when nothing is accepted, after this machine has run out of descriptors or buffers.
+    /// The end of a pause in accepting, after this machine has run out of file descriptors or buffers.
     backoff_until: Option<Instant>,
-    /// The earliest exit, as a span from SIGTERM; `None` before.
+    /// The earliest exit, as the time after SIGTERM; `None` before SIGTERM.
     exit_after: Option<Duration>,
-    /// When the next step of the listeners' handover is due; `None` before SIGTERM, and once no listener is open.
+    /// When the next step of the listeners' handover is due; `None` before SIGTERM, and once no listener is
+    /// open.
     handover_due: Option<Instant>,
-    /// Whether the listeners were polled once more since the exit was due.
+    /// Whether the listeners were polled once more after the exit became due.
     has_polled_before_exit: bool,
 }
 
 impl Acceptor {
-    /// Returns the acceptor of these listeners.
+    /// Returns an acceptor for `listeners`.
     pub fn new(listeners: Listeners, context: ClientContext) -> Self {
         Self {
             listeners,
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Accepts connections. Returns after SIGTERM, once all clients have left and no more connect.
+    /// Accepts connections. Returns after SIGTERM, once all clients have disconnected and no new ones
+    /// connect.
     pub async fn run(mut self) {
         loop {
             match self.next_event().await {
@@ -106,14 +109,14 @@
                 AcceptorEvent::HandoverDue => self.advance_handover().await,
                 AcceptorEvent::ExitDue if self.has_polled_before_exit => {
                     self.advance_handover().await;
-                    // A connection that was accepted meanwhile has to be served.
+                    // A connection that was accepted during the handover has to be served.
                     if self.has_polled_before_exit && self.handover_continues_at().is_none() {
                         return;
                     }
                 }
                 AcceptorEvent::ExitDue => {
-                    // The runtime may not have polled the listeners since the timer fired: it does so now, and connections
-                    // that wait there are accepted first.
+                    // The runtime may not have polled the listeners since the timer fired: yield, so that it
+                    // does and connections that wait in their queues are accepted first.
                     self.has_polled_before_exit = true;
                     yield_now().await;
                 }
@@ -127,7 +130,7 @@
         let Self { listeners, clients, draining, backoff_until, exit_after, handover_due, .. } = self;
         tokio::select! {
             biased;
-            // First: clients that keep coming must not delay it.
+            // Polled first, so that a steady stream of new connections does not delay the handover.
             () = sleep_until_some(*handover_due) => AcceptorEvent::HandoverDue,
             accepted = listeners.accept(), if backoff_until.is_none() => AcceptorEvent::Accepted(accepted),
             () = sleep_until(backoff_until.unwrap_or_else(Instant::now)), if backoff_until.is_some() => {
@@ -139,7 +142,8 @@
         }
     }
 
-    /// Returns the earliest exit, after the handover of the listeners; `None` before SIGTERM.
+    /// Returns the time of the earliest exit, which is not before the next step of a handover in progress;
+    /// `None` before SIGTERM.
     fn exit_at(&self) -> Option<Instant> {
         let exit_after = self.exit_after?;
         let (started_at, _) = self.context.shutdown()?;
@@ -147,24 +151,24 @@
         Some(self.handover_continues_at().map_or(exit_at, |continues_at| exit_at.max(continues_at)))
     }
 
-    /// Starts the actor of a connection that was accepted, if it is admitted.
+    /// Starts the actor of an accepted connection, if the connection is admitted.
     async fn start_client(&mut self, protocol: Protocol, stream: TcpStream) {
         self.has_polled_before_exit = false;
         self.context.counters.client_connected();
         self.delay_exit();
         let is_full = self.admission.is_full();
-        self.admission.evict_if_short();
+        self.admission.evict_if_few_slots_free();
         if let Some(admission) = self.admission.admit(protocol, stream.peer_addr().ok()) {
             let (context, request_ids) = (self.context.clone(), self.request_ids.clone());
             self.clients.spawn(client::serve(stream, protocol, context, request_ids, admission));
         }
         if is_full {
-            // Evicted clients leave before the next connection is counted.
+            // Evicted clients free their slots before the next connection is admitted.
             yield_now().await;
         }
     }
 
-    /// Delays the exit for the sake of clients that follow the one just accepted.
+    /// Delays the exit after a connection was accepted, since further clients may follow.
     fn delay_exit(&mut self) {
         if let (Some(exit_after), Some((started_at, schedule))) =
             (&mut self.exit_after, self.context.shutdown())
@@ -173,8 +177,9 @@
         }
     }
 
-    /// Pauses accepting if this machine has run out of descriptors or buffers. Other errors are those of a connection that
-    /// is gone: the next one may wait behind it (accept(2), "Error handling").
+    /// Pauses accepting if this machine has run out of file descriptors or buffers. Other errors concern a
+    /// connection that failed before it was accepted: further connections may wait behind it (accept(2),
+    /// "Error handling").
     fn handle_accept_error(&mut self, error: &io::Error) {
         if local_faults::is_exhausted(error) {
             self.context.rejections.record(RejectionReason::LocalResources, format_args!("accept: {error}"));
--- a/src/net/frontend/acceptor/handover.rs
+++ b/src/net/frontend/acceptor/handover.rs
@@ -1,9 +1,10 @@
-//! At the end of the process: its listeners are handed over to another process that listens at the same addresses, as at
-//! an upgrade.
+//! Handover of listeners during a shutdown, as in an upgrade: another process listens at the same addresses
+//! and takes over.
 //!
-//! New connections are directed to the other process as soon as it has been seen to accept one. The listener is closed
-//! [`HANDSHAKE_TIME`] later, once handshakes that had begun before are complete and its queue is empty: a connection that
-//! waits there as the listener closes would be reset. A process that is alone at its address keeps its listeners.
+//! New connections are directed to the other process, as long as probes show that it accepts them. After
+//! [`HANDSHAKE_TIME`], when handshakes that began earlier are complete, the accept queue is emptied and the
+//! listener is closed: closing it with connections in the queue would reset them. A process that is alone at
+//! its address keeps its listeners.
 
 use super::Acceptor;
 use crate::net::frontend::port_group::{self, Member};
@@ -14,26 +15,26 @@
 use tokio::net::TcpSocket;
 use tokio::time::{sleep, Instant};
 
-/// How often the process looks whether the other one still accepts connections.
+/// Time between two checks whether the other process still accepts connections.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// How often it looks for another one where there was none, or none that accepts connections: new connections wait there
-/// during each look.
+/// Time between two searches for another process, while there is none that accepts connections. Each search
+/// directs new connections to the candidates, where they may wait for the duration of the probe.
 const SEARCH_INTERVAL: Duration = Duration::from_secs(1);
-/// Between the moment from which on new connections go to the other process and the close of the listener.
+/// Time between directing new connections to the other process and closing the listener.
 const HANDSHAKE_TIME: Duration = Duration::from_millis(400);
-/// How long the other process may take to accept a connection.
+/// How long the other process may take to accept and close the probe's connection.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Where the new connections of a listener's address are directed.
+/// The redirection of new connections from a listener to another process.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::net::frontend) struct Directed {
+pub(in crate::net::frontend) struct Redirection {
     /// The socket of the other process.
     member: Member,
-    /// Since when.
+    /// When the redirection began.
     since: Instant,
 }
 
-/// Who accepted a connection to the address of a listener.
+/// Which process accepted a connection to the address of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AcceptedBy {
     ThisProcess,
@@ -48,21 +49,21 @@
         if !self.has_time_for_handover() {
             return;
         }
-        let mut is_directed = false;
+        let mut is_redirecting = false;
         for index in (0..self.listeners.all.len()).rev() {
-            let directed = self.direct_to_another(index).await.unwrap_or_else(|error| {
+            let redirection = self.direct_to_another(index).await.unwrap_or_else(|error| {
                 tracing::debug!(error = %error, "listener not handed over");
                 let _ = port_group::distribute(&self.listeners.all[index].socket);
                 None
             });
-            is_directed |= directed.is_some();
-            self.listeners.all[index].directed = directed;
-            if directed.is_some_and(|directed| directed.since.elapsed() >= HANDSHAKE_TIME) {
+            is_redirecting |= redirection.is_some();
+            self.listeners.all[index].redirection = redirection;
+            if redirection.is_some_and(|redirection| redirection.since.elapsed() >= HANDSHAKE_TIME) {
                 self.close_listener(index).await;
             }
         }
         if !self.listeners.all.is_empty() {
-            let pause = if is_directed { CHECK_INTERVAL } else { SEARCH_INTERVAL };
+            let pause = if is_redirecting { CHECK_INTERVAL } else { SEARCH_INTERVAL };
             self.handover_due = Some(Instant::now() + pause);
         }
     }
@@ -75,45 +76,47 @@
         })
     }
 
-    /// Returns when the handover goes on; `None` unless a listener is being handed over.
+    /// Returns when the next step of the handover is due; `None` unless a listener is being handed over.
     pub(super) fn handover_continues_at(&self) -> Option<Instant> {
-        let is_handing_over = self.listeners.all.iter().any(|listener| listener.directed.is_some());
+        let is_handing_over = self.listeners.all.iter().any(|listener| listener.redirection.is_some());
         self.handover_due.filter(|_| is_handing_over)
     }
 
-    /// Directs the new connections of a listener's address to another process that accepts them: to the same one as
-    /// before, if there was one. Returns `None` if no other process listens there.
+    /// Directs the new connections at a listener's address to another process that accepts them, preferably
+    /// to the one of the current redirection. Returns `None` if no other process listens at the address.
     ///
     /// # Errors
     /// When no other process accepts a connection, or a system call fails.
-    async fn direct_to_another(&mut self, index: usize) -> io::Result<Option<Directed>> {
+    async fn direct_to_another(&mut self, index: usize) -> io::Result<Option<Redirection>> {
         let address = self.listeners.all[index].socket.local_addr()?;
         let members: Vec<Member> = port_group::members(address)?.collect();
         if members.len() < 2 {
             return Ok(None);
         }
-        let before = self.listeners.all[index].directed.filter(|before| members.contains(&before.member));
+        let current =
+            self.listeners.all[index].redirection.filter(|current| members.contains(&current.member));
         let others =
-            members.into_iter().filter(|member| before.is_none_or(|before| before.member != *member));
+            members.into_iter().filter(|member| current.is_none_or(|current| current.member != *member));
         let now = Instant::now();
-        let candidates = others.map(|member| Directed { member, since: now });
-        for directed in before.into_iter().chain(candidates) {
-            port_group::direct_to(&self.listeners.all[index].socket, directed.member)?;
+        let candidates = others.map(|member| Redirection { member, since: now });
+        for redirection in current.into_iter().chain(candidates) {
+            port_group::direct_to(&self.listeners.all[index].socket, redirection.member)?;
             if self.probe(index, address).await? == AcceptedBy::AnotherProcess {
-                if before.is_none() {
+                if current.is_none() {
                     tracing::info!(%address, "new connections directed to another process");
                 }
-                return Ok(Some(directed));
+                return Ok(Some(redirection));
             }
         }
         Err(io::Error::new(io::ErrorKind::TimedOut, "no other process accepts connections"))
     }
 
-    /// Finds out who accepts a connection to the address of a listener. A process that reads the end of a connection
-    /// closes it. Other connections that come meanwhile are served.
+    /// Connects to the address of a listener and returns which process accepts the connection. The probe
+    /// shuts down its sending half at once; another process shows that it has accepted the connection by
+    /// closing it in response. Other connections that reach this listener during the probe are served.
     ///
     /// # Errors
-    /// When the connection cannot be prepared.
+    /// When the socket of the probe cannot be created or bound.
     async fn probe(&mut self, index: usize, address: SocketAddr) -> io::Result<AcceptedBy> {
         let target = SocketAddr::new(reachable_ip(address), address.port());
         let socket = if target.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
@@ -145,13 +148,14 @@
         }
     }
 
-    /// Closes a listener whose new connections go to another process, and serves those that still wait in its queue. Keeps
-    /// it open while this machine lacks what accepting them takes.
+    /// Serves the connections in the accept queue of a listener and closes it: new ones go to another
+    /// process. Keeps the listener open if this machine runs out of file descriptors or buffers before the
+    /// queue is empty.
     async fn close_listener(&mut self, index: usize) {
         let listener = &self.listeners.all[index];
         let protocol = listener.protocol;
-        let mut waiting = Vec::new();
-        match listener.accept_queue(&mut waiting) {
+        let mut accepted = Vec::new();
+        match listener.accept_queue(&mut accepted) {
             Ok(()) => {
                 let address =
                     listener.socket.local_addr().map_or_else(|_| String::new(), |at| at.to_string());
@@ -160,13 +164,14 @@
             }
             Err(error) => self.handle_accept_error(&error),
         }
-        for stream in waiting {
+        for stream in accepted {
             self.start_client(protocol, stream).await;
         }
     }
 }
 
-/// Returns the IP address by which this machine reaches a listener of its own.
+/// Returns the IP address at which this machine reaches its own listener: the loopback address if the
+/// listener is bound to the unspecified address.
 fn reachable_ip(address: SocketAddr) -> IpAddr {
     match address.ip() {
         IpAddr::V4(ip) if ip.is_unspecified() => Ipv4Addr::LOCALHOST.into(),
--- a/src/net/frontend/admission.rs
+++ b/src/net/frontend/admission.rs
@@ -1,8 +1,8 @@
-//! Which connections are admitted: client connection slots, eviction of clients that have not sent a request, and the
-//! signal that slots run short.
+//! Admission of connections: client connection slots, eviction of clients that have not sent a request, and
+//! the signal of connection pressure.
 //!
-//! Up to [`OVERFLOW`] connections beyond the slots are admitted so that their requests can be rejected with a reason; the
-//! actors of these reject every request while all slots are taken.
+//! Up to [`OVERFLOW`] connections beyond the slots are admitted, so that their requests can be rejected with
+//! a reason: their actors reject every request while all slots are taken.
 
 use super::client::AdmittedConnection;
 use super::context::ClientContext;
@@ -17,13 +17,15 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
 
-/// Connections in startup may take one slot in this many, so that silent clients don't displace those that send requests.
-const UNAUTHENTICATED_DIVISOR: usize = 2;
-/// Age from which a connection in startup, or without a request, may be evicted when all slots are taken.
+/// Connections in startup may take at most the number of slots divided by this, so that silent clients don't
+/// displace those that send requests.
+const STARTUP_SLOTS_DIVISOR: usize = 2;
+/// Minimum age at which a connection in startup or without a request may be evicted when all slots are taken.
 const EVICTION_AGE: Duration = Duration::from_millis(200);
-/// Percentage of slots taken from which idle clients are asked to leave: some send one request and stay connected.
+/// From this percentage of taken slots on, idle connections are closed: some clients send one request and
+/// stay connected.
 const PRESSURE_PERCENT: usize = 75;
-/// Time between two such signals. Each reaches all clients.
+/// Minimum time between two signals of connection pressure, since each one wakes all client actors.
 const PRESSURE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The client connection slots.
@@ -33,7 +35,7 @@
 impl ClientSlots {
     /// Returns how many connections have a slot.
     fn taken(&self) -> usize {
-        // One reference is this value's own.
+        // One reference is held by `self`.
         Arc::strong_count(&self.0) - 1
     }
 
@@ -47,9 +49,9 @@
 pub(super) struct ClientSlot(Arc<()>);
 
 impl ClientSlot {
-    /// Returns how many connections have a slot, this one among them.
+    /// Returns how many connections have a slot, including this one.
     pub fn taken(&self) -> usize {
-        // One reference is that of the acceptor.
+        // One reference is held by the acceptor's `ClientSlots`.
         Arc::strong_count(&self.0) - 1
     }
 }
@@ -59,7 +61,8 @@
 struct EvictionQueue(VecDeque<(Instant, Weak<Notify>)>);
 
 impl EvictionQueue {
-    /// Adds a connection and returns what its actor waits for; the connection leaves the queue when the actor drops it.
+    /// Adds a connection. Returns the signal by which its actor is notified of the eviction; the connection
+    /// leaves the queue once the actor drops the signal.
     fn add(&mut self) -> Arc<Notify> {
         let eviction = Arc::new(Notify::new());
         self.0.push_back((Instant::now(), Arc::downgrade(&eviction)));
@@ -74,12 +77,12 @@
         self.0.len()
     }
 
-    /// Returns whether the oldest connection has had time to send what would keep it.
+    /// Returns whether the oldest connection has reached [`EVICTION_AGE`].
     fn has_overdue(&self) -> bool {
         self.0.front().is_some_and(|(added_at, _)| added_at.elapsed() >= EVICTION_AGE)
     }
 
-    /// Asks the oldest connection to leave.
+    /// Removes the oldest connection and notifies its actor, which closes it.
     fn evict_oldest(&mut self) {
         if let Some(eviction) = self.0.pop_front().and_then(|(_, eviction)| eviction.upgrade()) {
             eviction.notify_one();
@@ -93,11 +96,11 @@
     context: ClientContext,
     slots: ClientSlots,
     /// Connections in startup.
-    unauthenticated: EvictionQueue,
+    in_startup: EvictionQueue,
     /// Connections that have not sent a request.
     without_request: EvictionQueue,
     pressure: watch::Sender<()>,
-    /// What each client's actor gets a clone of. It has seen no signal.
+    /// The receiver that each client actor gets a clone of.
     pressure_signals: watch::Receiver<()>,
     pressure_signalled_at: Instant,
 }
@@ -109,7 +112,7 @@
         Self {
             context,
             slots: ClientSlots::default(),
-            unauthenticated: EvictionQueue::default(),
+            in_startup: EvictionQueue::default(),
             without_request: EvictionQueue::default(),
             pressure,
             pressure_signals,
@@ -122,21 +125,20 @@
         self.slots.taken() >= self.context.max_clients
     }
 
-    /// Asks the clients that have been idle for long to leave.
+    /// Signals connection pressure: client actors close connections that have been idle for long.
     pub fn signal_pressure(&self) {
         self.pressure.send_replace(());
     }
 
-    /// Asks clients to leave if one more connection finds too few free slots.
-    pub fn evict_if_short(&mut self) {
-        self.unauthenticated.remove_dropped();
+    /// Makes room for one more connection if few slots are free: evicts at most one connection that has not
+    /// sent a request, and signals connection pressure.
+    pub fn evict_if_few_slots_free(&mut self) {
+        self.in_startup.remove_dropped();
         self.without_request.remove_dropped();
         let is_full = self.is_full();
-        let max_unauthenticated = self.context.max_clients / UNAUTHENTICATED_DIVISOR;
-        if self.unauthenticated.len() >= max_unauthenticated
-            || (is_full && self.unauthenticated.has_overdue())
-        {
-            self.unauthenticated.evict_oldest();
+        let max_in_startup = self.context.max_clients / STARTUP_SLOTS_DIVISOR;
+        if self.in_startup.len() >= max_in_startup || (is_full && self.in_startup.has_overdue()) {
+            self.in_startup.evict_oldest();
         } else if is_full && self.without_request.has_overdue() {
             self.without_request.evict_oldest();
         }
@@ -147,22 +149,22 @@
         }
     }
 
-    /// Admits a connection that was accepted; `None` if it has to be closed.
+    /// Admits an accepted connection; `None` if it has to be closed.
     pub fn admit(&mut self, protocol: Protocol, peer: Option<SocketAddr>) -> Option<AdmittedConnection> {
         let (connection, buffers) = match self.reserve() {
             Ok(reserved) => reserved,
             Err(reason) => {
-                self.context.rejections.record(reason, "a connection is closed at the acceptor");
+                self.context.rejections.record(reason, "a new connection was closed without a reply");
                 return None;
             }
         };
         Some(AdmittedConnection {
             slot: self.slots.take(),
-            startup_eviction: Some(self.unauthenticated.add()),
+            startup_eviction: Some(self.in_startup.add()),
             first_request_eviction: Some(self.without_request.add()),
             _connection: connection,
             buffers,
-            entry: self.context.connections.enter(protocol, peer),
+            entry: self.context.connections.register(protocol, peer),
             reclaims: self.context.reclaims.clone(),
             connection_pressure: self.pressure_signals.clone(),
         })
@@ -171,7 +173,7 @@
     /// Reserves the memory of a connection and of its buffers.
     ///
     /// # Errors
-    /// When too many connections are open, or the memory budget has none left.
+    /// When too many connections are open, or the memory budget has too little left.
     fn reserve(&self) -> Result<(Reservation, Reservation), RejectionReason> {
         if self.slots.taken() >= self.context.max_clients + OVERFLOW {
             return Err(RejectionReason::NoConnectionSlot);
--- a/src/net/frontend/cancel.rs
+++ b/src/net/frontend/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancellation of requests from another connection (PostgreSQL protocol 3, CancelRequest): the connection of each key.
+//! Cancellation of requests from another connection (CancelRequest of PostgreSQL's protocol 3).
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,18 +6,19 @@
 
 pub(super) use crate::pgwire::CancelKey;
 
-/// Attempts to draw a secret that is not in use.
+/// How often a random secret is drawn until one is not in use.
 const MAX_SECRET_DRAWS: usize = 8;
 
-/// What notifies each connection, by the secret of its key.
+/// The cancellation signal of each connection, by the secret of its key.
 type Connections = HashMap<u32, Arc<Notify>>;
 
-/// The keys of all open sessions, one for each connection at most. Copies share them.
+/// The keys of all open sessions, at most one per connection. Copies share them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Cancellations(Arc<Mutex<Connections>>);
 
 impl Cancellations {
-    /// Returns the key of a new session. `None` if the system has no random numbers: the session then cannot be cancelled.
+    /// Registers a key for a new session. `None` if the system provides no random numbers: requests of the
+    /// session then cannot be cancelled.
     pub(super) fn register(&self) -> Option<Registration> {
         let mut connections = self.connections();
         for _ in 0..MAX_SECRET_DRAWS {
@@ -31,7 +32,8 @@
         None
     }
 
-    /// Cancels the request that runs on the connection of this key. Nothing says whether there is one.
+    /// Cancels the running request on the connection with this key, if there is one. The protocol has no
+    /// reply that tells.
     pub(super) fn cancel(&self, key: CancelKey) {
         let connections = self.connections();
         if let Some(cancelled) = connections.get(&key.secret).filter(|_| key.process == std::process::id()) {
@@ -49,12 +51,12 @@
 pub(super) struct Registration {
     /// The key that the client is sent.
     pub key: CancelKey,
-    /// Notified when the running request is cancelled.
+    /// Notified when a cancel request arrives.
     cancelled: Arc<Notify>,
     cancellations: Cancellations,
 }
 
-/// Returns once the request that runs on the connection is cancelled; never without a registration.
+/// Returns once a cancel request for the session arrives; never without a registration.
 pub(super) async fn cancelled(registration: Option<&Registration>) {
     match registration {
         Some(registration) => registration.cancelled.notified().await,
--- a/src/net/frontend/close_reason.rs
+++ b/src/net/frontend/close_reason.rs
@@ -1,30 +1,30 @@
-//! Why a client connection is closed, for the log.
+//! The reasons why client connections are closed, for the log.
 
 use super::fault::Fault;
 use std::{fmt, io};
 
-/// Why a connection was closed. Each says whose side ended it.
+/// Why a connection was closed. The comment on each reason names the side that caused it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// Client: it has ended its side, or terminated the session.
+    /// Client: it has closed its side of the connection, or terminated the session.
     ClientLeft,
-    /// Client: the connection carried a cancel request, which is all it may carry.
+    /// Client: it has sent a cancel request, after which a connection always ends.
     CancelRequest,
-    /// Network: the connection has broken, or the client takes nothing of what is written.
+    /// Network: the connection has failed, or the client does not read what is written.
     Io(io::ErrorKind),
     /// Client: the startup was not complete in time.
     StartupTimeout,
-    /// Client: no complete statement came in time.
+    /// Client: no complete statement arrived in time.
     FirstStatementTimeout,
     /// Proxy: a drain closed it.
     Drained,
-    /// Proxy: it was idle, and client connection slots had run short.
+    /// Proxy: the connection was idle, and few client connection slots were free.
     ConnectionPressure,
     /// Proxy: all client connection slots are taken.
     OverLimit,
-    /// Client: too many invalid statements.
+    /// Client: it has sent too many invalid statements.
     ProtocolErrors,
-    /// The client got this fault, which says whose side failed.
+    /// The client was sent this fault. Its variant determines the side.
     Fault(Fault),
     /// Proxy: the core actor has ended.
     CoreEnded,
--- a/src/net/frontend/connection_registry.rs
+++ b/src/net/frontend/connection_registry.rs
@@ -1,4 +1,5 @@
-//! The open client connections, for the log: what each is doing while a drain waits for its end, and why each was closed.
+//! The open client connections, for the log: what each of them is doing while a drain waits for it, and why
+//! it was closed.
 
 use super::close_reason::CloseReason;
 use crate::protocol::Protocol;
@@ -12,13 +13,13 @@
 /// The most connections that are logged one by one, the oldest first; the others are only counted.
 const MAX_LOGGED_CONNECTIONS: usize = 8;
 
-/// What a connection's actor is doing.
+/// The current activity of a connection's actor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub(crate) enum Activity {
     /// Waits for the startup to be complete.
     Startup,
-    /// Waits for a request, and none has begun.
+    /// Waits for a request of which no byte has arrived.
     Idle,
     /// Waits for the rest of a message.
     Receiving,
@@ -28,11 +29,11 @@
     Paused,
     /// Writes to the client.
     Writing,
-    /// Writes the reason for its end, or discards what still comes.
+    /// Writes the error with which the connection ends, or discards what the client still sends.
     Ending,
 }
 
-/// All activities, by their numbers.
+/// All activities, indexed by their discriminants.
 const ACTIVITIES: [Activity; 7] = [
     Activity::Startup,
     Activity::Idle,
@@ -57,7 +58,7 @@
     }
 }
 
-/// One open connection, as its actor last described it.
+/// The state of an open connection, as last reported by its actor.
 #[derive(Debug)]
 pub(crate) struct ConnectionStatus {
     id: u64,
@@ -65,16 +66,17 @@
     peer: Option<SocketAddr>,
     accepted_at: Instant,
     activity: AtomicU8,
-    /// Requests whose answers are not written yet.
+    /// Number of requests whose answers are not written yet.
     open_requests: AtomicUsize,
-    /// Bytes read that are no complete message yet, or wait for capacity in the pipeline.
+    /// Number of bytes in the read buffer: an incomplete message, or messages that wait for capacity in the
+    /// pipeline.
     buffered_bytes: AtomicUsize,
-    /// When bytes were last read, in milliseconds from `accepted_at`.
-    read_ms: AtomicU64,
+    /// When bytes were last read, in milliseconds after `accepted_at`.
+    last_read_ms: AtomicU64,
 }
 
 impl ConnectionStatus {
-    /// Returns what the actor was doing when it last said so.
+    /// Returns the activity that the actor last reported.
     fn activity(&self) -> Activity {
         ACTIVITIES.get(usize::from(self.activity.load(Relaxed))).copied().unwrap_or(Activity::Startup)
     }
@@ -86,7 +88,7 @@
 
     /// Returns how long ago bytes were last read, in milliseconds.
     fn last_read_ago_ms(&self) -> u64 {
-        self.open_ms().saturating_sub(self.read_ms.load(Relaxed))
+        self.open_ms().saturating_sub(self.last_read_ms.load(Relaxed))
     }
 }
 
@@ -110,9 +112,9 @@
 /// The registry's state.
 #[derive(Debug, Default)]
 struct OpenConnections {
-    /// The number of the latest connection.
+    /// The id of the latest connection.
     last_id: u64,
-    /// The open connections by number, and so by age.
+    /// The open connections by id, and so the oldest first.
     open: BTreeMap<u64, Arc<ConnectionStatus>>,
 }
 
@@ -121,8 +123,8 @@
 pub(crate) struct ConnectionRegistry(Arc<Mutex<OpenConnections>>);
 
 impl ConnectionRegistry {
-    /// Adds a connection that was just accepted, until its entry is dropped.
-    pub fn enter(&self, protocol: Protocol, peer: Option<SocketAddr>) -> ConnectionEntry {
+    /// Adds a connection that was just accepted. It is removed when the returned entry is dropped.
+    pub fn register(&self, protocol: Protocol, peer: Option<SocketAddr>) -> ConnectionEntry {
         let mut connections = self.connections();
         connections.last_id += 1;
         let status = Arc::new(ConnectionStatus {
@@ -133,13 +135,14 @@
             activity: AtomicU8::new(Activity::Startup as u8),
             open_requests: AtomicUsize::new(0),
             buffered_bytes: AtomicUsize::new(0),
-            read_ms: AtomicU64::new(0),
+            last_read_ms: AtomicU64::new(0),
         });
         connections.open.insert(status.id, Arc::clone(&status));
         ConnectionEntry { status, registry: self.clone() }
     }
 
-    /// Logs which connections are still open since a drain of this kind began. Returns whether there are any.
+    /// Logs the connections that are still open while a drain waits for them. `kind` is the drain's kind in
+    /// the log. Returns whether there are any.
     pub(super) fn log_open(&self, kind: &str, started_at: Instant) -> bool {
         let open: Vec<Arc<ConnectionStatus>> = self.connections().open.values().cloned().collect();
         let mut counts: BTreeMap<Activity, usize> = BTreeMap::new();
@@ -167,7 +170,7 @@
     }
 }
 
-/// A connection's entry in the registry, removed on drop.
+/// The entry of a connection in the registry, removed on drop.
 #[derive(Debug)]
 pub(crate) struct ConnectionEntry {
     status: Arc<ConnectionStatus>,
@@ -175,13 +178,20 @@
 }
 
 impl ConnectionEntry {
-    /// Records what the actor does now and what it holds.
-    pub fn update(&self, activity: Activity, open_requests: usize, buffered_bytes: usize, read_at: Instant) {
+    /// Records the actor's current activity, its open requests, its buffered bytes and the time of the last
+    /// read.
+    pub fn update(
+        &self,
+        activity: Activity,
+        open_requests: usize,
+        buffered_bytes: usize,
+        last_read_at: Instant,
+    ) {
         self.status.activity.store(activity as u8, Relaxed);
         self.status.open_requests.store(open_requests, Relaxed);
         self.status.buffered_bytes.store(buffered_bytes, Relaxed);
-        let read = read_at.saturating_duration_since(self.status.accepted_at);
-        self.status.read_ms.store(read.as_millis() as u64, Relaxed);
+        let last_read = last_read_at.saturating_duration_since(self.status.accepted_at);
+        self.status.last_read_ms.store(last_read.as_millis() as u64, Relaxed);
     }
 
     /// Logs why the connection is closed: at level info during a drain, else at debug.
--- a/src/net/frontend/context.rs
+++ b/src/net/frontend/context.rs
@@ -1,4 +1,4 @@
-//! What all client actors share, and the settings and drains as they see them.
+//! The state that the acceptor and all client actors share, the settings and the drains among it.
 
 use super::cancel::Cancellations;
 use super::connection_registry::ConnectionRegistry;
@@ -23,15 +23,16 @@
 pub(crate) struct FrontendSettings {
     /// Names of classes and tenants.
     pub names: Names,
-    /// What a graceful shutdown does when.
+    /// The schedule of a graceful shutdown.
     pub shutdown: ShutdownSchedule,
-    /// When clients that find no connection slot may retry; `None` if clients are given no such time.
+    /// The time after which clients without a connection slot may retry; `None` if the settings do not allow
+    /// sending it.
     pub retry_after: Option<TimeDelta>,
 }
 
 impl FrontendSettings {
-    /// Returns the settings in a configuration. The shutdown schedule depends on the longest deadline among classes that
-    /// accept requests.
+    /// Returns the part of a configuration that concerns clients. The shutdown schedule depends on the
+    /// longest deadline of the classes that accept requests.
     pub fn of(config: &Config) -> Self {
         let classes = config.names.classes.iter().zip(&config.settings.classes);
         let longest = classes.filter(|(name, _)| name.is_configured).map(|(_, class)| class.deadline.0).max();
@@ -44,22 +45,22 @@
     }
 }
 
-/// What the acceptor and all client actors share.
+/// The state that the acceptor and all client actors share.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientContext {
-    /// The clock of decisions.
+    /// Converts times for decisions.
     pub clock: Clock,
     /// Mailbox of the core actor.
     pub events: mpsc::Sender<CoreEvent>,
-    /// The settings that concern clients; replaced when the configuration is reloaded.
+    /// The current settings, replaced when the configuration is reloaded.
     pub settings: watch::Receiver<Arc<FrontendSettings>>,
-    /// Readiness, and since when the console has quiesced the proxy.
+    /// Readiness, and the state that the console changes.
     pub admin: AdminState,
-    /// When SIGTERM came.
+    /// When SIGTERM was received; `None` before.
     pub draining: watch::Receiver<Option<Instant>>,
     /// The proxy's counters.
     pub counters: Arc<Counters>,
-    /// Counts and logs what is rejected.
+    /// Counts and logs rejections.
     pub rejections: Rejections,
     /// The memory budget.
     pub memory: Memory,
@@ -67,43 +68,44 @@
     pub reclaims: watch::Receiver<Vec<Arc<Reclaim>>>,
     /// The number of client connection slots.
     pub max_clients: usize,
-    /// What one connection may have in its pipeline.
+    /// Limits on the pipeline of one connection.
     pub pipeline_limits: PipelineLimits,
-    /// The keys by which clients cancel requests of other connections.
+    /// The keys for cancelling requests from another connection.
     pub cancellations: Cancellations,
     /// The open connections, for the log.
     pub connections: ConnectionRegistry,
 }
 
 impl ClientContext {
-    /// Returns when SIGTERM came and the schedule that the process follows from then on; `None` before.
+    /// Returns when SIGTERM was received, and the schedule that counts from then; `None` before.
     pub(super) fn shutdown(&self) -> Option<(Instant, ShutdownSchedule)> {
         self.draining.borrow().map(|started_at| (started_at, self.settings.borrow().shutdown))
     }
 
-    /// Returns the drains that have begun, as [`connection`] takes them.
+    /// Returns the drains that have begun, in the form that [`connection`] takes.
     pub(super) fn active_drains(&self) -> impl Iterator<Item = ActiveDrain> {
         let quiesced = self.admin.quiesced.borrow().map(|started_at| ActiveDrain {
             started_at: self.clock.timestamp(started_at),
             schedule: ConnectionSchedule::QUIESCE,
             ends_process: false,
         });
-        let terminated = self.shutdown().map(|(started_at, schedule)| ActiveDrain {
+        let shutdown = self.shutdown().map(|(started_at, schedule)| ActiveDrain {
             started_at: self.clock.timestamp(started_at),
             schedule: schedule.into(),
             ends_process: true,
         });
-        quiesced.into_iter().chain(terminated)
+        quiesced.into_iter().chain(shutdown)
     }
 
-    /// Returns until when the startup of a connection may take that is accepted now, or is in its startup as a drain
-    /// begins; `None` without a drain.
+    /// Returns the end of the startup of a connection that is accepted now, or was in its startup when a
+    /// drain began; `None` without a drain.
     pub(super) fn startup_deadline(&self) -> Option<Instant> {
         let deadline = connection::startup_deadline(self.active_drains(), self.clock.now());
         deadline.map(|deadline| self.clock.instant(deadline))
     }
 
-    /// Returns by when a request that is read now has to be answered; `None` unless the process ends.
+    /// Returns when the answers to requests that are read now are due; `None` unless the process is shutting
+    /// down.
     pub(super) fn answers_due_at(&self) -> Option<Instant> {
         let due = connection::answers_due_at(self.active_drains());
         due.map(|due| self.clock.instant(due))
@@ -114,7 +116,8 @@
         self.draining.borrow().is_some() || self.admin.quiesced.borrow().is_some()
     }
 
-    /// Returns when a rejected client may retry; `None` if clients are given no such time.
+    /// Returns the time after which a rejected client may retry; `None` if the settings do not allow sending
+    /// it.
     pub(super) fn retry_after(&self) -> Option<TimeDelta> {
         self.settings.borrow().retry_after
     }
--- a/src/net/frontend/listeners.rs
+++ b/src/net/frontend/listeners.rs
@@ -1,6 +1,6 @@
 //! The listening sockets, each with its protocol.
 
-use super::acceptor::Directed;
+use super::acceptor::Redirection;
 use super::port_group;
 use crate::net::local_faults;
 use crate::protocol::Protocol;
@@ -12,55 +12,59 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// Connections that the system holds for a listener before they are accepted.
+/// Maximum number of connections in a listener's accept queue.
 const BACKLOG: i32 = 1024;
 
 /// A listening socket.
 #[derive(Debug)]
 pub(super) struct Listener {
     pub socket: TcpListener,
-    /// The protocol that is spoken there.
+    /// The protocol that its clients speak.
     pub protocol: Protocol,
-    /// Where new connections go instead while the listener is handed over.
-    pub directed: Option<Directed>,
+    /// Where new connections go while the listener is handed over to another process.
+    pub redirection: Option<Redirection>,
 }
 
 impl Listener {
-    /// Accepts the connections that wait, whether or not the runtime has heard of them, and adds them to `waiting`.
+    /// Accepts all connections in the accept queue, whether or not the runtime has seen them, and appends
+    /// them to `accepted`.
     ///
     /// # Errors
-    /// When this machine has run out of descriptors or buffers: further connections may wait.
-    pub fn accept_queue(&self, waiting: &mut Vec<TcpStream>) -> io::Result<()> {
+    /// When this machine has run out of file descriptors or buffers: further connections may be left in the
+    /// queue.
+    pub fn accept_queue(&self, accepted: &mut Vec<TcpStream>) -> io::Result<()> {
         let socket = SockRef::from(&self.socket);
         loop {
             match socket.accept() {
-                Ok((accepted, _)) => {
-                    accepted.set_nonblocking(true)?;
-                    waiting.push(TcpStream::from_std(accepted.into())?);
+                Ok((connection, _)) => {
+                    connection.set_nonblocking(true)?;
+                    accepted.push(TcpStream::from_std(connection.into())?);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if local_faults::is_exhausted(&error) => return Err(error),
-                // Of a connection that is gone: the next one may wait behind it (accept(2), "Error handling").
+                // Concerns a connection that failed before it was accepted: others may wait behind it
+                // (accept(2), "Error handling").
                 Err(_) => {}
             }
         }
     }
 }
 
-/// The listening sockets, each with the protocol that is spoken there.
+/// The listening sockets of this process.
 #[derive(Debug)]
 pub(crate) struct Listeners {
-    /// Those that are open.
+    /// The open listeners.
     pub(super) all: Vec<Listener>,
-    /// The listener that is polled first. It advances with each call, so that no listener starves another.
+    /// Index of the listener that is polled first, modulo the number of listeners. It advances with each
+    /// call, so that no listener starves another.
     next: usize,
 }
 
 impl Listeners {
-    /// Listens on these addresses, and on no other.
+    /// Listens on these addresses. Retries local faults for up to [`local_faults::PROCESS_STARTUP_TIMEOUT`].
     ///
     /// # Errors
-    /// When the system refuses one of them; the message names the address.
+    /// When an address cannot be bound; the message names the address.
     pub async fn bind(addresses: &[(Protocol, SocketAddr)]) -> io::Result<Self> {
         let mut all = Vec::with_capacity(addresses.len());
         for (protocol, address) in addresses {
@@ -68,21 +72,21 @@
             let bound = local_faults::retry_local_faults(until, || async { bind_shared(*address) }).await;
             let bound = bound.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()));
             let named = |error: io::Error| io::Error::new(error.kind(), format!("{address}: {error}"));
-            all.push(Listener { socket: bound.map_err(named)?, protocol: *protocol, directed: None });
+            all.push(Listener { socket: bound.map_err(named)?, protocol: *protocol, redirection: None });
         }
         Ok(Self { all, next: 0 })
     }
 
-    /// Returns where clients connect, and what is spoken there.
+    /// Returns the protocol and the address of each open listener.
     ///
     /// # Errors
-    /// When the system does not say.
+    /// Those of getsockname(2).
     pub fn addresses(&self) -> io::Result<Vec<(Protocol, SocketAddr)>> {
         self.all.iter().map(|listener| Ok((listener.protocol, listener.socket.local_addr()?))).collect()
     }
 
-    /// Accepts the next connection of any listener; waits forever if none is open. Cancel safe: no accepted connection is
-    /// lost.
+    /// Accepts the next connection at any listener; waits forever if no listener is open. Cancel safe: no
+    /// accepted connection is lost.
     ///
     /// # Errors
     /// Those of accept(2).
@@ -102,11 +106,12 @@
     }
 }
 
-/// Returns a listener whose address a second process of the same user may share (SO_REUSEPORT, Linux socket(7)). During an
-/// upgrade the new process listens beside the old one, and the system distributes new connections over both.
+/// Returns a listener whose address a second process of the same user may share (SO_REUSEPORT, Linux
+/// socket(7)). During an upgrade the new process listens beside the old one, and the system distributes new
+/// connections over both.
 ///
 /// # Errors
-/// When the system refuses the address, also because a process that doesn't share it listens there.
+/// When the address cannot be bound, for example because a process that doesn't share it listens there.
 fn bind_shared(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -119,7 +124,8 @@
     Ok(listener)
 }
 
-/// Takes away what an earlier handover has left in force at an address that is shared. The listener works without that.
+/// Removes a redirection that an earlier handover left in force at a shared address. Failures are only
+/// logged, since the listener works without this.
 fn distribute_if_shared(listener: &TcpListener) {
     let distribute = || {
         let is_shared = port_group::members(listener.local_addr()?)?.count() > 1;
@@ -129,7 +135,7 @@
         Ok::<(), io::Error>(())
     };
     if let Err(error) = distribute() {
-        tracing::debug!(error = %error, "connections to a shared address not distributed anew");
+        tracing::debug!(error = %error, "redirection of a shared address not removed");
     }
 }
 
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -1,20 +1,20 @@
-//! The side of the proxy that faces clients: listeners, admission of connections, and an actor for each connection.
+//! The client side of the proxy: listeners, admission of connections, and an actor for each connection.
 //!
-//! | file | owns |
+//! | file | content |
 //! | --- | --- |
 //! | `listeners.rs` | the listening sockets |
 //! | `port_group.rs` | the sockets of several processes that listen at one address |
 //! | `acceptor.rs` | the accept loop, and the end of the process after a drain |
 //! | `acceptor/handover.rs` | listeners that are handed over to another process |
 //! | `admission.rs` | client connection slots, eviction of idle clients, connection pressure |
-//! | `context.rs` | what all client actors share; the settings and drains as they see them |
+//! | `context.rs` | the state that all client actors share |
 //! | `connection_registry.rs` | the open connections, for the log |
-//! | `drain_report.rs` | the log of what a drain waits for |
-//! | `client/` | one client connection: its actor, whatever protocol it speaks |
-//! | `conversation.rs` | what a protocol has to provide; `postgres.rs` and `tds/` implement it |
-//! | `request.rs` | from a statement to a request |
-//! | `fault.rs`, `close_reason.rs` | the errors that clients get, and why connections are closed |
-//! | `cancel.rs` | requests that are cancelled from another connection |
+//! | `drain_report.rs` | log lines about connections that a drain waits for |
+//! | `client/` | the actor of a client connection, whatever protocol the client speaks |
+//! | `conversation.rs` | the interface of a client protocol; `postgres.rs` and `tds/` implement it |
+//! | `request.rs` | parsing of statements into requests |
+//! | `fault.rs`, `close_reason.rs` | the errors that clients are sent; the reasons for closed connections |
+//! | `cancel.rs` | cancellation of requests from another connection |
 
 mod acceptor;
 mod admission;
--- a/src/net/frontend/port_group.rs
+++ b/src/net/frontend/port_group.rs
@@ -1,8 +1,10 @@
-//! The sockets that listen at one address, those of other processes among them (SO_REUSEPORT, socket(7)).
+//! Port groups: all sockets that listen at one address, those of other processes included (SO_REUSEPORT,
+//! socket(7)).
 //!
-//! The system numbers the members of such a group in the order in which they began to listen; once a member is closed the
-//! last one takes its number. It distributes new connections over all members, unless a program that is attached to the
-//! group names the member that gets them. The program belongs to the group: it outlives the process that attached it.
+//! The kernel numbers the members of a group in the order in which they began to listen; when a member is
+//! closed, the last one takes its number. The kernel distributes new connections over all members, unless a
+//! BPF program that is attached to the group selects one. The program belongs to the group, and so outlives
+//! the process that attached it.
 
 use nix::sys::socket::{setsockopt, sockopt::AttachReusePortCbpf};
 use std::fs::File;
@@ -10,26 +12,26 @@
 use std::net::{IpAddr, SocketAddr};
 use std::os::fd::AsFd;
 
-/// The state of a listening socket in the system's tables of sockets.
+/// The state of a listening socket in `/proc/net/tcp` and `/proc/net/tcp6`.
 const LISTENING: &str = "0A";
-/// A number that no member has: the system distributes connections as it does without a program.
+/// A number that no member has. A program that returns it leaves the distribution to the kernel.
 const NO_MEMBER: u32 = u32::MAX;
 
 /// The number of a member of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Member(pub u32);
 
-/// Returns the members of the group at this address, the last one first.
+/// Returns the members of the group at an address, the last one first.
 ///
 /// # Errors
-/// When the system does not show its sockets.
+/// When the kernel's table of sockets cannot be read.
 pub(super) fn members(address: SocketAddr) -> io::Result<impl Iterator<Item = Member>> {
     let table = if address.is_ipv4() { "/proc/net/tcp" } else { "/proc/net/tcp6" };
-    let count = count_listening(BufReader::new(File::open(table)?), &as_in_table(address))?;
+    let count = count_listening(BufReader::new(File::open(table)?), &proc_net_address(address))?;
     Ok((0..count).rev().map(Member))
 }
 
-/// Directs all new connections of the group to one member. Without effect where no member has that number.
+/// Directs all new connections of the group to one member. Has no effect if no member has that number.
 ///
 /// # Errors
 /// Those of setsockopt(2).
@@ -37,7 +39,7 @@
     attach_program(listener, member.0)
 }
 
-/// Lets the system distribute new connections over all members.
+/// Leaves the distribution of new connections over all members to the kernel.
 ///
 /// # Errors
 /// Those of setsockopt(2).
@@ -45,7 +47,7 @@
     attach_program(listener, NO_MEMBER)
 }
 
-/// Attaches a program to the group that returns this number for each new connection.
+/// Attaches to the group a BPF program that returns `number` for each new connection.
 fn attach_program(listener: &impl AsFd, number: u32) -> io::Result<()> {
     let code = u16::try_from(libc::BPF_RET | libc::BPF_K).map_err(io::Error::other)?;
     let mut instructions = [libc::sock_filter { code, jt: 0, jf: 0, k: number }];
@@ -53,9 +55,9 @@
     setsockopt(listener, AttachReusePortCbpf, &program).map_err(io::Error::from)
 }
 
-/// Returns an address in the form of the system's tables: the words of the IP address in the machine's byte order, and the
-/// port.
-fn as_in_table(address: SocketAddr) -> String {
+/// Formats an address as in `/proc/net/tcp` and `/proc/net/tcp6`: the 32-bit words of the IP address in the
+/// machine's byte order, and the port.
+fn proc_net_address(address: SocketAddr) -> String {
     let octets = match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
         IpAddr::V6(ip) => ip.octets().to_vec(),
@@ -65,7 +67,8 @@
     format!("{ip}:{:04X}", address.port())
 }
 
-/// Counts the sockets of a table that listen at this address. The table begins with a heading and the listening sockets.
+/// Counts the sockets in a table of `/proc/net` that listen at an address. The table consists of a heading,
+/// the listening sockets and all others.
 fn count_listening(table: impl BufRead, address: &str) -> io::Result<u32> {
     let mut count = 0;
     for line in table.lines().skip(1) {
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -1,4 +1,5 @@
-//! From a statement to a request: names become indices into the settings, and required parts are checked.
+//! Parsing of statements into requests: names become indices into the settings, and required fields are
+//! checked.
 
 use super::fault::Fault;
 use crate::config::Names;
@@ -8,14 +9,15 @@
 use bytes::Bytes;
 use std::time::Duration;
 
-/// The longest timeout of a request; a longer one counts as this. Timers have an upper bound.
+/// The maximum timeout of a request. Longer timeouts are cut to it, since timers have an upper bound.
 const MAX_TIMEOUT: Duration = Duration::from_secs(3_600);
 
 /// Parses a statement.
 ///
 /// # Errors
-/// When it has another form, names an unknown class or one that it doesn't fit, or lacks what this installation requires:
-/// a tenant if the settings have tenants, an idempotency key if its class needs one.
+/// When the statement has an unsupported form, names an unknown class, writes although its class reads or the
+/// other way round, or lacks a required field: a tenant if the settings have tenants, an idempotency key if
+/// its class needs one.
 pub(super) fn parse(text: Bytes, names: &Names) -> Result<Request, Fault> {
     let statement = std::str::from_utf8(&text).map_err(|_| Fault::Encoding)?;
     let KvStatement { write: is_write, key, value_at, comment } =
@@ -33,7 +35,7 @@
     if comment.tenant.is_none() && names.has_tenants() {
         return Err(Fault::Statement(StatementError::Lacks("t")));
     }
-    // A tenant that the settings do not name has no quota: the router gives it full weight.
+    // A tenant without an entry in the settings has no quota: the router gives it full weight.
     let tenant = comment.tenant.as_deref().and_then(|name| names.tenant(name));
     let last_write_at = comment.after_ms.filter(|ms| *ms > 0.0).map(|ms| Timestamp((ms * 1e3) as i64));
     let timeout = Duration::try_from_secs_f64(comment.wait_ms / 1e3);
