--- a/src/net/console/mod.rs
+++ b/src/net/console/mod.rs
@@ -28,8 +28,8 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long a client may take to send the complete head of its HTTP request. Every response is due within 1
-/// s.
+/// How long a client may take to send the complete head of its HTTP request. Every response is due within
+/// one second.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(800);
 /// The maximum duration of a connection, whatever the client does.
 const CONNECTION_TIMEOUT: Duration = Duration::from_millis(950);
--- a/src/net/frontend/admission.rs
+++ b/src/net/frontend/admission.rs
@@ -77,7 +77,8 @@
         self.0.len()
     }
 
-    /// Returns whether the oldest connection has reached [`EVICTION_AGE`].
+    /// Returns whether the oldest connection has reached [`EVICTION_AGE`]: its client has had time to
+    /// complete the startup or to send a request, after which it would be kept.
     fn has_overdue(&self) -> bool {
         self.0.front().is_some_and(|(added_at, _)| added_at.elapsed() >= EVICTION_AGE)
     }
--- a/src/net/frontend/cancel.rs
+++ b/src/net/frontend/cancel.rs
@@ -32,8 +32,8 @@
         None
     }
 
-    /// Cancels the running request on the connection with this key, if there is one. The protocol has no
-    /// reply that tells.
+    /// Cancels the running request on the connection with this key, if there is one. The protocol
+    /// defines no reply.
     pub(super) fn cancel(&self, key: CancelKey) {
         let connections = self.connections();
         if let Some(cancelled) = connections.get(&key.secret).filter(|_| key.process == std::process::id()) {
--- a/src/net/frontend/client/waiting.rs
+++ b/src/net/frontend/client/waiting.rs
@@ -161,7 +161,7 @@
         self.state.unread_turns <= MAX_UNREAD_TURNS && has_unread_bytes(&self.socket)
     }
 
-    /// Fails a message that is not complete in time, or closes a connection without a first request in time.
+    /// Fails a message that is not complete in time, or closes a connection that has sent no request in time.
     async fn handle_statement_deadline(&mut self) -> Result<(), ConnectionEnd> {
         if self.state.partial_since.is_some() {
             self.fail_partial_message();
--- a/src/net/frontend/context.rs
+++ b/src/net/frontend/context.rs
@@ -1,4 +1,4 @@
-//! The state that the acceptor and all client actors share, the settings and the drains among it.
+//! The state that the acceptor and all client actors share, including the settings and the drains.
 
 use super::cancel::Cancellations;
 use super::connection_registry::ConnectionRegistry;
--- a/src/net/memory.rs
+++ b/src/net/memory.rs
@@ -35,7 +35,7 @@
 
 impl Reclaim {
     /// Claims up to `bytes` for a client with this account. Returns whether the client has to release its
-    /// buffers: if it is of the account in question and an amount was left.
+    /// buffers: it does if the accounts match and a part of the amount is left.
     pub fn claim(&self, account: AccountId, bytes: u64) -> bool {
         let claim = |remaining: u64| (remaining > 0).then(|| remaining.saturating_sub(bytes));
         account == self.account && self.remaining_bytes.fetch_update(Relaxed, Relaxed, claim).is_ok()
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -26,7 +26,7 @@
     pub text: Bytes,
     /// Range in `text` of the client's timeout in milliseconds.
     pub timeout_range: Range<usize>,
-    /// Range in `text` of a write's value in hexadecimal digits; none for a read.
+    /// Range in `text` of a write's value in hexadecimal digits; `None` for a read.
     pub value_range: Option<Range<usize>>,
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The network side of the proxy: actors that own sockets, one for each client, each host, discovery and the
-//! core. Routing and other decisions are made in `wheelpier_decisions`, without I/O.
+//! The network side of the proxy: one actor for each client, for each host, for discovery and for the core.
+//! Routing and other decisions are made in `wheelpier_decisions`, without I/O.
 //!
 //! - `proxy`, `serve`: bind the addresses; start the actors, run and stop them
 //! - `core`: owns the router and the requests in flight
@@ -10,7 +10,7 @@
 //! - `peers`: the other proxies of the fleet
 //! - `messages`, `stream`: the messages between actors, and the stream that carries a large answer
 //! - `memory`, `rejections`, `clock`: memory accounting, records of rejections and time, shared by the actors
-//! - `socket`, `local_faults`: TCP connections, and retries of system calls that lack local resources
+//! - `socket`, `local_faults`: TCP connections; retries of system calls that fail for lack of local resources
 //!
 //! Mailboxes cannot deadlock. The core actor may wait for capacity in a host actor's mailbox, so a host actor
 //! never waits for the core's: it keeps its events until the core has capacity. The core actor never waits
--- a/src/net/rejections.rs
+++ b/src/net/rejections.rs
@@ -27,8 +27,8 @@
         Self { counters, clock, rate_limit: Arc::new(Mutex::new(RateLimitedLog::new(LOG_INTERVAL))) }
     }
 
-    /// Counts a rejection, and logs it unless its reason was logged within [`LOG_INTERVAL`]. `cause` is the
-    /// text of the error in the log line.
+    /// Counts a rejection, and logs it unless its reason was logged within [`LOG_INTERVAL`]. `cause`
+    /// describes the problem in the log line.
     pub fn record(&self, reason: RejectionReason, cause: impl Display) {
         self.counters.rejected(reason);
         let mut rate_limit = self.rate_limit.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -275,8 +275,8 @@
             let _ = timeout(FLEET_LEAVE_TIMEOUT, fleet).await;
         }
         self.log_counters();
-        // A graceful shutdown ends after the last client actor, and so after the last request. Only after a
-        // failure of the core can requests be left.
+        // A graceful shutdown ends after the last client actor, and so after the last request. Requests can
+        // be left only after a failure of the core.
         let unanswered_requests = self.counters.outstanding();
         if unanswered_requests > 0 {
             tracing::error!(unanswered_requests, "stopped with unanswered requests");
