--- a/crates/emulator/src/net/actor.rs
+++ b/crates/emulator/src/net/actor.rs
@@ -16,11 +16,11 @@
 
 /// What the world's actor is told.
 #[derive(Debug)]
-pub enum Told {
+pub enum WorldMessage {
     /// The script's time begins.
     Begin,
     /// A proxy process is stopped or held up for that long now and then.
-    HeldUp(usize, Micros),
+    ProcessPauses(usize, Micros),
     /// Somebody connects to a host; no answer is one that says nothing.
     Greet(usize, oneshot::Sender<()>),
     /// A request has come to a host.
@@ -105,7 +105,7 @@
         }
     }
 
-    pub async fn run(mut self, mut mailbox: mpsc::Receiver<Told>, mut ends: watch::Receiver<()>) {
+    pub async fn run(mut self, mut mailbox: mpsc::Receiver<WorldMessage>, mut ends: watch::Receiver<()>) {
         loop {
             let due = [self.world.next(), self.began.zip(self.script.next()).map(|(b, at)| b + at)];
             let due = due.into_iter().flatten().min().map(|at| self.clock.instant(at));
@@ -116,8 +116,8 @@
                 }
             };
             tokio::select! {
-                told = mailbox.recv() => match told {
-                    Some(told) => self.told(told),
+                message = mailbox.recv() => match message {
+                    Some(message) => self.handle(message),
                     None => return,
                 },
                 () = wait => self.advance(),
@@ -137,25 +137,25 @@
     }
 
     #[expect(clippy::too_many_lines)]
-    fn told(&mut self, told: Told) {
+    fn handle(&mut self, message: WorldMessage) {
         // What was due before comes first.
         self.advance();
         let now = self.clock.now();
-        match told {
-            Told::Begin => self.began = Some(now),
-            Told::HeldUp(process, span) => self.checker.held_up(process, span),
-            Told::Greet(host, answer) => {
+        match message {
+            WorldMessage::Begin => self.began = Some(now),
+            WorldMessage::ProcessPauses(process, span) => self.checker.held_up(process, span),
+            WorldMessage::Greet(host, answer) => {
                 if matches!(self.world.state(host), State::Up | State::Draining) {
                     let _ = answer.send(());
                 }
             }
-            Told::Load(host, id, answer) => {
+            WorldMessage::Load(host, id, answer) => {
                 if matches!(self.world.state(host), State::Up | State::Draining) {
                     self.note_role(now, host, id.as_deref().unwrap_or_default(), self.world.is_primary(host));
                     let _ = answer.send((self.world.report(host, now), self.world.delivery(host)));
                 }
             }
-            Told::Query(host, ticket, query, answer) => {
+            WorldMessage::Query(host, ticket, query, answer) => {
                 self.attempts += 1;
                 self.checker.sent(now, host, &query.id);
                 if let Some(needed) = self.world.needed(now, &query).filter(|_| self.world.runs(host)) {
@@ -172,17 +172,17 @@
                 let effects = self.world.arrive(now, ticket, host, query);
                 self.carry_out(effects);
             }
-            Told::Cancel(ticket) => {
+            WorldMessage::Cancel(ticket) => {
                 self.open.remove(&ticket);
                 self.world.cancel(ticket);
             }
-            Told::Written(host, status) => self.checker.told(now, host, status),
-            Told::Asked { id, session, proxy, until } => {
+            WorldMessage::Written(host, status) => self.checker.told(now, host, status),
+            WorldMessage::Asked { id, session, proxy, until } => {
                 self.world.ask(&id, &session);
                 self.checker.asked_of(&id, proxy);
                 self.checker.asked(&id, until);
             }
-            Told::Answered { id, value, wrote } => {
+            WorldMessage::Answered { id, value, wrote } => {
                 self.world.answered(&id);
                 let made = World::content(&id);
                 self.checker.answered(now, &id, value.as_deref().map(|value| (value, made.as_str())));
@@ -190,15 +190,15 @@
                     self.world.acknowledge(&session, commit);
                 }
             }
-            Told::Lost(id) => {
+            WorldMessage::Lost(id) => {
                 self.world.answered(&id);
                 self.checker.lost(&id);
             }
-            Told::Withdrawn(id) => {
+            WorldMessage::Withdrawn(id) => {
                 self.world.answered(&id);
                 self.checker.withdrawn(&id);
             }
-            Told::Judge(answer) => {
+            WorldMessage::Judge(answer) => {
                 self.checker.end();
                 let _ = answer.send(self.verdict());
             }
--- a/crates/emulator/src/net/discovery.rs
+++ b/crates/emulator/src/net/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: the list, and watches that are told its changes.
 
-use super::actor::Told;
+use super::actor::WorldMessage;
 use super::Wire;
 use crate::spec::Discovery;
 use crate::world::{Status, World};
@@ -105,7 +105,7 @@
 pub(super) async fn serve(
     address: SocketAddr,
     list: watch::Receiver<Roster>,
-    mailbox: mpsc::Sender<Told>,
+    mailbox: mpsc::Sender<WorldMessage>,
     terms: Discovery,
     mut ends: watch::Receiver<()>,
 ) -> io::Result<SocketAddr> {
@@ -168,7 +168,7 @@
 fn answer(
     request: &Request<hyper::body::Incoming>,
     list: watch::Receiver<Roster>,
-    mailbox: mpsc::Sender<Told>,
+    mailbox: mpsc::Sender<WorldMessage>,
 ) -> Response<Body> {
     if request.uri().path() != "/catalog/members" {
         return refused(StatusCode::NOT_FOUND);
@@ -189,7 +189,7 @@
 async fn follow(
     mut since: Option<u64>,
     mut list: watch::Receiver<Roster>,
-    mailbox: mpsc::Sender<Told>,
+    mailbox: mpsc::Sender<WorldMessage>,
     lines: mpsc::Sender<Result<Frame<Bytes>, Infallible>>,
 ) {
     loop {
@@ -202,7 +202,7 @@
         }
         since = Some(roster.index);
         for (host, status) in news {
-            if mailbox.send(Told::Written(host, status)).await.is_err() {
+            if mailbox.send(WorldMessage::Written(host, status)).await.is_err() {
                 return;
             }
         }
--- a/crates/emulator/src/net/front.rs
+++ b/crates/emulator/src/net/front.rs
@@ -1,6 +1,6 @@
 //! A host's port: connections under either protocol, and what goes between them and the world's actor.
 
-use super::actor::{Answer, Told};
+use super::actor::{Answer, WorldMessage};
 use super::postgres::Postgres;
 use super::tds::Tds;
 use super::{Clock, Tickets, Wire};
@@ -24,7 +24,7 @@
     pub host: usize,
     pub wire: Wire,
     pub clock: Clock,
-    pub mailbox: mpsc::Sender<Told>,
+    pub mailbox: mpsc::Sender<WorldMessage>,
     pub tickets: Tickets,
     pub classes: Arc<Spec>,
 }
@@ -182,12 +182,12 @@
         match heard {
             Heard::Greeting => {
                 let host = self.place.host;
-                self.ask(|answer| Told::Greet(host, answer)).await?;
+                self.ask(|answer| WorldMessage::Greet(host, answer)).await?;
             }
             Heard::Load if !self.place.classes.reports => self.front.unknown(&mut self.out),
             Heard::Load => {
                 let (host, id) = (self.place.host, self.last_request.clone());
-                let (report, delivery) = self.ask(|answer| Told::Load(host, id, answer)).await?;
+                let (report, delivery) = self.ask(|answer| WorldMessage::Load(host, id, answer)).await?;
                 self.front.text(&report, &mut self.out);
                 return self.is_delivered(delivery).await;
             }
@@ -216,16 +216,16 @@
     async fn run(&mut self, query: Query) -> io::Result<Answer<Reply>> {
         let (host, ticket) = (self.place.host, self.place.tickets.next());
         self.last_request = Some(query.id.clone());
-        let reply = self.ask(|answer| Told::Query(host, ticket, query, answer)).await;
+        let reply = self.ask(|answer| WorldMessage::Query(host, ticket, query, answer)).await;
         if reply.is_err() {
-            let _ = self.place.mailbox.send(Told::Cancel(ticket)).await;
+            let _ = self.place.mailbox.send(WorldMessage::Cancel(ticket)).await;
         }
         reply
     }
 
     /// Asks the world and waits, for as long as the other side is there. Where there is no answer to be had, it
     /// waits all the same: such a host says nothing.
-    async fn ask<T>(&mut self, told: impl FnOnce(oneshot::Sender<T>) -> Told) -> io::Result<T> {
+    async fn ask<T>(&mut self, told: impl FnOnce(oneshot::Sender<T>) -> WorldMessage) -> io::Result<T> {
         let (answer, mut answered) = oneshot::channel();
         let gone = || io::Error::from(io::ErrorKind::ConnectionAborted);
         self.place.mailbox.send(told(answer)).await.map_err(|_| gone())?;
--- a/crates/emulator/src/net/mod.rs
+++ b/crates/emulator/src/net/mod.rs
@@ -23,7 +23,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-pub use actor::Told;
+pub use actor::WorldMessage;
 
 /// What may wait for the world's actor.
 const MAILBOX: usize = 4_096;
@@ -108,7 +108,7 @@
     pub hosts: Vec<SocketAddr>,
     /// The list that a proxy holds at its start, as its configuration has it.
     pub known: serde_json::Value,
-    mailbox: mpsc::Sender<Told>,
+    mailbox: mpsc::Sender<WorldMessage>,
     /// Dropped with the installation: all its tasks end.
     _alive: watch::Sender<()>,
 }
@@ -169,13 +169,13 @@
     }
 
     /// The way to the world's actor.
-    pub fn mailbox(&self) -> mpsc::Sender<Told> {
+    pub fn mailbox(&self) -> mpsc::Sender<WorldMessage> {
         self.mailbox.clone()
     }
 
     /// The script's time runs from now on.
     pub async fn begin(&self) {
-        let _ = self.mailbox.send(Told::Begin).await;
+        let _ = self.mailbox.send(WorldMessage::Begin).await;
     }
 
     /// Nothing more comes: how the rules fared.
@@ -185,7 +185,7 @@
     pub async fn verdict(&self) -> io::Result<Verdict> {
         let ended = || io::Error::other("the stand-in's world has ended before its time");
         let (answer, verdict) = oneshot::channel();
-        self.mailbox.send(Told::Judge(answer)).await.map_err(|_| ended())?;
+        self.mailbox.send(WorldMessage::Judge(answer)).await.map_err(|_| ended())?;
         verdict.await.map_err(|_| ended())
     }
 }
--- a/crates/testbench/src/load.rs
+++ b/crates/testbench/src/load.rs
@@ -12,7 +12,7 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use wheelpier_emulator::checker::ProxyIncarnation;
 use wheelpier_emulator::net::client::{Answer, Client};
-use wheelpier_emulator::net::{Clock, Told, Wire};
+use wheelpier_emulator::net::{Clock, Wire, WorldMessage};
 use wheelpier_emulator::schedule::Planned;
 use wheelpier_emulator::spec::{Freshness, Spec};
 use wheelpier_emulator::Micros;
@@ -69,7 +69,7 @@
     /// The emulator's clock.
     pub clock: Clock,
     /// The emulated hosts, which are notified of each request.
-    pub world: mpsc::Sender<Told>,
+    pub world: mpsc::Sender<WorldMessage>,
 }
 
 /// Why a request has no answer.
@@ -117,18 +117,19 @@
         self.results.borrow_mut()[class].offered += 1;
         let until = clock.now() + patience.as_micros() as Micros;
         let (id, session) = (planned.id.clone(), planned.session.clone());
-        let _ = world.send(Told::Asked { id, session, proxy: ProxyIncarnation::default(), until }).await;
+        let _ =
+            world.send(WorldMessage::Asked { id, session, proxy: ProxyIncarnation::default(), until }).await;
         let answer = timeout(patience + PATIENCE, self.ask(&planned, patience)).await;
         let told = match &answer {
             Ok(Ok(Answer::Served(value))) => {
                 let writes = spec.classes[class].freshness == Freshness::Write;
                 let wrote = writes.then(|| planned.session.clone());
-                Told::Answered { id: planned.id, value: Some(value.clone()), wrote }
+                WorldMessage::Answered { id: planned.id, value: Some(value.clone()), wrote }
             }
-            Ok(Ok(_)) => Told::Answered { id: planned.id, value: None, wrote: None },
+            Ok(Ok(_)) => WorldMessage::Answered { id: planned.id, value: None, wrote: None },
             // Closed at the door, with nothing said: it was never taken.
-            Ok(Err(Failure::Door)) => Told::Withdrawn(planned.id),
-            _ => Told::Lost(planned.id),
+            Ok(Err(Failure::Door)) => WorldMessage::Withdrawn(planned.id),
+            _ => WorldMessage::Lost(planned.id),
         };
         let _ = world.send(told).await;
         self.count(class, at.elapsed(), answer.ok().and_then(Result::ok));
--- a/crates/testbench/src/soak/client.rs
+++ b/crates/testbench/src/soak/client.rs
@@ -13,7 +13,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
-use wheelpier_emulator::net::Told;
+use wheelpier_emulator::net::WorldMessage;
 use wheelpier_emulator::schedule::Planned;
 use wheelpier_emulator::spec::Freshness;
 use wheelpier_emulator::Micros;
@@ -168,7 +168,7 @@
         let _ = self
             .soak
             .world
-            .send(Told::Asked { id, session, proxy: self.boot.into(), until: until + LATE_US })
+            .send(WorldMessage::Asked { id, session, proxy: self.boot.into(), until: until + LATE_US })
             .await;
         let now = Instant::now();
         self.soak.ledger.borrow_mut().sent(self.number, now);
@@ -221,7 +221,7 @@
         }
         let writes = self.soak.plan.spec.classes[planned.class].freshness == Freshness::Write;
         let wrote = (writes && value.is_some()).then(|| planned.session.clone());
-        let _ = self.soak.world.send(Told::Answered { id: planned.id, value, wrote }).await;
+        let _ = self.soak.world.send(WorldMessage::Answered { id: planned.id, value, wrote }).await;
     }
 
     fn judge(&self, id: &str, due: Instant, start: &Start) {
@@ -238,7 +238,7 @@
         let is_excused = self.soak.is_excused(self.boot);
         self.soak.ledger.borrow_mut().closed(self.number, &ids, is_excused);
         for id in ids {
-            let _ = self.soak.world.send(Told::Withdrawn(id)).await;
+            let _ = self.soak.world.send(WorldMessage::Withdrawn(id)).await;
         }
     }
 }
--- a/crates/testbench/src/soak/mod.rs
+++ b/crates/testbench/src/soak/mod.rs
@@ -24,7 +24,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 use wheelpier_emulator::checker::Rule;
-use wheelpier_emulator::net::{Clock, Installation, Options, Told, Wire};
+use wheelpier_emulator::net::{Clock, Installation, Options, Wire, WorldMessage};
 use wheelpier_emulator::schedule::{self, Planned};
 use wheelpier_emulator::spec::Freshness;
 
@@ -154,7 +154,7 @@
 struct Soak {
     plan: Plan,
     clock: Clock,
-    world: mpsc::Sender<Told>,
+    world: mpsc::Sender<WorldMessage>,
     ledger: RefCell<Ledger>,
     addresses: Vec<SocketAddr>,
     states: RefCell<Vec<(State, u32)>>,
@@ -265,7 +265,7 @@
     });
     for process in 0..soak.plan.processes {
         let span = soak.plan.hold_up(process).as_micros() as i64;
-        let _ = soak.world.send(Told::HeldUp(process, span)).await;
+        let _ = soak.world.send(WorldMessage::ProcessPauses(process, span)).await;
     }
     installation.begin().await;
     let ends_at = Instant::now() + soak.plan.span;
