--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -26,7 +26,7 @@
     /// The least and the most work of a request, on one core.
     pub work: (Micros, Micros),
     /// Answered within this time it is worth all.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// How long its clients wait.
     pub deadline: Micros,
     /// What it is worth.
@@ -281,7 +281,7 @@
         let grade = |class: &Class| {
             let write = class.freshness == Freshness::Write;
             json!({
-                "name": class.name, "credit": class.worth, "onTime": seconds(class.aim),
+                "name": class.name, "credit": class.worth, "onTime": seconds(class.latency_objective),
                 "deadline": seconds(class.deadline), "lateWorth": class.late_worth, "streamed": false,
                 "repeat": if write { "token" } else { "pure" },
                 "group": if write { "cell" } else { "all" },
@@ -341,12 +341,21 @@
     name: &'static str,
     share: f64,
     work: (i64, i64),
-    aim: i64,
+    latency_objective: i64,
     deadline: i64,
     worth: f64,
     late_worth: f64,
     freshness: Freshness,
 ) -> Class {
     let work = (work.0 * MS, work.1 * MS);
-    Class { name, share, work, aim: aim * MS, deadline: deadline * MS, worth, late_worth, freshness }
+    Class {
+        name,
+        share,
+        work,
+        latency_objective: latency_objective * MS,
+        deadline: deadline * MS,
+        worth,
+        late_worth,
+        freshness,
+    }
 }
--- a/crates/testbench/src/fleet.rs
+++ b/crates/testbench/src/fleet.rs
@@ -267,8 +267,8 @@
         let value = served.then_some((made.as_bytes(), made.as_str()));
         self.nodes[router].checker.answered(self.now, &planned.id, value);
         self.world.answered(&planned.id);
-        let aim = self.day.spec.classes[planned.class].aim;
-        let in_time = served && self.now - START - planned.at <= aim;
+        let latency_objective = self.day.spec.classes[planned.class].latency_objective;
+        let in_time = served && self.now - START - planned.at <= latency_objective;
         let untried = !served && !self.nodes[router].attempts.contains_key(&id);
         let outcomes = self.metrics.classes.entry(planned.class).or_default();
         outcomes.in_time += u64::from(in_time);
--- a/crates/testbench/src/load.rs
+++ b/crates/testbench/src/load.rs
@@ -158,13 +158,13 @@
     }
 
     fn count(&self, class: usize, latency: Duration, answer: Option<Answer>) {
-        let aim = self.target.spec.classes[class].aim;
+        let latency_objective = self.target.spec.classes[class].latency_objective;
         let mut results = self.results.borrow_mut();
         let result = &mut results[class];
         match answer {
             Some(Answer::Served(_)) => {
                 result.served += 1;
-                result.in_time += u64::from(latency.as_micros() as Micros <= aim);
+                result.in_time += u64::from(latency.as_micros() as Micros <= latency_objective);
                 result.latency.saturating_record(latency.as_micros() as u64);
             }
             Some(Answer::Refused(_)) => result.refused += 1,
