--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -84,8 +84,9 @@
     /// Its capacity as a share of the full one.
     pub fn warmth(&self, spec: &Spec, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let grown = (now - started) as f64 / spec.cold as f64;
-        (spec.cold_from + (1.0 - spec.cold_from) * grown).clamp(spec.cold_from, 1.0)
+        let grown = (now - started) as f64 / spec.slow_start_window as f64;
+        (spec.slow_start_initial_fraction + (1.0 - spec.slow_start_initial_fraction) * grown)
+            .clamp(spec.slow_start_initial_fraction, 1.0)
     }
 
     /// How long so much work takes on one of its cores, as warm as it is now.
@@ -115,7 +116,7 @@
             return false;
         }
         self.sent.push_back((now, work));
-        while self.sent.front().is_some_and(|(at, _)| now - at > spec.fall) {
+        while self.sent.front().is_some_and(|(at, _)| now - at > spec.slow_start_budget_window) {
             self.sent.pop_front();
         }
         let sent: Micros = self.sent.iter().map(|(_, work)| work).sum();
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -113,13 +113,13 @@
     /// Requests that may wait at a host.
     pub queue: usize,
     /// Of a host's capacity when it has just started.
-    pub cold_from: f64,
+    pub slow_start_initial_fraction: f64,
     /// Until it has all of it.
-    pub cold: Micros,
-    /// Sent more than this multiple of what it can do, for [`Self::fall`], a cold host goes down.
-    pub fall_multiple: f64,
-    /// See [`Self::fall_multiple`].
-    pub fall: Micros,
+    pub slow_start_window: Micros,
+    /// Sent more than this multiple of what it can do, for [`Self::slow_start_budget_window`], a cold host goes down.
+    pub slow_start_budget_multiple: f64,
+    /// See [`Self::slow_start_budget_multiple`].
+    pub slow_start_budget_window: Micros,
     /// How long the log takes to a replica, at least and at most.
     pub ship: (Micros, Micros),
     /// Share of the time that a replica applies, at least and at most.
@@ -168,10 +168,10 @@
             members: 5,
             cores: 5,
             queue: 20,
-            cold_from: 0.15,
-            cold: 18 * SECOND,
-            fall_multiple: 3.0,
-            fall: 3 * SECOND,
+            slow_start_initial_fraction: 0.15,
+            slow_start_window: 18 * SECOND,
+            slow_start_budget_multiple: 3.0,
+            slow_start_budget_window: 3 * SECOND,
             ship: (3_300, 13 * MS),
             apply_use: (0.3, 0.59),
             when_behind: WhenBehind::Answer,
@@ -211,10 +211,10 @@
             members: 3,
             cores: 5,
             queue: 85,
-            cold_from: 0.22,
-            cold: 16 * SECOND,
-            fall_multiple: 2.5,
-            fall: 1_500 * MS,
+            slow_start_initial_fraction: 0.22,
+            slow_start_window: 16 * SECOND,
+            slow_start_budget_multiple: 2.5,
+            slow_start_budget_window: 1_500 * MS,
             ship: (2_700, 14 * MS),
             apply_use: (0.33, 0.52),
             when_behind: WhenBehind::Answer,
@@ -262,10 +262,10 @@
         self.classes.iter().map(|c| c.share * (c.work.0 + c.work.1) as f64 / 2.0).sum::<f64>()
     }
 
-    /// Requests of mean work that a cold host may get in [`Self::fall`], where it has that share of its capacity.
+    /// Requests of mean work that a cold host may get in [`Self::slow_start_budget_window`], where it has that share of its capacity.
     pub fn cold_allowance(&self, warmth: f64) -> f64 {
         let able = self.capacity() / (self.groups * self.members) as f64 * warmth;
-        self.fall_multiple * able * self.fall as f64 / SECOND as f64
+        self.slow_start_budget_multiple * able * self.slow_start_budget_window as f64 / SECOND as f64
     }
 
     /// The most requests of mean work that a cold host bears: the allowance, and what many proxies that each send by
@@ -321,8 +321,8 @@
             },
             "goal": {"whole": 0.45, "worstClass": 0.2, "worstTenant": 0.1, "worstWindow": 0.25},
             "guarantees": {
-                "answerSlack": 0.02, "askWithin": 10.0, "cold": seconds(self.cold), "coldFrom": self.cold_from,
-                "drainGrace": seconds(self.drain_grace), "fall": seconds(self.fall), "fallMultiple": self.fall_multiple,
+                "answerSlack": 0.02, "askWithin": 10.0, "cold": seconds(self.slow_start_window), "coldFrom": self.slow_start_initial_fraction,
+                "drainGrace": seconds(self.drain_grace), "fall": seconds(self.slow_start_budget_window), "fallMultiple": self.slow_start_budget_multiple,
             },
             "limits": {
                 "connectTimeout": 0.25, "keepalive": seconds(self.idle), "maxAttempts": self.max_attempts,
--- a/crates/testbench/src/fleet/cold.rs
+++ b/crates/testbench/src/fleet/cold.rs
@@ -37,12 +37,15 @@
     /// Counts an attempt at a host that started at `started`; `work` is in parts of the mean, and `informed` says
     /// whether its proxy knew of the start. Returns whether the host was still cold.
     pub fn add(&mut self, spec: &Spec, started: Micros, now: Micros, work: f64, informed: bool) -> bool {
-        if now - started >= spec.cold {
+        if now - started >= spec.slow_start_window {
             return false;
         }
         self.recent.push_back(Attempt { at: now, work, informed });
-        self.recent.retain(|attempt| now - attempt.at <= spec.fall && attempt.at >= started);
-        let warmth = spec.cold_from + (1.0 - spec.cold_from) * (now - started) as f64 / spec.cold as f64;
+        self.recent
+            .retain(|attempt| now - attempt.at <= spec.slow_start_budget_window && attempt.at >= started);
+        let warmth = spec.slow_start_initial_fraction
+            + (1.0 - spec.slow_start_initial_fraction) * (now - started) as f64
+                / spec.slow_start_window as f64;
         let allowance = spec.cold_allowance(warmth);
         let bound = Spec::cold_bound(allowance);
         // Proxies that do not know of a start cannot hold back: such a span is no breach.
--- a/crates/testbench/tests/fleet.rs
+++ b/crates/testbench/tests/fleet.rs
@@ -273,9 +273,9 @@
     fn day(self, seed: u64) -> Day {
         let mut day = day(self.routers, seed, (self.incidents)(self.routers));
         if self.small {
-            (day.spec.fall, day.spec.fall_multiple) = (SECOND, 2.0);
+            (day.spec.slow_start_budget_window, day.spec.slow_start_budget_multiple) = (SECOND, 2.0);
         }
-        day.spec.cold_from = self.cold_from;
+        day.spec.slow_start_initial_fraction = self.cold_from;
         (day.rate, day.again, day.span) = (self.load * day.spec.capacity(), 3, 8 * SECOND);
         day.burst = Some(Burst { at: 3 * SECOND, span: 4 * SECOND, times: self.burst });
         if self.joins {
