--- a/crates/emulator/src/net/discovery.rs
+++ b/crates/emulator/src/net/discovery.rs
@@ -56,7 +56,11 @@
             since: None,
             changed: 1,
         };
-        Self { index: 1, entries: hosts.iter().enumerate().map(entry).collect(), kind: world.spec().kind }
+        Self {
+            index: 1,
+            entries: hosts.iter().enumerate().map(entry).collect(),
+            kind: world.spec().host_type,
+        }
     }
 
     pub fn change(&mut self, host: usize, status: Status, since: Option<Micros>) {
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -81,7 +81,7 @@
     /// What a way between zones takes beyond one inside.
     pub cross: Micros,
     /// The type of its hosts.
-    pub kind: &'static str,
+    pub host_type: &'static str,
     /// Whether its hosts report their load to probes.
     pub reports: bool,
     /// Whether a host drops waiting work that is cancelled.
@@ -147,7 +147,7 @@
             name: "sapporo",
             zones: vec!["sapporo-1"],
             cross: 0,
-            kind: "std-5core",
+            host_type: "std-5core",
             reports: true,
             cancels: true,
             idle: 15 * SECOND,
@@ -191,7 +191,7 @@
             name: "tip-ledger",
             zones: vec!["batha", "saiss", "zouagha"],
             cross: 2 * MS,
-            kind: "std-5c",
+            host_type: "std-5c",
             reports: false,
             cancels: false,
             idle: 30 * SECOND,
--- a/crates/testbench/src/rig.rs
+++ b/crates/testbench/src/rig.rs
@@ -61,7 +61,7 @@
             "seed": format!("{seed:x}"), "known": installation.known, "settings": spec.settings(rate),
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
         });
-        let operator = OperatorSettings::read(&operator(spec.kind), "the lab's own")?;
+        let operator = OperatorSettings::read(&operator(spec.host_type), "the lab's own")?;
         let config = Config::read(&config.to_string(), |_| None)?.with_operator(operator)?;
         let proxy = ProxyThread::start(config).await?;
         Ok(Self { clock, installation, proxy })
