--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -79,7 +79,7 @@
     /// Its zones: the members of a set stand in them by turns, and so do the proxies.
     pub zones: Vec<&'static str>,
     /// What a way between zones takes beyond one inside.
-    pub cross: Micros,
+    pub cross_zone_latency: Micros,
     /// The type of its hosts.
     pub host_type: &'static str,
     /// Whether its hosts report their load to probes.
@@ -146,7 +146,7 @@
         Self {
             name: "sapporo",
             zones: vec!["sapporo-1"],
-            cross: 0,
+            cross_zone_latency: 0,
             host_type: "std-5core",
             reports: true,
             cancels: true,
@@ -190,7 +190,7 @@
         Self {
             name: "tip-ledger",
             zones: vec!["batha", "saiss", "zouagha"],
-            cross: 2 * MS,
+            cross_zone_latency: 2 * MS,
             host_type: "std-5c",
             reports: false,
             cancels: false,
--- a/crates/testbench/src/fleet.rs
+++ b/crates/testbench/src/fleet.rs
@@ -368,7 +368,7 @@
         let idle = self.nodes[router].idle.entry(host).or_default();
         idle.retain(|since| self.now - since < IDLE);
         let crosses = self.day.spec.zone(router) != self.world.zone(host);
-        let way = if crosses { WAY + self.day.spec.cross } else { WAY };
+        let way = if crosses { WAY + self.day.spec.cross_zone_latency } else { WAY };
         if idle.pop().is_some() {
             return way;
         }
