--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -20,7 +20,7 @@
 
 impl Script {
     /// No fault at all.
-    pub fn calm() -> Self {
+    pub fn empty() -> Self {
         Self::default()
     }
 
@@ -38,7 +38,7 @@
         let part = |share: f64| seconds * share;
         let span = |share: f64| (seconds * share * SECOND as f64) as Micros;
         let other = members;
-        Self::calm()
+        Self::empty()
             .then(part(0.2), HostFault::Death { host: 0, span: span(0.2) })
             .then(part(0.45), HostFault::Drain { host: other + 1, span: span(0.2) })
             .then(part(0.7), HostFault::Lag { host: other + 2, times: 12.0, span: span(0.15) })
--- a/crates/testbench/benches/proxy.rs
+++ b/crates/testbench/benches/proxy.rs
@@ -43,7 +43,7 @@
     std::thread::spawn(move || {
         runtime().expect("a runtime").block_on(async {
             let options =
-                Options { spec: spec(), seed: 7, wires: vec![wire], script: Script::calm(), proxies: 1 };
+                Options { spec: spec(), seed: 7, wires: vec![wire], script: Script::empty(), proxies: 1 };
             let rig = Rig::start(options, 1e6).await.expect("a rig");
             let (end, ended) = oneshot::channel();
             let stand =
--- a/crates/testbench/src/demo.rs
+++ b/crates/testbench/src/demo.rs
@@ -43,7 +43,7 @@
         let spec = (*self.spec).clone();
         let wires = vec![Wire::Postgres, Wire::Tds];
         let options =
-            Options { spec: spec.clone(), seed: self.seed, wires, script: Script::calm(), proxies: 1 };
+            Options { spec: spec.clone(), seed: self.seed, wires, script: Script::empty(), proxies: 1 };
         let rig = Rig::start(options, self.rate * 2.0).await?;
         self.greet(&rig, &spec)?;
         let span = self.span.unwrap_or(LONGEST);
--- a/crates/testbench/src/parity.rs
+++ b/crates/testbench/src/parity.rs
@@ -64,7 +64,7 @@
     fn options(&self, wire: Wire) -> Options {
         let spec = Spec { groups: self.sets, ..Spec::sapporo() };
         let script = match self.calm {
-            true => Script::calm(),
+            true => Script::empty(),
             false => Script::parity(self.seconds, spec.members),
         };
         Options { spec, seed: self.seed, wires: vec![wire], script, proxies: 1 }
--- a/crates/testbench/src/soak/plan.rs
+++ b/crates/testbench/src/soak/plan.rs
@@ -174,7 +174,7 @@
 
     /// A scenario's run; the seed draws the requests.
     pub fn of(scenario: Scenario, seed: u64, processes: Option<usize>, span: Duration) -> Self {
-        let calm = Self::calm(seed, processes.unwrap_or(SCENARIO_PROCESSES), span);
+        let calm = Self::empty(seed, processes.unwrap_or(SCENARIO_PROCESSES), span);
         match scenario {
             Scenario::FormerPrimary => calm.with_former_primaries(),
             Scenario::ClockOffReadsOnly => calm.with_clocks_off(),
@@ -182,7 +182,7 @@
         }
     }
 
-    fn calm(seed: u64, processes: usize, span: Duration) -> Self {
+    fn empty(seed: u64, processes: usize, span: Duration) -> Self {
         Self {
             seed,
             spec: Spec::tip_ledger(),
@@ -190,7 +190,7 @@
             span,
             calls: vec![format!("seed={seed}"); processes],
             orders: vec![(Duration::ZERO, Vec::new()); processes],
-            script: Script::calm(),
+            script: Script::empty(),
             clients: vec![Habit::Seldom; CLIENTS * processes],
             bounded_reads_only: false,
         }
@@ -214,7 +214,7 @@
             *calls += &format!(";clock::step=-{}@0:1/1", behind.as_millis());
         }
         let all = 0..self.spec.groups;
-        let script = all.fold(Script::calm(), |script, group| stand_still(script, &self.spec, group, 0.0));
+        let script = all.fold(Script::empty(), |script, group| stand_still(script, &self.spec, group, 0.0));
         let orders = vec![(RESTART_AT, vec![Order::Kill]); self.processes];
         let clients = vec![Habit::Steady; self.clients.len()];
         Self { script, orders, clients, ..self }
@@ -265,7 +265,7 @@
 }
 
 fn draw_script(random: &mut ChaCha8Rng, spec: &Spec, span: Duration, wanted: bool) -> Script {
-    let mut script = Script::calm();
+    let mut script = Script::empty();
     if !wanted {
         return script;
     }
@@ -338,7 +338,7 @@
 const NO_PRIMARY_FOR: (Micros, Micros) = (30 * SECOND, 31 * SECOND);
 
 fn former_primary_script(spec: &Spec) -> Script {
-    let mut script = Script::calm();
+    let mut script = Script::empty();
     for group in 0..spec.groups {
         let host = group * spec.members;
         let first = match group % 3 {
--- a/crates/testbench/src/starve.rs
+++ b/crates/testbench/src/starve.rs
@@ -73,7 +73,7 @@
 async fn play(seed: u64, seconds: f64, rate: f64, crowd: (usize, usize)) -> Result<Outcome, TestbenchError> {
     let spec = Spec::sapporo();
     let wires = vec![Wire::Postgres];
-    let options = Options { spec: spec.clone(), seed, wires, script: Script::calm(), proxies: 1 };
+    let options = Options { spec: spec.clone(), seed, wires, script: Script::empty(), proxies: 1 };
     let rig = Rig::start(options, rate).await?;
     let (world, clock, address) = (rig.installation.mailbox(), rig.clock, rig.port(Wire::Postgres)?);
     // On a thread of its own: it must not slow the load's clients down.
--- a/crates/testbench/tests/drivers.rs
+++ b/crates/testbench/tests/drivers.rs
@@ -11,7 +11,7 @@
 /// Two ledger sets, the first of which speaks PostgreSQL's protocol and the second TDS.
 async fn rig() -> Rig {
     let wires = vec![Wire::Postgres, Wire::Tds];
-    let options = Options { spec: Spec::sapporo(), seed: 7, wires, script: Script::calm(), proxies: 1 };
+    let options = Options { spec: Spec::sapporo(), seed: 7, wires, script: Script::empty(), proxies: 1 };
     Rig::start(options, 100.0).await.unwrap()
 }
 
