--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -12,7 +12,7 @@
 use std::collections::{BinaryHeap, HashMap};
 
 /// The value made for a request whose id begins so has 64 KiB.
-pub const LARGE: &str = "large-";
+pub const LARGE_ID_PREFIX: &str = "large-";
 
 /// A request's number at the world, given by the caller and not used again.
 pub type Ticket = u64;
@@ -327,7 +327,7 @@
     /// The value made for a request.
     pub fn content(id: &str) -> String {
         let mut content = format!("value of {id}");
-        if id.starts_with(LARGE) {
+        if id.starts_with(LARGE_ID_PREFIX) {
             content.extend(std::iter::repeat_n(' ', 64 * 1024 - content.len()));
         }
         content
--- a/crates/testbench/src/starve.rs
+++ b/crates/testbench/src/starve.rs
@@ -18,7 +18,7 @@
 use wheelpier_emulator::schedule::plan;
 use wheelpier_emulator::script::Script;
 use wheelpier_emulator::spec::{Freshness, Spec};
-use wheelpier_emulator::world::LARGE;
+use wheelpier_emulator::world::LARGE_ID_PREFIX;
 use wheelpier_emulator::SECOND;
 
 /// The head of a query as long as the longest, of which a byte a second comes.
@@ -133,7 +133,7 @@
 
 async fn never_read(address: SocketAddr, tenant: &str, number: usize, turn: u64) -> io::Result<()> {
     let mut stream: TcpStream = Client::connect(Wire::Postgres, address).await?.into_stream();
-    let id = format!("{LARGE}{number}x{turn}");
+    let id = format!("{LARGE_ID_PREFIX}{number}x{turn}");
     let text = format!(
         "SELECT content FROM kv WHERE name = 'k{number}' /* id={id},c=daily-report,t={tenant},d=1000,cluster=0 */\0"
     );
