--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -132,7 +132,7 @@
     }
 
     /// Discovery has written a host's status to the proxy.
-    pub fn told(&mut self, now: Micros, host: usize, status: Status) {
+    pub fn status_reported(&mut self, now: Micros, host: usize, status: Status) {
         match status {
             Status::Up => drop(self.left.remove(&host)),
             Status::Draining | Status::Removed => drop(self.left.entry(host).or_insert(now)),
@@ -161,7 +161,7 @@
     }
 
     /// A host is its set's primary: what it notified anyone of before does not count any more.
-    pub fn leads(&mut self, host: usize) {
+    pub fn seen_as_primary(&mut self, host: usize) {
         self.led.insert(host);
         self.demotions.retain(|(_, demoted), _| *demoted != host);
     }
@@ -185,7 +185,7 @@
     }
 
     /// A host has written its role in an answer to the process that attempts that request, whether or not the bytes arrive.
-    pub fn told_role(&mut self, now: Micros, host: usize, id: &str, primary: bool) {
+    pub fn role_reported(&mut self, now: Micros, host: usize, id: &str, primary: bool) {
         let Some(proxy) = self.proxy_of(id).filter(|_| !primary && self.led.contains(&host)) else { return };
         self.demotions.entry((proxy, host)).or_insert(now);
     }
--- a/crates/emulator/src/net/actor.rs
+++ b/crates/emulator/src/net/actor.rs
@@ -166,7 +166,7 @@
                     self.checker.stood();
                 }
                 if self.world.is_primary(host) {
-                    self.checker.leads(host);
+                    self.checker.seen_as_primary(host);
                 }
                 self.open.insert(ticket, Open { id: query.id.clone(), host, came: now, answer });
                 let effects = self.world.arrive(now, ticket, host, query);
@@ -176,7 +176,7 @@
                 self.open.remove(&ticket);
                 self.world.cancel(ticket);
             }
-            WorldMessage::Written(host, status) => self.checker.told(now, host, status),
+            WorldMessage::Written(host, status) => self.checker.status_reported(now, host, status),
             WorldMessage::Asked { id, session, proxy, until } => {
                 self.world.ask(&id, &session);
                 self.checker.asked_of(&id, proxy);
@@ -241,9 +241,9 @@
     /// A host states its role in an answer.
     fn note_role(&mut self, now: Micros, host: usize, id: &str, is_primary: bool) {
         if is_primary {
-            self.checker.leads(host);
+            self.checker.seen_as_primary(host);
         }
-        self.checker.told_role(now, host, id, is_primary);
+        self.checker.role_reported(now, host, id, is_primary);
     }
 
     fn verdict(&self) -> Verdict {
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -223,13 +223,13 @@
 
 #[rstest]
 #[case::sent_long_after_a_drain(Rule::Drain, 1, |c: &mut Checker| {
-    c.told(START, 3, Status::Draining);
+    c.status_reported(START, 3, Status::Draining);
     c.sent(START + 2 * SECOND, 3, "a");
     c.sent(START + 3 * SECOND, 3, "b");
 })]
 #[case::back_after_a_drain(Rule::Drain, 0, |c: &mut Checker| {
-    c.told(START, 3, Status::Removed);
-    c.told(START + SECOND, 3, Status::Up);
+    c.status_reported(START, 3, Status::Removed);
+    c.status_reported(START + SECOND, 3, Status::Up);
     c.sent(START + 9 * SECOND, 3, "a");
 })]
 #[case::pushed_over(Rule::Cold, 1, |c: &mut Checker| c.fell(1))]
@@ -237,13 +237,13 @@
 #[case::stale(Rule::Stale, 1, |c: &mut Checker| c.replied(1, START, "a", &served(START - 1, START)))]
 #[case::fresh(Rule::Stale, 0, |c: &mut Checker| c.replied(1, START, "a", &served(START, START)))]
 #[case::excused_at_one_that_led(Rule::Stale, 0, |c: &mut Checker| {
-    c.leads(1);
-    c.told_role(START, 1, "a", false);
+    c.seen_as_primary(1);
+    c.role_reported(START, 1, "a", false);
     c.replied(1, START + 50 * MS, "a", &served(START - 1, START));
 })]
 #[case::not_excused_once_told(Rule::Stale, 1, |c: &mut Checker| {
-    c.leads(1);
-    c.told_role(START, 1, "a", false);
+    c.seen_as_primary(1);
+    c.role_reported(START, 1, "a", false);
     c.replied(1, START + 150 * MS, "a", &served(START - 1, START));
 })]
 #[case::answered_twice(Rule::Answer, 1, |c: &mut Checker| {
@@ -278,8 +278,8 @@
     checker.asked_of("a", FIRST);
     checker.asked_of("b", FIRST);
     checker.asked_of("c", RESTARTED);
-    checker.leads(1);
-    checker.told_role(START, 1, "a", false);
+    checker.seen_as_primary(1);
+    checker.role_reported(START, 1, "a", false);
     checker
 }
 
@@ -331,10 +331,10 @@
 #[test]
 fn a_host_that_leads_again_is_excused_until_it_notifies_again() {
     let mut checker = demoted();
-    checker.leads(1);
+    checker.seen_as_primary(1);
     checker.read_sent(START + SECOND, 1, "b", START, START + SECOND);
     assert_eq!(checker.verdict(Rule::Stale).1, 0, "{:?}", checker.breaches());
-    checker.told_role(START + SECOND, 1, "b", false);
+    checker.role_reported(START + SECOND, 1, "b", false);
     checker.read_sent(START + 2 * SECOND, 1, "b", START, START + 2 * SECOND);
     assert_eq!(checker.verdict(Rule::Stale).1, 1, "{:?}", checker.breaches());
 }
@@ -344,7 +344,7 @@
 fn what_a_client_is_served_is_never_excused() {
     let serve = |answers: &[Reply]| {
         let mut checker = Checker::shared(&Spec::sapporo());
-        checker.leads(1);
+        checker.seen_as_primary(1);
         checker.asked("a", START + SECOND);
         checker.asked_of("a", FIRST);
         answers.iter().for_each(|answer| checker.replied(1, START, "a", answer));
--- a/crates/testbench/src/fleet.rs
+++ b/crates/testbench/src/fleet.rs
@@ -313,7 +313,7 @@
             // A newer list has overtaken this one.
             Own::Listed { host, status, started } if self.listed[host] != (status, started) => {}
             Own::Listed { host, status, started } => {
-                self.nodes[router].checker.told(self.now, host, status);
+                self.nodes[router].checker.status_reported(self.now, host, status);
                 if let Some(started) = started {
                     self.nodes[router].starts.insert(host, started);
                 }
@@ -418,7 +418,7 @@
             out.ticket = Some(ticket);
         }
         if self.world.is_primary(host) {
-            self.nodes.iter_mut().for_each(|node| node.checker.leads(host));
+            self.nodes.iter_mut().for_each(|node| node.checker.seen_as_primary(host));
         }
         let effects = self.world.arrive(self.now, ticket, host, query);
         self.effects(effects);
@@ -535,7 +535,7 @@
         };
         let name = self.plan[id as usize].id.clone();
         self.nodes[router].checker.replied(host, sent, &name, reply);
-        self.nodes[router].checker.told_role(self.now, host, &name, note.1);
+        self.nodes[router].checker.role_reported(self.now, host, &name, note.1);
         self.ended(router, id, attempt, outcome, Some(note));
     }
 
