--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -146,7 +146,7 @@
     }
 
     /// A cold host has been pushed over.
-    pub fn fell(&mut self, host: usize) {
+    pub fn cold_host_crashed(&mut self, host: usize) {
         self.check(Rule::Cold, false, || format!("host {host} fell"));
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// A key has been recorded once more than once.
-    pub fn doubled(&mut self, key: &str) {
+    pub fn key_recorded_again(&mut self, key: &str) {
         self.check(Rule::Key, false, || format!("key {key} is recorded twice"));
     }
 
--- a/crates/emulator/src/net/actor.rs
+++ b/crates/emulator/src/net/actor.rs
@@ -218,8 +218,8 @@
                 Effect::Roster(host, status, since) => {
                     self.roster.send_modify(|roster| roster.change(host, status, since));
                 }
-                Effect::Fell(host) => self.checker.fell(host),
-                Effect::Doubled(key) => self.checker.doubled(&key),
+                Effect::ColdHostCrashed(host) => self.checker.cold_host_crashed(host),
+                Effect::KeyRecordedAgain(key) => self.checker.key_recorded_again(&key),
             }
         }
     }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -79,9 +79,9 @@
     /// Discovery knows: the host's status and when it last started, if lately.
     Roster(usize, Status, Option<Micros>),
     /// A cold host has been pushed over.
-    Fell(usize),
+    ColdHostCrashed(usize),
     /// A key has been recorded more than once.
-    Doubled(String),
+    KeyRecordedAgain(String),
 }
 
 /// A fault that a script brings.
@@ -365,7 +365,7 @@
         let write = needed.is_none();
         let mut effects = Vec::new();
         if self.hosts[host].pushed_over(work, &self.spec, now) && self.hosts[host].state != State::Fallen {
-            effects.push(Effect::Fell(host));
+            effects.push(Effect::ColdHostCrashed(host));
             effects.extend(self.break_down(host, State::Fallen));
             return effects;
         }
@@ -533,7 +533,7 @@
         let reply = Reply::Served { content, position, primary: true, needed: None };
         let mut effects = vec![Effect::Reply(ticket, reply)];
         if recorded == Some(Recorded::Again) {
-            effects.push(Effect::Doubled(job.query.key.clone().unwrap_or_default()));
+            effects.push(Effect::KeyRecordedAgain(job.query.key.clone().unwrap_or_default()));
         }
         effects
     }
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -66,7 +66,7 @@
         let Some(Reply::Served { position, .. }) = reply(&effects, ticket) else { panic!("not served") };
         commits.push(*position);
         // Outside the window it is recorded again, and that is told.
-        let doubled = effects.iter().any(|effect| matches!(effect, Effect::Doubled(_)));
+        let doubled = effects.iter().any(|effect| matches!(effect, Effect::KeyRecordedAgain(_)));
         assert_eq!(doubled, ticket == 4);
     }
     assert_eq!(commits[0], commits[1]);
@@ -100,7 +100,7 @@
         let at = START + SECOND + n * 5 * MS;
         world.advance(at);
         let effects = world.arrive(at, n as u64, 1, query(&n.to_string(), "daily-report"));
-        fell |= effects.contains(&Effect::Fell(1));
+        fell |= effects.contains(&Effect::ColdHostCrashed(1));
     }
     assert!(fell);
 }
@@ -232,8 +232,8 @@
     c.status_reported(START + SECOND, 3, Status::Up);
     c.sent(START + 9 * SECOND, 3, "a");
 })]
-#[case::pushed_over(Rule::Cold, 1, |c: &mut Checker| c.fell(1))]
-#[case::doubled(Rule::Key, 1, |c: &mut Checker| c.doubled("k"))]
+#[case::pushed_over(Rule::Cold, 1, |c: &mut Checker| c.cold_host_crashed(1))]
+#[case::doubled(Rule::Key, 1, |c: &mut Checker| c.key_recorded_again("k"))]
 #[case::stale(Rule::Stale, 1, |c: &mut Checker| c.replied(1, START, "a", &served(START - 1, START)))]
 #[case::fresh(Rule::Stale, 0, |c: &mut Checker| c.replied(1, START, "a", &served(START, START)))]
 #[case::excused_at_one_that_led(Rule::Stale, 0, |c: &mut Checker| {
--- a/crates/testbench/src/fleet.rs
+++ b/crates/testbench/src/fleet.rs
@@ -500,12 +500,12 @@
                 Effect::Breaks(host) => self.breaks(host),
                 Effect::Returns(_) => {}
                 Effect::Roster(host, status, started) => self.roster(host, status, started),
-                Effect::Fell(host) if self.cold[host].mostly_informed() => {
+                Effect::ColdHostCrashed(host) if self.cold[host].mostly_informed() => {
                     self.metrics.fell += 1;
-                    self.nodes[0].checker.fell(host);
+                    self.nodes[0].checker.cold_host_crashed(host);
                 }
-                Effect::Fell(_) => self.metrics.fell_unannounced += 1,
-                Effect::Doubled(key) => self.nodes[0].checker.doubled(&key),
+                Effect::ColdHostCrashed(_) => self.metrics.fell_unannounced += 1,
+                Effect::KeyRecordedAgain(key) => self.nodes[0].checker.key_recorded_again(&key),
             }
         }
     }
