--- a/crates/emulator/src/net/actor.rs
+++ b/crates/emulator/src/net/actor.rs
@@ -209,13 +209,13 @@
         for effect in effects {
             match effect {
                 Effect::Reply(ticket, reply) => self.reply(ticket, reply),
-                Effect::Breaks(host) => {
+                Effect::ConnectionsBroken(host) => {
                     self.links[host].send_replace(false);
                 }
-                Effect::Returns(host) => {
+                Effect::ConnectionsAccepted(host) => {
                     self.links[host].send_replace(true);
                 }
-                Effect::Roster(host, status, since) => {
+                Effect::StatusPublished(host, status, since) => {
                     self.roster.send_modify(|roster| roster.change(host, status, since));
                 }
                 Effect::ColdHostCrashed(host) => self.checker.cold_host_crashed(host),
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -73,11 +73,11 @@
     /// A request is answered.
     Reply(Ticket, Reply),
     /// A host's connections break and new ones are refused.
-    Breaks(usize),
+    ConnectionsBroken(usize),
     /// It takes connections again.
-    Returns(usize),
+    ConnectionsAccepted(usize),
     /// Discovery knows: the host's status and when it last started, if lately.
-    Roster(usize, Status, Option<Micros>),
+    StatusPublished(usize, Status, Option<Micros>),
     /// A cold host has been pushed over.
     ColdHostCrashed(usize),
     /// A key has been recorded more than once.
@@ -468,7 +468,9 @@
             Due::Waited(ticket) => self.waited(ticket).into_iter().collect(),
             Due::Elect(group, term) => self.elect(group, term),
             Due::Returns(host) => self.returns(host),
-            Due::Roster(host, status) => vec![Effect::Roster(host, status, self.hosts[host].started)],
+            Due::Roster(host, status) => {
+                vec![Effect::StatusPublished(host, status, self.hosts[host].started)]
+            }
             Due::EndsHang(host) => self.ends_hang(host),
             Due::EndsDrain(host) => self.ends_drain(host),
             Due::EndsLag(host) => {
@@ -599,7 +601,7 @@
     fn break_down(&mut self, host: usize, state: State) -> Vec<Effect> {
         self.cut_off(host, state);
         self.tell_roster(host, Status::Removed);
-        vec![Effect::Breaks(host)]
+        vec![Effect::ConnectionsBroken(host)]
     }
 
     /// Nobody reaches a host any more, and what it holds is lost.
@@ -620,7 +622,7 @@
         }
         self.cut_off(host, State::Isolated);
         self.at(self.now + span, Due::EndsIsolation(host));
-        vec![Effect::Breaks(host)]
+        vec![Effect::ConnectionsBroken(host)]
     }
 
     fn ends_isolation(&mut self, host: usize) -> Vec<Effect> {
@@ -631,7 +633,7 @@
         self.hosts[host].state = State::Up;
         self.sets[group].log.resume(member, self.stood[host], self.now);
         self.heard_again(host);
-        vec![Effect::Returns(host)]
+        vec![Effect::ConnectionsAccepted(host)]
     }
 
     /// What becomes of the answer that a host writes now.
@@ -691,7 +693,7 @@
         let stood = self.stood[host];
         self.sets[group].log.resume(member, stood, now);
         self.tell_roster(host, Status::Up);
-        vec![Effect::Returns(host)]
+        vec![Effect::ConnectionsAccepted(host)]
     }
 
     fn ends_hang(&mut self, host: usize) -> Vec<Effect> {
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -77,14 +77,14 @@
 fn a_dead_primary_is_replaced_and_comes_back_cold_as_a_replica() {
     let mut world = world();
     let effects = world.inject(START, &HostFault::Death { host: 0, span: 10 * SECOND });
-    assert_eq!(effects, [Effect::Breaks(0)]);
+    assert_eq!(effects, [Effect::ConnectionsBroken(0)]);
     world.advance(START + 100 * MS);
     // Nobody goes on while there is no primary.
     let stands = world.position(1, START + 200 * MS);
     assert_eq!(world.position(1, START + SECOND), stands);
     assert!(!(0..5).any(|host| world.is_primary(host)));
     let effects = world.advance(START + 11 * SECOND);
-    assert!(effects.contains(&Effect::Returns(0)));
+    assert!(effects.contains(&Effect::ConnectionsAccepted(0)));
     assert!(!world.is_primary(0) && (1..5).any(|host| world.is_primary(host)));
     assert!(world.warmth(0, START + 11 * SECOND) < 0.3);
     assert_eq!(world.warmth(0, START + 30 * SECOND), 1.0);
@@ -151,13 +151,13 @@
         world.inject(START, &HostFault::Lag { host, times: 1e6, span: 100 * SECOND });
     }
     let cut = HostFault::Isolation { host: 0, span: 2 * SECOND };
-    assert_eq!(world.inject(START, &cut), [Effect::Breaks(0)]);
+    assert_eq!(world.inject(START, &cut), [Effect::ConnectionsBroken(0)]);
     assert_eq!((world.state(0), world.runs(0)), (State::Isolated, false));
     assert_eq!(world.arrive(START, 1, 0, query("a", "price-lookup")), []);
     // Once more while it is cut off, or an end that comes later, changes nothing.
     assert_eq!(world.inject(START + MS, &cut), []);
     let later = START + 2 * SECOND;
-    assert_eq!(world.advance(later), [Effect::Returns(0)]);
+    assert_eq!(world.advance(later), [Effect::ConnectionsAccepted(0)]);
     assert!(world.runs(0) && !world.is_primary(0));
     assert!(world.position(0, later) < START + 10 * MS);
     assert_eq!((world.warmth(0, later), world.started(0)), (1.0, None));
--- a/crates/testbench/src/fleet.rs
+++ b/crates/testbench/src/fleet.rs
@@ -497,9 +497,9 @@
         for effect in effects {
             match effect {
                 Effect::Reply(ticket, reply) => self.replied(ticket, &reply),
-                Effect::Breaks(host) => self.breaks(host),
-                Effect::Returns(_) => {}
-                Effect::Roster(host, status, started) => self.roster(host, status, started),
+                Effect::ConnectionsBroken(host) => self.breaks(host),
+                Effect::ConnectionsAccepted(_) => {}
+                Effect::StatusPublished(host, status, started) => self.roster(host, status, started),
                 Effect::ColdHostCrashed(host) if self.cold[host].mostly_informed() => {
                     self.metrics.fell += 1;
                     self.nodes[0].checker.cold_host_crashed(host);
