--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -132,7 +132,7 @@
     }
 
     /// Discovery has written a host's status to the proxy.
-    pub fn told(&mut self, now: Micros, host: usize, status: Status) {
+    pub fn status_reported(&mut self, now: Micros, host: usize, status: Status) {
         match status {
             Status::Up => drop(self.left.remove(&host)),
             Status::Draining | Status::Removed => drop(self.left.entry(host).or_insert(now)),
@@ -146,7 +146,7 @@
     }
 
     /// A cold host has been pushed over.
-    pub fn fell(&mut self, host: usize) {
+    pub fn cold_host_crashed(&mut self, host: usize) {
         self.check(Rule::Cold, false, || format!("host {host} fell"));
     }
 
@@ -156,12 +156,12 @@
     }
 
     /// A key has been recorded once more than once.
-    pub fn doubled(&mut self, key: &str) {
+    pub fn key_recorded_again(&mut self, key: &str) {
         self.check(Rule::Key, false, || format!("key {key} is recorded twice"));
     }
 
     /// A host is its set's primary: what it notified anyone of before does not count any more.
-    pub fn leads(&mut self, host: usize) {
+    pub fn seen_as_primary(&mut self, host: usize) {
         self.led.insert(host);
         self.demotions.retain(|(_, demoted), _| *demoted != host);
     }
@@ -185,7 +185,7 @@
     }
 
     /// A host has written its role in an answer to the process that attempts that request, whether or not the bytes arrive.
-    pub fn told_role(&mut self, now: Micros, host: usize, id: &str, primary: bool) {
+    pub fn role_reported(&mut self, now: Micros, host: usize, id: &str, primary: bool) {
         let Some(proxy) = self.proxy_of(id).filter(|_| !primary && self.led.contains(&host)) else { return };
         self.demotions.entry((proxy, host)).or_insert(now);
     }
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -26,7 +26,7 @@
     /// The least and the most work of a request, on one core.
     pub work: (Micros, Micros),
     /// Answered within this time it is worth all.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// How long its clients wait.
     pub deadline: Micros,
     /// What it is worth.
@@ -79,9 +79,9 @@
     /// Its zones: the members of a set stand in them by turns, and so do the proxies.
     pub zones: Vec<&'static str>,
     /// What a way between zones takes beyond one inside.
-    pub cross: Micros,
+    pub cross_zone_latency: Micros,
     /// The type of its hosts.
-    pub kind: &'static str,
+    pub host_type: &'static str,
     /// Whether its hosts report their load to probes.
     pub reports: bool,
     /// Whether a host drops waiting work that is cancelled.
@@ -113,13 +113,13 @@
     /// Requests that may wait at a host.
     pub queue: usize,
     /// Of a host's capacity when it has just started.
-    pub cold_from: f64,
+    pub slow_start_initial_fraction: f64,
     /// Until it has all of it.
-    pub cold: Micros,
-    /// Sent more than this multiple of what it can do, for [`Self::fall`], a cold host goes down.
-    pub fall_multiple: f64,
-    /// See [`Self::fall_multiple`].
-    pub fall: Micros,
+    pub slow_start_window: Micros,
+    /// Sent more than this multiple of what it can do, for [`Self::slow_start_budget_window`], a cold host goes down.
+    pub slow_start_budget_multiple: f64,
+    /// See [`Self::slow_start_budget_multiple`].
+    pub slow_start_budget_window: Micros,
     /// How long the log takes to a replica, at least and at most.
     pub ship: (Micros, Micros),
     /// Share of the time that a replica applies, at least and at most.
@@ -146,8 +146,8 @@
         Self {
             name: "sapporo",
             zones: vec!["sapporo-1"],
-            cross: 0,
-            kind: "std-5core",
+            cross_zone_latency: 0,
+            host_type: "std-5core",
             reports: true,
             cancels: true,
             idle: 15 * SECOND,
@@ -168,10 +168,10 @@
             members: 5,
             cores: 5,
             queue: 20,
-            cold_from: 0.15,
-            cold: 18 * SECOND,
-            fall_multiple: 3.0,
-            fall: 3 * SECOND,
+            slow_start_initial_fraction: 0.15,
+            slow_start_window: 18 * SECOND,
+            slow_start_budget_multiple: 3.0,
+            slow_start_budget_window: 3 * SECOND,
             ship: (3_300, 13 * MS),
             apply_use: (0.3, 0.59),
             when_behind: WhenBehind::Answer,
@@ -190,8 +190,8 @@
         Self {
             name: "tip-ledger",
             zones: vec!["batha", "saiss", "zouagha"],
-            cross: 2 * MS,
-            kind: "std-5c",
+            cross_zone_latency: 2 * MS,
+            host_type: "std-5c",
             reports: false,
             cancels: false,
             idle: 30 * SECOND,
@@ -211,10 +211,10 @@
             members: 3,
             cores: 5,
             queue: 85,
-            cold_from: 0.22,
-            cold: 16 * SECOND,
-            fall_multiple: 2.5,
-            fall: 1_500 * MS,
+            slow_start_initial_fraction: 0.22,
+            slow_start_window: 16 * SECOND,
+            slow_start_budget_multiple: 2.5,
+            slow_start_budget_window: 1_500 * MS,
             ship: (2_700, 14 * MS),
             apply_use: (0.33, 0.52),
             when_behind: WhenBehind::Answer,
@@ -262,10 +262,10 @@
         self.classes.iter().map(|c| c.share * (c.work.0 + c.work.1) as f64 / 2.0).sum::<f64>()
     }
 
-    /// Requests of mean work that a cold host may get in [`Self::fall`], where it has that share of its capacity.
+    /// Requests of mean work that a cold host may get in [`Self::slow_start_budget_window`], where it has that share of its capacity.
     pub fn cold_allowance(&self, warmth: f64) -> f64 {
         let able = self.capacity() / (self.groups * self.members) as f64 * warmth;
-        self.fall_multiple * able * self.fall as f64 / SECOND as f64
+        self.slow_start_budget_multiple * able * self.slow_start_budget_window as f64 / SECOND as f64
     }
 
     /// The most requests of mean work that a cold host bears: the allowance, and what many proxies that each send by
@@ -281,7 +281,7 @@
         let grade = |class: &Class| {
             let write = class.freshness == Freshness::Write;
             json!({
-                "name": class.name, "credit": class.worth, "onTime": seconds(class.aim),
+                "name": class.name, "credit": class.worth, "onTime": seconds(class.latency_objective),
                 "deadline": seconds(class.deadline), "lateWorth": class.late_worth, "streamed": false,
                 "repeat": if write { "token" } else { "pure" },
                 "group": if write { "cell" } else { "all" },
@@ -321,8 +321,8 @@
             },
             "goal": {"whole": 0.45, "worstClass": 0.2, "worstTenant": 0.1, "worstWindow": 0.25},
             "guarantees": {
-                "answerSlack": 0.02, "askWithin": 10.0, "cold": seconds(self.cold), "coldFrom": self.cold_from,
-                "drainGrace": seconds(self.drain_grace), "fall": seconds(self.fall), "fallMultiple": self.fall_multiple,
+                "answerSlack": 0.02, "askWithin": 10.0, "cold": seconds(self.slow_start_window), "coldFrom": self.slow_start_initial_fraction,
+                "drainGrace": seconds(self.drain_grace), "fall": seconds(self.slow_start_budget_window), "fallMultiple": self.slow_start_budget_multiple,
             },
             "limits": {
                 "connectTimeout": 0.25, "keepalive": seconds(self.idle), "maxAttempts": self.max_attempts,
@@ -341,12 +341,21 @@
     name: &'static str,
     share: f64,
     work: (i64, i64),
-    aim: i64,
+    latency_objective: i64,
     deadline: i64,
     worth: f64,
     late_worth: f64,
     freshness: Freshness,
 ) -> Class {
     let work = (work.0 * MS, work.1 * MS);
-    Class { name, share, work, aim: aim * MS, deadline: deadline * MS, worth, late_worth, freshness }
+    Class {
+        name,
+        share,
+        work,
+        latency_objective: latency_objective * MS,
+        deadline: deadline * MS,
+        worth,
+        late_worth,
+        freshness,
+    }
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -12,7 +12,7 @@
 use std::collections::{BinaryHeap, HashMap};
 
 /// The value made for a request whose id begins so has 64 KiB.
-pub const LARGE: &str = "large-";
+pub const LARGE_ID_PREFIX: &str = "large-";
 
 /// A request's number at the world, given by the caller and not used again.
 pub type Ticket = u64;
@@ -73,15 +73,15 @@
     /// A request is answered.
     Reply(Ticket, Reply),
     /// A host's connections break and new ones are refused.
-    Breaks(usize),
+    ConnectionsBroken(usize),
     /// It takes connections again.
-    Returns(usize),
+    ConnectionsAccepted(usize),
     /// Discovery knows: the host's status and when it last started, if lately.
-    Roster(usize, Status, Option<Micros>),
+    StatusPublished(usize, Status, Option<Micros>),
     /// A cold host has been pushed over.
-    Fell(usize),
+    ColdHostCrashed(usize),
     /// A key has been recorded more than once.
-    Doubled(String),
+    KeyRecordedAgain(String),
 }
 
 /// A fault that a script brings.
@@ -327,7 +327,7 @@
     /// The value made for a request.
     pub fn content(id: &str) -> String {
         let mut content = format!("value of {id}");
-        if id.starts_with(LARGE) {
+        if id.starts_with(LARGE_ID_PREFIX) {
             content.extend(std::iter::repeat_n(' ', 64 * 1024 - content.len()));
         }
         content
@@ -365,7 +365,7 @@
         let write = needed.is_none();
         let mut effects = Vec::new();
         if self.hosts[host].pushed_over(work, &self.spec, now) && self.hosts[host].state != State::Fallen {
-            effects.push(Effect::Fell(host));
+            effects.push(Effect::ColdHostCrashed(host));
             effects.extend(self.break_down(host, State::Fallen));
             return effects;
         }
@@ -468,7 +468,9 @@
             Due::Waited(ticket) => self.waited(ticket).into_iter().collect(),
             Due::Elect(group, term) => self.elect(group, term),
             Due::Returns(host) => self.returns(host),
-            Due::Roster(host, status) => vec![Effect::Roster(host, status, self.hosts[host].started)],
+            Due::Roster(host, status) => {
+                vec![Effect::StatusPublished(host, status, self.hosts[host].started)]
+            }
             Due::EndsHang(host) => self.ends_hang(host),
             Due::EndsDrain(host) => self.ends_drain(host),
             Due::EndsLag(host) => {
@@ -533,7 +535,7 @@
         let reply = Reply::Served { content, position, primary: true, needed: None };
         let mut effects = vec![Effect::Reply(ticket, reply)];
         if recorded == Some(Recorded::Again) {
-            effects.push(Effect::Doubled(job.query.key.clone().unwrap_or_default()));
+            effects.push(Effect::KeyRecordedAgain(job.query.key.clone().unwrap_or_default()));
         }
         effects
     }
@@ -599,7 +601,7 @@
     fn break_down(&mut self, host: usize, state: State) -> Vec<Effect> {
         self.cut_off(host, state);
         self.tell_roster(host, Status::Removed);
-        vec![Effect::Breaks(host)]
+        vec![Effect::ConnectionsBroken(host)]
     }
 
     /// Nobody reaches a host any more, and what it holds is lost.
@@ -620,7 +622,7 @@
         }
         self.cut_off(host, State::Isolated);
         self.at(self.now + span, Due::EndsIsolation(host));
-        vec![Effect::Breaks(host)]
+        vec![Effect::ConnectionsBroken(host)]
     }
 
     fn ends_isolation(&mut self, host: usize) -> Vec<Effect> {
@@ -631,7 +633,7 @@
         self.hosts[host].state = State::Up;
         self.sets[group].log.resume(member, self.stood[host], self.now);
         self.heard_again(host);
-        vec![Effect::Returns(host)]
+        vec![Effect::ConnectionsAccepted(host)]
     }
 
     /// What becomes of the answer that a host writes now.
@@ -691,7 +693,7 @@
         let stood = self.stood[host];
         self.sets[group].log.resume(member, stood, now);
         self.tell_roster(host, Status::Up);
-        vec![Effect::Returns(host)]
+        vec![Effect::ConnectionsAccepted(host)]
     }
 
     fn ends_hang(&mut self, host: usize) -> Vec<Effect> {
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -66,7 +66,7 @@
         let Some(Reply::Served { position, .. }) = reply(&effects, ticket) else { panic!("not served") };
         commits.push(*position);
         // Outside the window it is recorded again, and that is told.
-        let doubled = effects.iter().any(|effect| matches!(effect, Effect::Doubled(_)));
+        let doubled = effects.iter().any(|effect| matches!(effect, Effect::KeyRecordedAgain(_)));
         assert_eq!(doubled, ticket == 4);
     }
     assert_eq!(commits[0], commits[1]);
@@ -77,14 +77,14 @@
 fn a_dead_primary_is_replaced_and_comes_back_cold_as_a_replica() {
     let mut world = world();
     let effects = world.inject(START, &HostFault::Death { host: 0, span: 10 * SECOND });
-    assert_eq!(effects, [Effect::Breaks(0)]);
+    assert_eq!(effects, [Effect::ConnectionsBroken(0)]);
     world.advance(START + 100 * MS);
     // Nobody goes on while there is no primary.
     let stands = world.position(1, START + 200 * MS);
     assert_eq!(world.position(1, START + SECOND), stands);
     assert!(!(0..5).any(|host| world.is_primary(host)));
     let effects = world.advance(START + 11 * SECOND);
-    assert!(effects.contains(&Effect::Returns(0)));
+    assert!(effects.contains(&Effect::ConnectionsAccepted(0)));
     assert!(!world.is_primary(0) && (1..5).any(|host| world.is_primary(host)));
     assert!(world.warmth(0, START + 11 * SECOND) < 0.3);
     assert_eq!(world.warmth(0, START + 30 * SECOND), 1.0);
@@ -100,7 +100,7 @@
         let at = START + SECOND + n * 5 * MS;
         world.advance(at);
         let effects = world.arrive(at, n as u64, 1, query(&n.to_string(), "daily-report"));
-        fell |= effects.contains(&Effect::Fell(1));
+        fell |= effects.contains(&Effect::ColdHostCrashed(1));
     }
     assert!(fell);
 }
@@ -151,13 +151,13 @@
         world.inject(START, &HostFault::Lag { host, times: 1e6, span: 100 * SECOND });
     }
     let cut = HostFault::Isolation { host: 0, span: 2 * SECOND };
-    assert_eq!(world.inject(START, &cut), [Effect::Breaks(0)]);
+    assert_eq!(world.inject(START, &cut), [Effect::ConnectionsBroken(0)]);
     assert_eq!((world.state(0), world.runs(0)), (State::Isolated, false));
     assert_eq!(world.arrive(START, 1, 0, query("a", "price-lookup")), []);
     // Once more while it is cut off, or an end that comes later, changes nothing.
     assert_eq!(world.inject(START + MS, &cut), []);
     let later = START + 2 * SECOND;
-    assert_eq!(world.advance(later), [Effect::Returns(0)]);
+    assert_eq!(world.advance(later), [Effect::ConnectionsAccepted(0)]);
     assert!(world.runs(0) && !world.is_primary(0));
     assert!(world.position(0, later) < START + 10 * MS);
     assert_eq!((world.warmth(0, later), world.started(0)), (1.0, None));
@@ -223,27 +223,27 @@
 
 #[rstest]
 #[case::sent_long_after_a_drain(Rule::Drain, 1, |c: &mut Checker| {
-    c.told(START, 3, Status::Draining);
+    c.status_reported(START, 3, Status::Draining);
     c.sent(START + 2 * SECOND, 3, "a");
     c.sent(START + 3 * SECOND, 3, "b");
 })]
 #[case::back_after_a_drain(Rule::Drain, 0, |c: &mut Checker| {
-    c.told(START, 3, Status::Removed);
-    c.told(START + SECOND, 3, Status::Up);
+    c.status_reported(START, 3, Status::Removed);
+    c.status_reported(START + SECOND, 3, Status::Up);
     c.sent(START + 9 * SECOND, 3, "a");
 })]
-#[case::pushed_over(Rule::Cold, 1, |c: &mut Checker| c.fell(1))]
-#[case::doubled(Rule::Key, 1, |c: &mut Checker| c.doubled("k"))]
+#[case::pushed_over(Rule::Cold, 1, |c: &mut Checker| c.cold_host_crashed(1))]
+#[case::doubled(Rule::Key, 1, |c: &mut Checker| c.key_recorded_again("k"))]
 #[case::stale(Rule::Stale, 1, |c: &mut Checker| c.replied(1, START, "a", &served(START - 1, START)))]
 #[case::fresh(Rule::Stale, 0, |c: &mut Checker| c.replied(1, START, "a", &served(START, START)))]
 #[case::excused_at_one_that_led(Rule::Stale, 0, |c: &mut Checker| {
-    c.leads(1);
-    c.told_role(START, 1, "a", false);
+    c.seen_as_primary(1);
+    c.role_reported(START, 1, "a", false);
     c.replied(1, START + 50 * MS, "a", &served(START - 1, START));
 })]
 #[case::not_excused_once_told(Rule::Stale, 1, |c: &mut Checker| {
-    c.leads(1);
-    c.told_role(START, 1, "a", false);
+    c.seen_as_primary(1);
+    c.role_reported(START, 1, "a", false);
     c.replied(1, START + 150 * MS, "a", &served(START - 1, START));
 })]
 #[case::answered_twice(Rule::Answer, 1, |c: &mut Checker| {
@@ -278,8 +278,8 @@
     checker.asked_of("a", FIRST);
     checker.asked_of("b", FIRST);
     checker.asked_of("c", RESTARTED);
-    checker.leads(1);
-    checker.told_role(START, 1, "a", false);
+    checker.seen_as_primary(1);
+    checker.role_reported(START, 1, "a", false);
     checker
 }
 
@@ -331,10 +331,10 @@
 #[test]
 fn a_host_that_leads_again_is_excused_until_it_notifies_again() {
     let mut checker = demoted();
-    checker.leads(1);
+    checker.seen_as_primary(1);
     checker.read_sent(START + SECOND, 1, "b", START, START + SECOND);
     assert_eq!(checker.verdict(Rule::Stale).1, 0, "{:?}", checker.breaches());
-    checker.told_role(START + SECOND, 1, "b", false);
+    checker.role_reported(START + SECOND, 1, "b", false);
     checker.read_sent(START + 2 * SECOND, 1, "b", START, START + 2 * SECOND);
     assert_eq!(checker.verdict(Rule::Stale).1, 1, "{:?}", checker.breaches());
 }
@@ -344,7 +344,7 @@
 fn what_a_client_is_served_is_never_excused() {
     let serve = |answers: &[Reply]| {
         let mut checker = Checker::shared(&Spec::sapporo());
-        checker.leads(1);
+        checker.seen_as_primary(1);
         checker.asked("a", START + SECOND);
         checker.asked_of("a", FIRST);
         answers.iter().for_each(|answer| checker.replied(1, START, "a", answer));
--- a/crates/testbench/src/fleet.rs
+++ b/crates/testbench/src/fleet.rs
@@ -267,8 +267,8 @@
         let value = served.then_some((made.as_bytes(), made.as_str()));
         self.nodes[router].checker.answered(self.now, &planned.id, value);
         self.world.answered(&planned.id);
-        let aim = self.day.spec.classes[planned.class].aim;
-        let in_time = served && self.now - START - planned.at <= aim;
+        let latency_objective = self.day.spec.classes[planned.class].latency_objective;
+        let in_time = served && self.now - START - planned.at <= latency_objective;
         let untried = !served && !self.nodes[router].attempts.contains_key(&id);
         let outcomes = self.metrics.classes.entry(planned.class).or_default();
         outcomes.in_time += u64::from(in_time);
@@ -313,7 +313,7 @@
             // A newer list has overtaken this one.
             Own::Listed { host, status, started } if self.listed[host] != (status, started) => {}
             Own::Listed { host, status, started } => {
-                self.nodes[router].checker.told(self.now, host, status);
+                self.nodes[router].checker.status_reported(self.now, host, status);
                 if let Some(started) = started {
                     self.nodes[router].starts.insert(host, started);
                 }
@@ -368,7 +368,7 @@
         let idle = self.nodes[router].idle.entry(host).or_default();
         idle.retain(|since| self.now - since < IDLE);
         let crosses = self.day.spec.zone(router) != self.world.zone(host);
-        let way = if crosses { WAY + self.day.spec.cross } else { WAY };
+        let way = if crosses { WAY + self.day.spec.cross_zone_latency } else { WAY };
         if idle.pop().is_some() {
             return way;
         }
@@ -418,7 +418,7 @@
             out.ticket = Some(ticket);
         }
         if self.world.is_primary(host) {
-            self.nodes.iter_mut().for_each(|node| node.checker.leads(host));
+            self.nodes.iter_mut().for_each(|node| node.checker.seen_as_primary(host));
         }
         let effects = self.world.arrive(self.now, ticket, host, query);
         self.effects(effects);
@@ -497,15 +497,15 @@
         for effect in effects {
             match effect {
                 Effect::Reply(ticket, reply) => self.replied(ticket, &reply),
-                Effect::Breaks(host) => self.breaks(host),
-                Effect::Returns(_) => {}
-                Effect::Roster(host, status, started) => self.roster(host, status, started),
-                Effect::Fell(host) if self.cold[host].mostly_informed() => {
+                Effect::ConnectionsBroken(host) => self.breaks(host),
+                Effect::ConnectionsAccepted(_) => {}
+                Effect::StatusPublished(host, status, started) => self.roster(host, status, started),
+                Effect::ColdHostCrashed(host) if self.cold[host].mostly_informed() => {
                     self.metrics.fell += 1;
-                    self.nodes[0].checker.fell(host);
+                    self.nodes[0].checker.cold_host_crashed(host);
                 }
-                Effect::Fell(_) => self.metrics.fell_unannounced += 1,
-                Effect::Doubled(key) => self.nodes[0].checker.doubled(&key),
+                Effect::ColdHostCrashed(_) => self.metrics.fell_unannounced += 1,
+                Effect::KeyRecordedAgain(key) => self.nodes[0].checker.key_recorded_again(&key),
             }
         }
     }
@@ -535,7 +535,7 @@
         };
         let name = self.plan[id as usize].id.clone();
         self.nodes[router].checker.replied(host, sent, &name, reply);
-        self.nodes[router].checker.told_role(self.now, host, &name, note.1);
+        self.nodes[router].checker.role_reported(self.now, host, &name, note.1);
         self.ended(router, id, attempt, outcome, Some(note));
     }
 
--- a/crates/testbench/src/starve.rs
+++ b/crates/testbench/src/starve.rs
@@ -18,7 +18,7 @@
 use wheelpier_emulator::schedule::plan;
 use wheelpier_emulator::script::Script;
 use wheelpier_emulator::spec::{Freshness, Spec};
-use wheelpier_emulator::world::LARGE;
+use wheelpier_emulator::world::LARGE_ID_PREFIX;
 use wheelpier_emulator::SECOND;
 
 /// The head of a query as long as the longest, of which a byte a second comes.
@@ -73,7 +73,7 @@
 async fn play(seed: u64, seconds: f64, rate: f64, crowd: (usize, usize)) -> Result<Outcome, TestbenchError> {
     let spec = Spec::sapporo();
     let wires = vec![Wire::Postgres];
-    let options = Options { spec: spec.clone(), seed, wires, script: Script::calm(), proxies: 1 };
+    let options = Options { spec: spec.clone(), seed, wires, script: Script::empty(), proxies: 1 };
     let rig = Rig::start(options, rate).await?;
     let (world, clock, address) = (rig.installation.mailbox(), rig.clock, rig.port(Wire::Postgres)?);
     // On a thread of its own: it must not slow the load's clients down.
@@ -133,7 +133,7 @@
 
 async fn never_read(address: SocketAddr, tenant: &str, number: usize, turn: u64) -> io::Result<()> {
     let mut stream: TcpStream = Client::connect(Wire::Postgres, address).await?.into_stream();
-    let id = format!("{LARGE}{number}x{turn}");
+    let id = format!("{LARGE_ID_PREFIX}{number}x{turn}");
     let text = format!(
         "SELECT content FROM kv WHERE name = 'k{number}' /* id={id},c=daily-report,t={tenant},d=1000,cluster=0 */\0"
     );
