--- a/crates/decisions/src/membership/mod.rs
+++ b/crates/decisions/src/membership/mod.rs
@@ -1,9 +1,10 @@
-//! Membership of the fleet, and when a proxy polls discovery.
+//! Membership of the fleet, and the schedule of a proxy's calls to discovery.
 //!
-//! Two kinds of knowledge about other members are kept apart by type. [`consensus`] decides who is a member by numbered
-//! views and leases, and may be relied on. [`failure_detector`] suspects members quickly and may be wrong; a suspicion can
-//! only cause [`reconfiguration`] to propose another view. [`member`] puts the three together as one state machine,
-//! [`transport`] carries its messages, [`membership_log`] tells people what happened. None of it does I/O.
+//! Two kinds of knowledge about other members are separate types. [`consensus`] decides who is a member, by
+//! numbered views and leases; its decisions are safe to act on. [`failure_detector`] suspects members quickly
+//! and may be wrong; a suspicion can only cause [`reconfiguration`] to propose another view. [`member`]
+//! combines the three into one state machine, [`transport`] carries its messages, and [`membership_log`]
+//! records for operators what changed and why. None of these modules does I/O.
 
 pub mod consensus;
 mod discovery_retry;
--- a/crates/decisions/src/membership/view.rs
+++ b/crates/decisions/src/membership/view.rs
@@ -1,25 +1,25 @@
-//! Views: who is in the fleet. How one view becomes the next is computed here; [`super::consensus`] guarantees that there is
-//! only one with each epoch.
+//! Views: the members of the fleet in each epoch. This module computes the view that results from a change;
+//! [`super::consensus`] guarantees that each epoch has only one view.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::sync::Arc;
 
-/// Bound on the members that vote. More would cost each ballot and each lease more messages; fewer would be lost together
-/// too easily.
+/// Maximum number of voters. More would add messages to each ballot and each lease; with fewer, a majority
+/// would be too likely to fail together.
 pub const MAX_VOTERS: usize = 7;
 
 /// The name of a proxy, the same for all its incarnations.
 pub type Name = Arc<str>;
 
-/// One incarnation of a proxy. A process that restarts without its durable state is another incarnation: it must not vote in
-/// place of the one that it replaces, nor be taken for it.
+/// One incarnation of a proxy. A process that restarts without its durable state is another incarnation: it
+/// must neither vote in place of the one that it replaces nor be mistaken for it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Identity {
     /// The name.
     pub name: Name,
-    /// The number of the incarnation; 0 stands for any one of the name.
+    /// The number of the incarnation; 0 stands for any incarnation of the name.
     pub incarnation: u64,
 }
 
@@ -41,36 +41,39 @@
 pub struct View {
     /// The number of the view; 0 before the fleet is founded.
     pub epoch: u64,
-    /// The members in the order of their admission, the longest-standing first.
+    /// The members in the order of their admission, the earliest first.
     pub members: Vec<Identity>,
 }
 
 impl View {
-    /// Returns the view before the first one: the names of the seeds, all of which found the fleet together.
-    pub fn genesis(seeds: &[Name]) -> Self {
-        let members = seeds.iter().map(|name| Identity { name: Arc::clone(name), incarnation: 0 }).collect();
+    /// Returns the view before the first one: the names of the founders, all of which found the fleet
+    /// together.
+    pub fn genesis(founders: &[Name]) -> Self {
+        let members =
+            founders.iter().map(|name| Identity { name: Arc::clone(name), incarnation: 0 }).collect();
         Self { epoch: 0, members }
     }
 
-    /// Returns whether an incarnation is a member. Before the first view nobody is.
+    /// Returns whether an incarnation is a member. Before the first view there are no members.
     pub fn contains(&self, member: &Identity) -> bool {
         self.epoch > 0 && self.members.contains(member)
     }
 
-    /// Returns the member of a name.
+    /// Returns the member with a name, whatever its incarnation.
     pub fn member_named(&self, name: &str) -> Option<&Identity> {
         self.members.iter().find(|member| *member.name == *name)
     }
 
-    /// Returns the members that vote on the next view and grant leases under this one: the longest-standing, or all seeds
-    /// before the first view, since a part of them might not know that the fleet has been founded.
+    /// Returns the members that vote on the next view and grant leases under this one: those admitted
+    /// earliest. Before the first view these are all founders, since some of them might not know that the
+    /// fleet has been founded.
     pub fn voters(&self) -> &[Identity] {
         let max_voters = if self.epoch == 0 { self.members.len() } else { MAX_VOTERS };
         &self.members[..self.members.len().min(max_voters)]
     }
 
-    /// Returns whether an incarnation votes. Before the first view any incarnation of a seed does: whatever one has lost,
-    /// nothing was decided without all the others.
+    /// Returns whether an incarnation votes. Before the first view any incarnation of a founder does:
+    /// whatever state it has lost, nothing was decided without all the other founders.
     pub fn is_voter(&self, member: &Identity) -> bool {
         match self.epoch {
             0 => self.member_named(&member.name).is_some(),
@@ -78,7 +81,8 @@
         }
     }
 
-    /// Returns the number of votes that decide: two such sets have a voter in common. The first view takes all seeds.
+    /// Returns the number of votes needed for a decision. Any two quorums have a voter in common; the first
+    /// view needs the votes of all founders.
     pub fn quorum(&self) -> usize {
         match self.epoch {
             0 => self.members.len().max(1),
@@ -86,13 +90,13 @@
         }
     }
 
-    /// Returns the view after a change, or `None` if the change makes no difference or leaves nobody. A joining
-    /// incarnation is added at the end and takes the place of an older one of its name; one that is both to be evicted
-    /// and to join joins.
+    /// Returns the view after a change, or `None` if the change has no effect or would leave no members. A
+    /// joining incarnation is added at the end and replaces an older one of its name. An incarnation that is
+    /// named both for eviction and for joining joins.
     pub fn next(&self, change: &ViewChange) -> Option<Self> {
         let is_replaced = |member: &Identity| {
             let replaces =
-                |joins: &Identity| joins.name == member.name && joins.incarnation > member.incarnation;
+                |joining: &Identity| joining.name == member.name && joining.incarnation > member.incarnation;
             change.join.iter().any(replaces)
         };
         let stays =
@@ -110,9 +114,9 @@
 /// A proposed change of the view.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ViewChange {
-    /// Members to be removed.
+    /// Members to remove.
     pub evict: BTreeSet<Identity>,
-    /// Incarnations to be admitted.
+    /// Incarnations to admit.
     pub join: BTreeSet<Identity>,
 }
 
--- a/crates/decisions/src/membership/view/tests.rs
+++ b/crates/decisions/src/membership/view/tests.rs
@@ -7,39 +7,40 @@
     }
 }
 
-fn change(out: &[(&str, u64)], join: &[(&str, u64)]) -> ViewChange {
-    let all =
-        |of: &[(&str, u64)]| of.iter().map(|(name, incarnation)| Identity::new(name, *incarnation)).collect();
-    ViewChange { evict: all(out), join: all(join) }
+fn change(evict: &[(&str, u64)], join: &[(&str, u64)]) -> ViewChange {
+    let identities = |members: &[(&str, u64)]| {
+        members.iter().map(|(name, incarnation)| Identity::new(name, *incarnation)).collect()
+    };
+    ViewChange { evict: identities(evict), join: identities(join) }
 }
 
 #[test]
-fn who_goes_is_gone_and_who_comes_stands_last() {
+fn evicted_members_are_removed_and_joining_ones_appended() {
     let next = view(&[("a", 1), ("b", 1), ("c", 1)]).next(&change(&[("a", 1)], &[("d", 9)]));
     assert_eq!(next, Some(View { epoch: 5, ..view(&[("b", 1), ("c", 1), ("d", 9)]) }));
 }
 
 #[test]
-fn a_later_life_replaces_an_earlier_one_and_never_the_other_way_round() {
-    let now = view(&[("a", 3), ("b", 1)]);
+fn a_later_incarnation_replaces_an_earlier_one_but_not_vice_versa() {
+    let current = view(&[("a", 3), ("b", 1)]);
     assert_eq!(
-        now.next(&change(&[], &[("a", 4)])).map(|v| v.members),
+        current.next(&change(&[], &[("a", 4)])).map(|v| v.members),
         Some(view(&[("b", 1), ("a", 4)]).members)
     );
-    assert_eq!(now.next(&change(&[], &[("a", 2)])), None);
-    assert_eq!(now.next(&change(&[], &[("a", 3)])), None);
+    assert_eq!(current.next(&change(&[], &[("a", 2)])), None);
+    assert_eq!(current.next(&change(&[], &[("a", 3)])), None);
 }
 
 #[test]
-fn nothing_to_change_is_no_view_and_nobody_left_is_none_either() {
-    let now = view(&[("a", 1)]);
-    assert_eq!(now.next(&ViewChange::default()), None);
-    assert_eq!(now.next(&change(&[("x", 1)], &[])), None);
-    assert_eq!(now.next(&change(&[("a", 1)], &[])), None);
+fn a_change_without_effect_or_remaining_members_gives_no_view() {
+    let current = view(&[("a", 1)]);
+    assert_eq!(current.next(&ViewChange::default()), None);
+    assert_eq!(current.next(&change(&[("x", 1)], &[])), None);
+    assert_eq!(current.next(&change(&[("a", 1)], &[])), None);
 }
 
 #[test]
-fn the_longest_standing_vote_and_a_majority_of_them_decides() {
+fn the_members_admitted_earliest_vote_and_a_majority_of_them_decides() {
     let names: Vec<String> = (0..20).map(|n| format!("m{n:02}")).collect();
     let many = View { epoch: 9, members: names.iter().map(|name| Identity::new(name, 1)).collect() };
     assert_eq!((many.voters().len(), many.quorum()), (7, 4));
@@ -51,9 +52,9 @@
 }
 
 #[test]
-fn before_the_first_view_all_seeds_vote_in_any_life_and_nobody_is_a_member() {
-    let seeds: Vec<Name> = ["a", "b", "c"].map(Name::from).to_vec();
-    let genesis = View::genesis(&seeds);
+fn before_the_first_view_any_incarnation_of_a_founder_votes_and_nobody_is_a_member() {
+    let founders: Vec<Name> = ["a", "b", "c"].map(Name::from).to_vec();
+    let genesis = View::genesis(&founders);
     assert_eq!(genesis.quorum(), 3);
     assert!(genesis.is_voter(&Identity::new("b", 77)) && !genesis.is_voter(&Identity::new("d", 77)));
     assert!(!genesis.contains(&Identity::new("b", 0)));
