--- a/crates/decisions/src/membership/consensus/ballots.rs
+++ b/crates/decisions/src/membership/consensus/ballots.rs
@@ -5,25 +5,26 @@
 use crate::membership::view::{Identity, View, ViewChange};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A ballot that this process has opened.
+/// A ballot opened by this process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Proposal {
     ballot: Ballot,
-    /// The change to propose if no earlier proposal may have been chosen.
+    /// The change to propose, unless an earlier proposal may already have been chosen.
     change: ViewChange,
-    /// The voters that have promised, and what each had accepted before.
+    /// The voters that have promised, each with the proposal that it had accepted before.
     promises: BTreeMap<Identity, Option<(Ballot, View)>>,
     /// The view proposed in phase two; `None` during phase one.
     value: Option<View>,
+    /// The voters that have accepted `value`.
     accepted: BTreeSet<Identity>,
     /// When the ballot is given up.
     pub(super) deadline: Timestamp,
 }
 
 impl Consensus {
-    /// Opens a ballot for a change of the view. It has an effect only if this process votes and no later ballot
-    /// supersedes it; the caller has to check the outcome and propose again. A change that makes no difference is not
-    /// proposed, unless an earlier proposal is undecided.
+    /// Opens a ballot for a change of the view. Has an effect only if this process votes and no later ballot
+    /// supersedes it, so the caller has to check the outcome and propose again. A change without effect is
+    /// not proposed unless an earlier proposal is undecided.
     pub fn propose(&mut self, now: Timestamp, change: ViewChange, out: &mut Vec<Output>) {
         let is_founded = self.view.epoch > 0;
         let is_without_effect = is_founded && self.view.next(&change).is_none();
@@ -43,12 +44,13 @@
         self.broadcast_to_voters(now, &Message::Prepare { epoch: self.view.epoch, ballot }, out);
     }
 
-    /// Returns whether the ballot was opened by its sender, and both it and this process vote.
+    /// Returns whether the sender itself opened the ballot, and both the sender and this process are voters.
     pub(super) fn is_ballot_of_voter(&self, from: &Identity, ballot: &Ballot) -> bool {
         ballot.by == *from && self.view.is_voter(from) && self.view.is_voter(&self.me)
     }
 
-    /// The promise that rules out taking part in this ballot, if there is one.
+    /// Returns the promise of a later ballot that keeps this process from taking part in this one, if there
+    /// is one.
     fn later_promise(&self, ballot: &Ballot) -> Option<Ballot> {
         self.promised.clone().filter(|promised| promised > ballot)
     }
@@ -130,16 +132,16 @@
         self.adopt_view(now, view, out);
     }
 
-    /// Sends a decided view to the members of the present and of the next one.
+    /// Sends a decided view to the members of the current view and of the decided one.
     fn announce_decision(&self, view: &View, out: &mut Vec<Output>) {
-        let present = self.view.members.iter().filter(|member| member.incarnation > 0);
-        let mut receivers: BTreeSet<Identity> = present.chain(&view.members).cloned().collect();
+        let current = self.view.members.iter().filter(|member| member.incarnation > 0);
+        let mut receivers: BTreeSet<Identity> = current.chain(&view.members).cloned().collect();
         receivers.remove(&self.me);
         let decided = Message::Decided { view: view.clone() };
         out.extend(receivers.into_iter().map(|member| Output::Send(member, decided.clone())));
     }
 
-    /// Takes note of the later ballot, so that the next proposal supersedes it, and gives up the present one.
+    /// Records the later ballot, so that the next proposal supersedes it, and gives up the current proposal.
     pub(super) fn handle_reject(&mut self, epoch: u64, ballot: Ballot, out: &mut Vec<Output>) {
         let is_later = self.promised.as_ref().is_none_or(|promised| *promised < ballot);
         if epoch == self.view.epoch && is_later {
@@ -150,8 +152,9 @@
     }
 }
 
-/// Returns the view for phase two. A view that any of the voters has accepted may have been chosen already and takes
-/// precedence over the proposer's change. The first view consists of all that promised.
+/// Returns the view to propose in phase two. A view that any of the voters has accepted may have been chosen
+/// already and takes precedence over the proposer's change. The first view consists of all voters that
+/// promised.
 fn view_to_propose(proposal: &Proposal, view: &View) -> Option<View> {
     let accepted = proposal.promises.values().flatten().max_by_key(|(ballot, _)| ballot.clone());
     match accepted {
@@ -164,7 +167,8 @@
     }
 }
 
-/// Counts voters by name: before the first view a voter may have had more than one incarnation.
+/// Returns the number of distinct names among the voters: before the first view a voter may have had more
+/// than one incarnation.
 fn distinct_names<'a>(voters: impl Iterator<Item = &'a Identity>) -> usize {
     voters.map(|voter| &voter.name).collect::<BTreeSet<_>>().len()
 }
--- a/crates/decisions/src/membership/consensus/message.rs
+++ b/crates/decisions/src/membership/consensus/message.rs
@@ -1,4 +1,4 @@
-//! Messages of the consensus, its durable state, and what its owner has to do.
+//! Messages and durable state of the consensus protocol, and the outputs that its owner has to process.
 //!
 //! The encoding is positional: the order of variants and fields is part of the protocol.
 
@@ -6,7 +6,7 @@
 use crate::membership::view::{Identity, View};
 use serde::{Deserialize, Serialize};
 
-/// The number of a ballot. Ballots of later rounds supersede those of earlier ones.
+/// The number of a ballot. A ballot of a later round supersedes those of earlier rounds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
     /// The round; compared before the proposer.
@@ -18,9 +18,9 @@
 /// A message between members about views and leases.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for the latest view if the receiver knows a later one.
+    /// Requests the latest view if the receiver knows a later one than the sender.
     ViewRequest {
-        /// The latest view that the sender knows.
+        /// The epoch of the latest view that the sender knows.
         epoch: u64,
     },
     /// A decided view.
@@ -28,34 +28,34 @@
         /// The view.
         view: View,
     },
-    /// A member asks a voter for its lease.
+    /// A member requests its lease from a voter.
     LeaseRequest {
-        /// The view under which it asks.
+        /// The epoch of the view under which it is requested.
         epoch: u64,
-        /// When it asked, on its own clock; the grant returns it.
+        /// When it was requested, on the clock of the member; returned in the grant.
         sent_at: Timestamp,
     },
     /// A voter grants a lease.
     LeaseGrant {
-        /// The view under which it grants.
+        /// The epoch of the view under which it is granted.
         epoch: u64,
-        /// The time given in the request.
+        /// The `sent_at` of the request.
         sent_at: Timestamp,
     },
-    /// Phase one: a proposer opens a ballot for the view after the present one.
+    /// Phase one: a proposer opens a ballot for the view after the current one.
     Prepare {
-        /// The present view.
+        /// The epoch of the current view.
         epoch: u64,
         /// The ballot.
         ballot: Ballot,
     },
-    /// A voter takes part in no earlier ballot from now on.
+    /// A voter promises to take part in no earlier ballot from now on.
     Promise {
-        /// The present view.
+        /// The epoch of the current view.
         epoch: u64,
         /// The ballot.
         ballot: Ballot,
-        /// What the voter has accepted last.
+        /// The ballot and view that the voter accepted last, if any.
         accepted: Option<(Ballot, View)>,
     },
     /// Phase two: a proposer asks the voters to accept a view.
@@ -67,51 +67,53 @@
     },
     /// A voter has accepted the view.
     Accepted {
-        /// The present view.
+        /// The epoch of the current view.
         epoch: u64,
         /// The ballot.
         ballot: Ballot,
     },
-    /// A voter has promised a later ballot.
+    /// A voter rejects a ballot, since it has promised a later one.
     Reject {
-        /// The present view.
+        /// The epoch of the current view.
         epoch: u64,
         /// The later ballot.
         ballot: Ballot,
     },
 }
 
-/// State that must survive as long as an incarnation does. A process that restarts with it is still the same voter.
+/// State that must be kept as long as the incarnation exists. A process that restarts with it is still the
+/// same voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DurableState {
     /// The latest view.
     pub view: Option<View>,
-    /// The highest ballot promised: no earlier one is taken part in.
+    /// The highest ballot promised. The process takes part in no earlier one.
     pub promised: Option<Ballot>,
-    /// What was accepted last.
+    /// The ballot and view accepted last.
     pub accepted: Option<(Ballot, View)>,
 }
 
-/// What the owner of the consensus has to do, in this order.
+/// An action for the owner of the consensus. Outputs have to be processed in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Store this state before any message that follows is sent.
+    /// Store this state before sending any message that follows.
     Persist(DurableState),
     /// Send a message to another member.
     Send(Identity, Message),
-    /// Act on an event.
+    /// Handle an event.
     Event(Event),
 }
 
-/// A fact that may be relied on.
+/// A fact that is safe to act on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// There is a new view. A member that it removes may be replaced once [`super::Consensus::can_take_over`] says so.
+    /// A new view was adopted. A member that it removes may be replaced once
+    /// [`super::Consensus::can_take_over`] returns `true`.
     View(View),
-    /// This process may act as a member, until [`super::Consensus::is_fenced`] says otherwise.
+    /// This process may act as a member as long as [`super::Consensus::is_fenced`] returns `false`.
     Unfenced,
-    /// This process may not act as a member: it is out, or its lease has run out.
+    /// This process must not act as a member: it was removed, or its lease has expired.
     Fenced,
-    /// A second view with a number that is already known: a voter voted twice, safety is lost.
+    /// Another view with the epoch of the current one: a voter has voted twice, and safety is lost.
     ConflictingView(View),
 }
--- a/crates/decisions/src/membership/consensus/mod.rs
+++ b/crates/decisions/src/membership/consensus/mod.rs
@@ -1,16 +1,19 @@
-//! Consensus on views and leases. What it says is safe to act on: a member that is out, or has lost its lease, knows so
-//! itself before another one may act in its place.
+//! Consensus on views and leases. Its decisions are safe to act on: a member that was removed, or has lost
+//! its lease, knows so itself before another process may act in its place.
 //!
-//! It guarantees safety alone. Whom to remove and when is decided by [`crate::membership::reconfiguration`]; a wrong
-//! proposal costs a ballot. Messages may be lost, doubled, late and out of order; a process may be stopped at any
-//! moment and for any time. Clocks are monotonic, each process reads its own, and they run within a stated drift.
+//! Only safety is guaranteed here. [`crate::membership::reconfiguration`] decides which members to remove and
+//! when; a wrong proposal costs a ballot. Messages may be lost, duplicated, delayed and reordered, and a
+//! process may be paused at any moment for any time. Each process reads its own monotonic clock, whose rate
+//! is exact to within a configured drift.
 //!
-//! *Views.* The next view is chosen by the voters of the present one in two-phase ballots (Paxos, one instance for each
-//! epoch). A voter that has lost its promises is another incarnation and no voter until a view admits it.
+//! *Views.* The voters of the current view choose the next one in two-phase ballots (Paxos, one instance for
+//! each epoch). A voter that has lost its promises is another incarnation, and does not vote until a view
+//! admits it.
 //!
-//! *Leases.* A member asks all voters, and holds a lease for a time counted from its request once a majority has granted
-//! it. A voter that has accepted a proposal grants nothing until a view is decided, so every lease under an earlier view
-//! was granted before a later one was learnt of. `docs/design/006-membership.md` has the argument and the limits.
+//! *Leases.* A member requests its lease from all voters. Once a majority has granted it, the member holds it
+//! for a time counted from the request. A voter that has accepted a proposal grants no leases until a view is
+//! decided, so every lease under an earlier view was granted before any process knew a later one.
+//! `docs/design/006-membership.md` has the argument and the limits.
 
 mod ballots;
 mod leases;
@@ -27,45 +30,48 @@
 use ballots::Proposal;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One member's part in the consensus.
+/// One process's state in the consensus protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Consensus {
     me: Identity,
     terms: LeaseTerms,
     view: View,
-    /// The view that was known here before the present one.
+    /// The view that this process knew before the current one.
     previous_view: View,
-    /// The highest ballot promised under this view.
+    /// The highest ballot promised under the current view.
     promised: Option<Ballot>,
-    /// What was accepted last under this view. While it is set this process grants no lease.
+    /// The ballot and view accepted last under the current view. While it is set, this process grants no
+    /// leases.
     accepted: Option<(Ballot, View)>,
-    /// The ballot that this process has open.
+    /// The ballot that this process has opened, until it is decided or given up.
     proposal: Option<Proposal>,
-    /// Members that get no lease before a time: another incarnation of their name may still hold one.
-    not_before: BTreeMap<Identity, Timestamp>,
-    /// Members that were removed, and from when on each may be replaced.
+    /// Members that are granted no lease before a given time, since another incarnation of their name may
+    /// still hold one.
+    no_grant_before: BTreeMap<Identity, Timestamp>,
+    /// Removed members, each with the time from which it may be replaced.
     evicted: BTreeMap<Identity, Timestamp>,
-    /// From when on this process grants leases: those that it granted before it started have run out by then.
+    /// When this process starts to grant leases. Those that it granted before a restart have expired by then.
     grants_from: Timestamp,
-    /// Until when this process holds its lease.
+    /// When the last lease of this process ends.
     lease_until: Option<Timestamp>,
-    /// Open lease requests by the time they were sent, and the voters that have granted each.
+    /// Open lease requests by the time they were sent, each with the voters that have granted it.
     lease_requests: BTreeMap<Timestamp, BTreeSet<Identity>>,
+    /// When the lease is requested next.
     renew_lease_at: Timestamp,
-    /// The state of fencing that was last put out as an event.
+    /// Whether the last event said that this process is fenced.
     reported_fenced: bool,
 }
 
 impl Consensus {
-    /// Starts an incarnation with the state that it had stored. If there is none the incarnation must be a new one.
+    /// Starts an incarnation with its stored state. Without stored state the incarnation must be a new one.
     pub fn new(
         me: Identity,
         terms: LeaseTerms,
-        seeds: &[Name],
+        founders: &[Name],
         durable: DurableState,
         now: Timestamp,
     ) -> Self {
-        let view = durable.view.unwrap_or_else(|| View::genesis(seeds));
+        let view = durable.view.unwrap_or_else(|| View::genesis(founders));
         Self {
             me,
             terms,
@@ -74,7 +80,7 @@
             promised: durable.promised,
             accepted: durable.accepted,
             proposal: None,
-            not_before: BTreeMap::new(),
+            no_grant_before: BTreeMap::new(),
             evicted: BTreeMap::new(),
             grants_from: terms.grantor_expired_at(now),
             lease_until: None,
@@ -84,7 +90,7 @@
         }
     }
 
-    /// Returns who this process is.
+    /// Returns the identity of this process.
     pub fn me(&self) -> &Identity {
         &self.me
     }
@@ -94,13 +100,13 @@
         &self.view
     }
 
-    /// Returns the view that was known before the latest one.
+    /// Returns the view that this process knew before the latest one.
     pub fn previous_view(&self) -> &View {
         &self.previous_view
     }
 
-    /// Returns whether this process has accepted a proposal whose outcome it does not know. It grants no lease
-    /// meanwhile, so somebody should open a ballot.
+    /// Returns whether this process has accepted a proposal whose outcome it does not know. Until it does, it
+    /// grants no leases, so a voter should open a ballot.
     pub fn has_undecided_proposal(&self) -> bool {
         self.accepted.is_some()
     }
@@ -118,7 +124,7 @@
         [renewal, expiry, ballot].into_iter().flatten().min()
     }
 
-    /// Does what is due at this time.
+    /// Handles what is due at this time: the end of a lease or ballot, and the next lease request.
     pub fn handle_timeout(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.report_fencing(now, out);
         if self.proposal.as_ref().is_some_and(|proposal| now >= proposal.deadline) {
@@ -129,7 +135,7 @@
         }
     }
 
-    /// Handles a message from a member, or from a process that wants to become one.
+    /// Handles a message from a member, or from a process that requests to join.
     pub fn handle_message(
         &mut self,
         now: Timestamp,
@@ -138,10 +144,10 @@
         out: &mut Vec<Output>,
     ) {
         match message {
-            Message::ViewRequest { epoch } => _ = self.is_same_epoch(from, epoch, out),
+            Message::ViewRequest { epoch } => _ = self.check_epoch(from, epoch, out),
             Message::Decided { view } => self.adopt_view(now, view, out),
             Message::LeaseRequest { epoch, sent_at } => {
-                if self.is_same_epoch(from, epoch, out) && self.may_grant(now, from) {
+                if self.check_epoch(from, epoch, out) && self.may_grant(now, from) {
                     self.send(now, from, Message::LeaseGrant { epoch, sent_at }, out);
                 }
             }
@@ -151,23 +157,23 @@
                 }
             }
             Message::Prepare { epoch, ballot } => {
-                if self.is_same_epoch(from, epoch, out) && self.is_ballot_of_voter(from, &ballot) {
+                if self.check_epoch(from, epoch, out) && self.is_ballot_of_voter(from, &ballot) {
                     self.handle_prepare(now, from, ballot, out);
                 }
             }
             Message::Promise { epoch, ballot, accepted } => {
-                if self.is_same_epoch(from, epoch, out) && self.view.is_voter(from) {
+                if self.check_epoch(from, epoch, out) && self.view.is_voter(from) {
                     self.handle_promise(now, from, &ballot, accepted, out);
                 }
             }
             Message::Accept { ballot, view } => {
                 let epoch = view.epoch.saturating_sub(1);
-                if self.is_same_epoch(from, epoch, out) && self.is_ballot_of_voter(from, &ballot) {
+                if self.check_epoch(from, epoch, out) && self.is_ballot_of_voter(from, &ballot) {
                     self.handle_accept(now, from, ballot, view, out);
                 }
             }
             Message::Accepted { epoch, ballot } => {
-                if self.is_same_epoch(from, epoch, out) && self.view.is_voter(from) {
+                if self.check_epoch(from, epoch, out) && self.view.is_voter(from) {
                     self.handle_accepted(now, from, &ballot, out);
                 }
             }
@@ -175,9 +181,9 @@
         }
     }
 
-    /// Returns whether the sender is at the same epoch. One that is behind is sent the latest view; one that is ahead is
-    /// asked for it.
-    fn is_same_epoch(&self, from: &Identity, epoch: u64, out: &mut Vec<Output>) -> bool {
+    /// Returns whether the sender is at the same epoch as this process. Sends the latest view to a sender
+    /// that is behind, and requests it from one that is ahead.
+    fn check_epoch(&self, from: &Identity, epoch: u64, out: &mut Vec<Output>) -> bool {
         let answer = match epoch.cmp(&self.view.epoch) {
             std::cmp::Ordering::Less => Message::Decided { view: self.view.clone() },
             std::cmp::Ordering::Greater => Message::ViewRequest { epoch: self.view.epoch },
@@ -201,8 +207,8 @@
         }
     }
 
-    /// Sends a message; one to this process itself is handled at once. Before the first view voters are known by name
-    /// alone.
+    /// Sends a message, or handles it at once if the receiver is this process itself. Before the first view,
+    /// voters are known by name only.
     fn send(&mut self, now: Timestamp, to: &Identity, message: Message, out: &mut Vec<Output>) {
         if *to == self.me || (to.incarnation == 0 && to.name == self.me.name) {
             let me = self.me.clone();
--- a/crates/decisions/src/membership/consensus/model_test.rs
+++ b/crates/decisions/src/membership/consensus/model_test.rs
@@ -1,58 +1,62 @@
-//! All runs of a small fleet, within bounds: messages lost, doubled and out of order, processes that stand still, come back
-//! as another incarnation, or from their disk. Two faults are planted, which it has to find.
+//! Model check of the consensus: explores all runs of a small fleet within bounds. Messages are lost,
+//! duplicated and reordered; processes pause, and restart as another incarnation or with their stored state.
+//! Two faults are injected, which the check has to find.
 
 use super::*;
 use crate::membership::view::ViewChange;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-/// One process.
+/// One process and its disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     consensus: Consensus,
-    /// What its disk has.
+    /// The state on its disk.
     durable: DurableState,
 }
 
-/// What is in the code, or planted.
+/// A fault injected into the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Fault {
     None,
-    /// A lease counts from the grant instead of the request.
+    /// A lease counts from the receipt of the grant instead of from the request.
     LeaseFromReceipt,
-    /// A process that has lost what it voted for votes on under its old identity.
+    /// A process that has lost its votes continues to vote under its old identity.
     IncarnationKeptOverRestart,
 }
 
-/// What a restart finds on its disk.
+/// Whether a process finds its stored state after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Disk {
     Lost,
     Kept,
 }
 
+/// The configuration of one model check.
 struct Fleet {
     members: usize,
     fault: Fault,
     disk: Disk,
-    /// Who may open ballots, and whom they propose to remove.
+    /// Pairs of a node that may open one ballot and the member that it proposes to remove.
     proposals: Vec<(usize, usize)>,
-    /// How far the clock runs, in units of half a lease.
+    /// How far the clock advances, in units of half a lease.
     ticks: i64,
-    /// Who may come back, once each.
+    /// The nodes that may restart, once each.
     restarts: Vec<usize>,
-    /// The member whose lease is simulated; the others' are left out, to keep the number of states down.
-    renews: Option<usize>,
+    /// The member whose lease is simulated. The leases of other members are left out to limit the number of
+    /// states.
+    lease_member: Option<usize>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: Timestamp,
     nodes: Vec<Node>,
-    /// All that was ever sent: it may come at any time and any number of times, or never.
-    net: BTreeSet<(Identity, Identity, Message)>,
-    /// Each view that was adopted, by number.
+    /// All messages ever sent, with sender and receiver. Each may arrive at any time and any number of times,
+    /// or never.
+    network: BTreeSet<(Identity, Identity, Message)>,
+    /// The first view adopted in each epoch.
     views: BTreeMap<u64, View>,
-    forked: bool,
+    has_conflicting_views: bool,
     proposed: BTreeSet<usize>,
     restarted: BTreeSet<usize>,
 }
@@ -80,37 +84,39 @@
             proposals,
             ticks: 0,
             restarts: Vec::new(),
-            renews: None,
+            lease_member: None,
         }
     }
 
-    /// Applies the outputs of a node.
+    /// Applies the outputs of a node to the state.
     fn apply_outputs(&self, state: &mut State, node: usize, out: Vec<Output>) {
         let me = state.nodes[node].consensus.me.clone();
         for output in out {
             match output {
                 Output::Persist(durable) => state.nodes[node].durable = durable,
                 Output::Send(to, message) => {
-                    let lease = matches!(message, Message::LeaseRequest { .. } | Message::LeaseGrant { .. });
-                    let followed =
-                        self.renews.is_some_and(|n| [&me, &to].iter().any(|id| *id.name == *NAMES[n]));
-                    if !lease || followed {
-                        state.net.insert((me.clone(), to, message));
+                    let is_lease_message =
+                        matches!(message, Message::LeaseRequest { .. } | Message::LeaseGrant { .. });
+                    let is_simulated =
+                        self.lease_member.is_some_and(|n| [&me, &to].iter().any(|id| *id.name == *NAMES[n]));
+                    if !is_lease_message || is_simulated {
+                        state.network.insert((me.clone(), to, message));
                     }
                 }
                 Output::Event(Event::View(view)) => {
                     let first = state.views.entry(view.epoch).or_insert_with(|| view.clone());
-                    state.forked |= *first != view;
+                    state.has_conflicting_views |= *first != view;
                 }
-                Output::Event(Event::ConflictingView(_)) => state.forked = true,
+                Output::Event(Event::ConflictingView(_)) => state.has_conflicting_views = true,
                 Output::Event(_) => {}
             }
         }
     }
 
-    fn restarted(&self, old: &Node, now: Timestamp) -> Node {
+    /// Returns a node after a restart.
+    fn restart(&self, old: &Node, now: Timestamp) -> Node {
         let (me, view) = (old.consensus.me.clone(), old.durable.view.clone());
-        let seeds: Vec<Name> = NAMES[..self.members].iter().map(|name| (*name).into()).collect();
+        let founders: Vec<Name> = NAMES[..self.members].iter().map(|name| (*name).into()).collect();
         let (me, durable) = match (self.fault, self.disk) {
             (Fault::IncarnationKeptOverRestart, _) => (me, DurableState { view, ..DurableState::default() }),
             (_, Disk::Kept) => (me, old.durable.clone()),
@@ -119,7 +125,7 @@
                 DurableState { view, ..DurableState::default() },
             ),
         };
-        Node { consensus: Consensus::new(me, TERMS, &seeds, durable.clone(), now), durable }
+        Node { consensus: Consensus::new(me, TERMS, &founders, durable.clone(), now), durable }
     }
 }
 
@@ -127,41 +133,41 @@
     type State = State;
     type Action = Step;
 
-    /// All are members of the first view, and no lease is out yet.
+    /// Returns the initial state: all nodes are members of the first view, and no lease has been granted yet.
     fn init_states(&self) -> Vec<State> {
         let members: Vec<Identity> =
             NAMES[..self.members].iter().map(|name| Identity::new(name, 1)).collect();
         let view = View { epoch: 1, members: members.clone() };
         let durable = DurableState { view: Some(view.clone()), ..DurableState::default() };
-        let before = Timestamp(-TERMS.lease_us);
+        let started_at = Timestamp(-TERMS.lease_us);
         let node = |me: Identity| Node {
-            consensus: Consensus::new(me, TERMS, &[], durable.clone(), before),
+            consensus: Consensus::new(me, TERMS, &[], durable.clone(), started_at),
             durable: durable.clone(),
         };
         let views = BTreeMap::from([(1, view)]);
         let nodes = members.into_iter().map(node).collect();
-        let (net, proposed) = (BTreeSet::new(), BTreeSet::new());
+        let (network, proposed) = (BTreeSet::new(), BTreeSet::new());
         vec![State {
             now: Timestamp(0),
             nodes,
-            net,
+            network,
             views,
-            forked: false,
+            has_conflicting_views: false,
             proposed,
             restarted: BTreeSet::new(),
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
-        for (from, to, message) in &state.net {
+        for (from, to, message) in &state.network {
             if state.nodes.iter().any(|node| node.consensus.me == *to) {
                 actions.push(Step::Deliver(from.clone(), to.clone(), message.clone()));
             }
         }
         actions.extend((0..self.proposals.len()).filter(|n| !state.proposed.contains(n)).map(Step::Propose));
-        if let Some(node) = self.renews {
-            let renews = &state.nodes[node].consensus;
-            if renews.next_timeout().is_some_and(|at| at <= state.now) {
+        if let Some(node) = self.lease_member {
+            let consensus = &state.nodes[node].consensus;
+            if consensus.next_timeout().is_some_and(|at| at <= state.now) {
                 actions.push(Step::Timer(node));
             }
         }
@@ -181,24 +187,24 @@
                 return Some(state);
             }
             Step::Restart(node) => {
-                state.nodes[node] = self.restarted(&state.nodes[node], now);
+                state.nodes[node] = self.restart(&state.nodes[node], now);
                 state.restarted.insert(node);
                 return Some(state);
             }
             Step::Deliver(from, to, message) => {
                 let node = state.nodes.iter().position(|node| node.consensus.me == to)?;
                 let consensus = &mut state.nodes[node].consensus;
-                let lease = consensus.lease_until;
+                let old_lease_until = consensus.lease_until;
                 consensus.handle_message(now, &from, message, &mut out);
-                if self.fault == Fault::LeaseFromReceipt && consensus.lease_until != lease {
+                if self.fault == Fault::LeaseFromReceipt && consensus.lease_until != old_lease_until {
                     consensus.lease_until = Some(TERMS.holder_valid_until(now));
                 }
                 node
             }
             Step::Propose(n) => {
                 let (node, target) = self.proposals[n];
-                let gone = state.nodes[node].consensus.view.member_named(NAMES[target]).cloned();
-                let change = ViewChange { evict: gone.into_iter().collect(), ..ViewChange::default() };
+                let evicted = state.nodes[node].consensus.view.member_named(NAMES[target]).cloned();
+                let change = ViewChange { evict: evicted.into_iter().collect(), ..ViewChange::default() };
                 state.proposed.insert(n);
                 state.nodes[node].consensus.propose(now, change, &mut out);
                 node
@@ -214,30 +220,31 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one view with each number", |_, state: &State| !state.forked),
-            Property::always("who is replaced has known before", |_, state: &State| {
-                let acts = |node: &&Node| !node.consensus.is_fenced(state.now);
-                let free = |id: &Identity| {
+            Property::always(ONE_VIEW_PER_EPOCH, |_, state: &State| !state.has_conflicting_views),
+            Property::always(FENCED_BEFORE_REPLACED, |_, state: &State| {
+                let may_act = |node: &&Node| !node.consensus.is_fenced(state.now);
+                let can_be_replaced = |id: &Identity| {
                     state.nodes.iter().any(|node| node.consensus.can_take_over(id, state.now))
                 };
-                !state.nodes.iter().filter(acts).any(|node| free(&node.consensus.me))
+                !state.nodes.iter().filter(may_act).any(|node| can_be_replaced(&node.consensus.me))
             }),
-            Property::sometimes("a change becomes a view", |_, state: &State| state.views.len() > 1),
-            Property::sometimes("who is out is free", |_, state: &State| {
-                let gone = &state.views[&1].members;
+            Property::sometimes(REACHED[0], |_, state: &State| state.views.len() > 1),
+            Property::sometimes(REACHED[1], |_, state: &State| {
+                let members = &state.views[&1].members;
                 state
                     .nodes
                     .iter()
-                    .any(|node| gone.iter().any(|id| node.consensus.can_take_over(id, state.now)))
+                    .any(|node| members.iter().any(|id| node.consensus.can_take_over(id, state.now)))
             }),
         ]
     }
 }
 
-/// Looks at so many states at the most; which properties were found broken, or happened, and the number of states.
-fn explore(fleet: Fleet, states: usize) -> (BTreeSet<&'static str>, usize) {
+/// Explores up to `max_states` states. Returns the properties of kind "always" that were violated and those
+/// of kind "sometimes" that occurred, and the number of distinct states.
+fn explore(fleet: Fleet, max_states: usize) -> (BTreeSet<&'static str>, usize) {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
-    let checker = fleet.checker().threads(threads).target_state_count(states);
+    let checker = fleet.checker().threads(threads).target_state_count(max_states);
     let checker = checker.finish_when(HasDiscoveries::AllFailures).spawn_bfs().join();
     let found: BTreeSet<&'static str> = checker.discoveries().into_keys().collect();
     println!(
@@ -249,57 +256,62 @@
     (found, checker.unique_state_count())
 }
 
-const ONE_VIEW: &str = "one view with each number";
-const KNOWN_BEFORE: &str = "who is replaced has known before";
-const HAPPENS: [&str; 2] = ["a change becomes a view", "who is out is free"];
+const ONE_VIEW_PER_EPOCH: &str = "each epoch has one view";
+const FENCED_BEFORE_REPLACED: &str = "a member is fenced before it can be replaced";
+/// Properties that have to occur in some state, to show that the exploration gets that far.
+const REACHED: [&str; 2] = ["a change is decided", "a removed member can be replaced"];
 
-/// Two voters propose to remove each other at once, and the one that both need loses all that it knew, or finds it on its disk.
+/// Two voters propose to remove each other at once. The third voter, which both need, restarts without its
+/// stored state, or with it.
 #[test]
-fn three_members_have_one_view_with_each_number_whoever_is_restarted() {
+fn three_members_have_one_view_per_epoch_when_one_restarts() {
     for disk in [Disk::Lost, Disk::Kept] {
         let fleet = Fleet { restarts: vec![1], disk, ..Fleet::new(3, &[(0, 2), (2, 0)]) };
         let (found, _) = explore(fleet, 120_000);
-        assert!(found.contains(HAPPENS[0]) && !found.contains(ONE_VIEW), "{disk:?}: {found:?}");
+        assert!(found.contains(REACHED[0]) && !found.contains(ONE_VIEW_PER_EPOCH), "{disk:?}: {found:?}");
     }
 }
 
 #[test]
-fn five_members_have_one_view_with_each_number() {
+fn five_members_have_one_view_per_epoch() {
     let (found, _) = explore(Fleet::new(5, &[(0, 4), (1, 0)]), 100_000);
-    assert!(found.contains(HAPPENS[0]) && !found.contains(ONE_VIEW), "{found:?}");
+    assert!(found.contains(REACHED[0]) && !found.contains(ONE_VIEW_PER_EPOCH), "{found:?}");
 }
 
-/// The last member is proposed for removal while its lease is asked for, granted late or not at all, and time passes at any step.
+/// The last member is proposed for removal while its lease is requested and granted late or not at all, and
+/// time passes at any step.
 #[test]
-fn whoever_is_out_knows_before_another_acts_in_its_place() {
-    let fleet = Fleet { ticks: 5, renews: Some(2), ..Fleet::new(3, &[(0, 2)]) };
+fn a_removed_member_is_fenced_before_it_can_be_replaced() {
+    let fleet = Fleet { ticks: 5, lease_member: Some(2), ..Fleet::new(3, &[(0, 2)]) };
     let (found, _) = explore(fleet, 250_000);
-    assert_eq!(found, HAPPENS.into_iter().collect());
+    assert_eq!(found, REACHED.into_iter().collect());
 }
 
 #[test]
-fn the_model_finds_a_lease_that_counts_from_the_receipt() {
+fn the_model_finds_a_lease_that_counts_from_receipt_of_the_grant() {
     let fleet =
-        Fleet { ticks: 5, renews: Some(2), fault: Fault::LeaseFromReceipt, ..Fleet::new(3, &[(0, 2)]) };
-    assert!(explore(fleet, 600_000).0.contains(KNOWN_BEFORE));
+        Fleet { ticks: 5, lease_member: Some(2), fault: Fault::LeaseFromReceipt, ..Fleet::new(3, &[(0, 2)]) };
+    assert!(explore(fleet, 600_000).0.contains(FENCED_BEFORE_REPLACED));
 }
 
 #[test]
-fn the_model_finds_a_life_that_is_kept_over_a_restart() {
+fn the_model_finds_an_incarnation_kept_after_its_votes_are_lost() {
     let fault = Fault::IncarnationKeptOverRestart;
     let fleet = Fleet { restarts: vec![1], fault, ..Fleet::new(3, &[(0, 2), (2, 0)]) };
-    assert!(explore(fleet, 2_000_000).0.contains(ONE_VIEW));
+    assert!(explore(fleet, 2_000_000).0.contains(ONE_VIEW_PER_EPOCH));
 }
 
-/// The same with bounds that take minutes: `cargo test --release -p wheelpier-decisions --lib model -- --ignored`.
+/// Checks the same properties with larger bounds, which take minutes: `cargo test --release -p
+/// wheelpier-decisions --lib model -- --ignored`.
 #[test]
-#[ignore = "takes minutes and gigabytes"]
-fn larger_bounds_show_nothing_else() {
+#[ignore = "takes minutes and gigabytes of memory"]
+fn larger_bounds_show_no_violation() {
     let all = Fleet { restarts: vec![0, 1, 2], ..Fleet::new(3, &[(0, 2), (1, 0), (2, 1)]) };
-    assert!(!explore(all, 6_000_000).0.contains(ONE_VIEW));
+    assert!(!explore(all, 6_000_000).0.contains(ONE_VIEW_PER_EPOCH));
     assert!(!explore(Fleet { restarts: vec![2], ..Fleet::new(5, &[(0, 4), (1, 0)]) }, 3_000_000)
         .0
-        .contains(ONE_VIEW));
-    let leases = Fleet { ticks: 7, restarts: vec![1], renews: Some(2), ..Fleet::new(3, &[(0, 2), (1, 2)]) };
-    assert!(!explore(leases, 6_000_000).0.contains(KNOWN_BEFORE));
+        .contains(ONE_VIEW_PER_EPOCH));
+    let leases =
+        Fleet { ticks: 7, restarts: vec![1], lease_member: Some(2), ..Fleet::new(3, &[(0, 2), (1, 2)]) };
+    assert!(!explore(leases, 6_000_000).0.contains(FENCED_BEFORE_REPLACED));
 }
