--- a/crates/decisions/src/membership/failure_detector/config.rs
+++ b/crates/decisions/src/membership/failure_detector/config.rs
@@ -1,18 +1,19 @@
-//! Intervals and timeouts of the failure detector.
+//! Configuration of the failure detector.
 
-/// Intervals and timeouts of the failure detector, in microseconds; the same for all members of a fleet.
+/// Intervals and timeouts of the failure detector, in microseconds; identical for all members of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailureDetectorConfig {
     /// Interval between two probes of one member.
     pub probe_interval_us: i64,
-    /// Time after which a probe without an answer is also sent through other members. A member that has not answered by
-    /// the next probe is suspected.
+    /// Time after which an unanswered probe is also sent through other members. A member that has not
+    /// answered by the next probe is suspected.
     pub answer_timeout_us: i64,
-    /// Shortest suspicion in a fleet of up to ten members. It grows with the logarithm of their number.
+    /// Minimum duration of a suspicion in a fleet of up to ten members. It grows with the logarithm of the
+    /// number of members.
     pub min_suspicion_us: i64,
-    /// A timeout that is handled later than this shows that the process was stopped.
+    /// Lateness above which the handling of a timeout shows that the process was paused.
     pub stall_threshold_us: i64,
-    /// Interval between two full exchanges of state in a fleet of up to 63 members.
+    /// Interval between two exchanges of the full state in a fleet of up to 63 members.
     pub sync_interval_us: i64,
 }
 
--- a/crates/decisions/src/membership/failure_detector/gossip.rs
+++ b/crates/decisions/src/membership/failure_detector/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: how statements about members are weighed, spread and refuted, and how long a suspicion lasts.
+//! Gossip: how updates about members are compared, disseminated and refuted, and how long a suspicion lasts.
 
 use super::{
     FailureDetector, GossipUpdate, MemberState, Message, Output, Suspicion, MEMBERS_PER_SYNC_INTERVAL,
@@ -8,36 +8,36 @@
 use rand::RngExt;
 use std::collections::BTreeSet;
 
-/// Accusers beyond the first that bring a suspicion down to its shortest.
+/// Number of accusers beyond the first that reduce a suspicion to its minimum duration.
 const MAX_CONFIRMATIONS: usize = 3;
-/// How many times its shortest a suspicion without confirmation lasts.
+/// Duration of a suspicion without confirmation, as a multiple of its minimum duration.
 const UNCONFIRMED_SUSPICION_MULTIPLE: f64 = 3.0;
-/// Bound on the updates in one message.
+/// Maximum number of updates in one message.
 const MAX_UPDATES_PER_MESSAGE: usize = 6;
-/// An update is sent this many times the binary logarithm of the number of members.
+/// Number of times that an update is sent, as a multiple of the binary logarithm of the number of members.
 const RETRANSMIT_MULTIPLE: f64 = 3.0;
-/// How long a member that is gone is remembered, so that older updates do not bring it back.
+/// How long a member that is gone is remembered, so that older updates do not add it again.
 const REMOVED_RETENTION_US: i64 = 60_000_000;
 
-/// An update that is still to be spread.
+/// An update that is still being disseminated.
 pub(super) struct QueuedUpdate {
     update: GossipUpdate,
     transmissions: u32,
 }
 
-/// What an update changes in the state of its subject.
+/// The effect of an update on the state of its subject.
 enum Precedence {
-    /// It replaces the state.
+    /// The update replaces the state.
     Supersedes,
-    /// It is a further accusation.
+    /// The update is a further accusation of a suspected member.
     Confirms,
-    /// It is older than the state.
+    /// The update is older than the state.
     Stale,
 }
 
 impl Precedence {
-    /// Weighs an update against the state of its subject. A suspicion holds for the count of refutations it names;
-    /// only the subject itself raises that count.
+    /// Compares an update with the state of its subject. A suspicion applies to the refutation count that it
+    /// names; only the subject itself raises that count.
     fn of(update: &GossipUpdate, state: &MemberState) -> Self {
         let supersedes = match (state.suspicion, update.suspicion) {
             (Suspicion::Suspect, Suspicion::Suspect) => return Self::Confirms,
@@ -71,7 +71,7 @@
         updates.into_iter().for_each(|update| self.apply_update(now, update, out));
     }
 
-    /// Applies an update and queues it for gossip if it changed anything.
+    /// Applies an update, and queues it for gossip if it changed anything.
     pub(super) fn apply_update(&mut self, now: Timestamp, update: GossipUpdate, out: &mut Vec<Output>) {
         if update.subject == self.me {
             return self.refute(&update);
@@ -102,8 +102,9 @@
         }
     }
 
-    /// Adds a member that was not known, as alive, then applies a suspicion. One that is already gone is not added.
-    /// The addition is not gossiped: views tell all members who is there.
+    /// Adds an unknown member as alive, then applies the update if it is a suspicion. A member that is
+    /// already gone is not added. The addition is not gossiped, since every member learns the others from the
+    /// views.
     fn apply_to_unknown(&mut self, now: Timestamp, update: GossipUpdate, out: &mut Vec<Output>) {
         if !update.suspicion.is_live() {
             return;
@@ -125,7 +126,8 @@
         }
     }
 
-    /// Adds an accuser, which shortens the suspicion, and spreads the accusation as long as more would shorten it.
+    /// Adds an accuser, which shortens the suspicion. Gossips the accusation unless the suspicion already has
+    /// its minimum duration.
     fn confirm_suspicion(&mut self, now: Timestamp, update: GossipUpdate) {
         let timeouts_us: [i64; MAX_CONFIRMATIONS + 1] =
             std::array::from_fn(|confirmations| self.suspicion_timeout_us(confirmations));
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Answers a suspicion of this process with a higher count of refutations.
+    /// Refutes a suspicion of this process with a higher refutation count.
     fn refute(&mut self, update: &GossipUpdate) {
         let is_accusation = matches!(update.suspicion, Suspicion::Suspect | Suspicion::Gone);
         if !is_accusation || update.refutations < self.refutations || self.leaving {
@@ -155,7 +157,7 @@
         self.enqueue_update(refutation);
     }
 
-    /// A statement of this process about itself.
+    /// Returns a statement of this process about itself.
     pub(super) fn own_update(&self, suspicion: Suspicion) -> GossipUpdate {
         GossipUpdate {
             subject: self.me.clone(),
@@ -165,8 +167,8 @@
         }
     }
 
-    /// Queues an update in place of older ones about the same member. Suspicions by different accusers are kept side by
-    /// side: each counts as a confirmation.
+    /// Queues an update in place of older ones about the same member. Suspicions by different accusers are
+    /// all kept, since each counts as a confirmation.
     pub(super) fn enqueue_update(&mut self, update: GossipUpdate) {
         let is_replaced = |old: &GossipUpdate| {
             let are_confirmations = old.suspicion == Suspicion::Suspect
@@ -178,19 +180,20 @@
         self.queued_updates.push(QueuedUpdate { update, transmissions: 0 });
     }
 
-    /// Takes the updates that go along with a message: an accusation of its receiver, then those that were sent least.
+    /// Returns the updates to send with a message and counts their transmission: an accusation of the
+    /// receiver, then those sent least often.
     pub(super) fn take_updates(&mut self, to: Option<&Identity>) -> Vec<GossipUpdate> {
         let max_transmissions =
             (RETRANSMIT_MULTIPLE * (self.live_members() as f64 + 1.0).log2()).ceil() as u32;
         self.queued_updates.sort_by_key(|queued| queued.transmissions);
-        let mut taken: Vec<GossipUpdate> = Vec::with_capacity(MAX_UPDATES_PER_MESSAGE);
-        taken.extend(to.and_then(|receiver| self.accusation_of(receiver)));
-        for queued in self.queued_updates.iter_mut().take(MAX_UPDATES_PER_MESSAGE - taken.len()) {
-            taken.push(queued.update.clone());
+        let mut updates: Vec<GossipUpdate> = Vec::with_capacity(MAX_UPDATES_PER_MESSAGE);
+        updates.extend(to.and_then(|receiver| self.accusation_of(receiver)));
+        for queued in self.queued_updates.iter_mut().take(MAX_UPDATES_PER_MESSAGE - updates.len()) {
+            updates.push(queued.update.clone());
             queued.transmissions += 1;
         }
         self.queued_updates.retain(|queued| queued.transmissions < max_transmissions);
-        taken
+        updates
     }
 
     fn accusation_of(&self, member: &Identity) -> Option<GossipUpdate> {
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Returns a statement about each member, this one first.
+    /// Returns a statement about each member, this process first.
     pub(super) fn full_state(&self) -> Vec<GossipUpdate> {
         let own = self.own_update(if self.leaving { Suspicion::Left } else { Suspicion::Alive });
         let others = self.members.iter().map(|(member, state)| self.statement_about(member, state));
@@ -225,18 +228,18 @@
         }
     }
 
-    /// Returns how long a suspicion with this many confirmations lasts, in microseconds.
+    /// Returns the duration of a suspicion with a number of confirmations, in microseconds.
     fn suspicion_timeout_us(&self, confirmations: usize) -> i64 {
         let size_factor = (self.live_members() as f64).log10().max(1.0);
-        let shortest_us =
+        let min_us =
             self.config.min_suspicion_us as f64 * size_factor * f64::from(self.health_penalty + 1).sqrt();
         let confirmed_fraction =
             (confirmations.min(MAX_CONFIRMATIONS) as f64 + 1.0).ln() / (MAX_CONFIRMATIONS as f64 + 1.0).ln();
-        // Too few members to confirm a suspicion: the shortest applies at once.
+        // With too few members to confirm a suspicion, the minimum duration applies at once.
         let possible_accusers = self.live_members().saturating_sub(2);
         let fraction = if possible_accusers < MAX_CONFIRMATIONS { 1.0 } else { confirmed_fraction };
         let multiple = UNCONFIRMED_SUSPICION_MULTIPLE - (UNCONFIRMED_SUSPICION_MULTIPLE - 1.0) * fraction;
-        (shortest_us * multiple) as i64
+        (min_us * multiple) as i64
     }
 
     /// Declares suspects gone that did not refute in time, and forgets those that have been gone for long.
--- a/crates/decisions/src/membership/failure_detector/message.rs
+++ b/crates/decisions/src/membership/failure_detector/message.rs
@@ -1,11 +1,11 @@
-//! What the failure detectors of two members send to each other.
+//! Messages between the failure detectors of two members.
 //!
 //! The encoding is positional: the order of variants and fields is part of the protocol.
 
 use crate::membership::view::{Identity, Name};
 use serde::{Deserialize, Serialize};
 
-/// The state of a member as one failure detector sees it. It may be wrong at any time.
+/// The state of a member according to one failure detector. It may be wrong at any time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Suspicion {
     /// The member answers probes.
@@ -19,7 +19,7 @@
 }
 
 impl Suspicion {
-    /// Returns whether the member is still probed and told of changes.
+    /// Returns whether the member is still probed and sent gossip.
     pub(super) fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
@@ -30,9 +30,10 @@
 pub struct GossipUpdate {
     /// The member that the statement is about.
     pub subject: Identity,
-    /// Its state.
+    /// The state of the subject.
     pub suspicion: Suspicion,
-    /// How many suspicions the subject had refuted when the statement was made. A higher count supersedes a lower one.
+    /// Number of suspicions that the subject had refuted when the statement was made. A higher count
+    /// supersedes a lower one.
     pub refutations: u32,
     /// The member that made the statement.
     pub reporter: Name,
@@ -41,50 +42,50 @@
 /// A message between two failure detectors.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks the receiver for an [`Message::Ack`].
+    /// Requests a [`Message::Ack`] from the receiver.
     Probe {
-        /// Number of the probe at its sender.
+        /// Sequence number of the probe at its sender.
         sequence: u32,
-        /// Gossip.
+        /// Gossip sent along with the message.
         updates: Vec<GossipUpdate>,
     },
     /// Answers a probe, also on behalf of the target of an indirect probe.
     Ack {
-        /// Number of the probe that is answered.
+        /// Sequence number of the probe that is answered.
         sequence: u32,
-        /// Gossip.
+        /// Gossip sent along with the message.
         updates: Vec<GossipUpdate>,
     },
     /// Asks the receiver to probe another member.
     IndirectProbe {
-        /// Number of the probe at its sender.
+        /// Sequence number of the probe at its sender.
         sequence: u32,
-        /// The member to be probed.
+        /// The member to probe.
         target: Identity,
-        /// Gossip.
+        /// Gossip sent along with the message.
         updates: Vec<GossipUpdate>,
     },
-    /// The target of an indirect probe did not answer; the helper itself is reachable.
+    /// The target of an indirect probe did not answer; the sender, which probed it, is itself reachable.
     Nack {
-        /// Number of the indirect probe at the member that asked for it.
+        /// Sequence number of the indirect probe at the member that requested it.
         sequence: u32,
     },
     /// The full state of the sender.
     StateSync {
         /// A statement about each member.
         known: Vec<GossipUpdate>,
-        /// Whether the receiver is to send its own state in return.
+        /// Whether the receiver has to send its own state in return.
         wanted: bool,
     },
 }
 
-/// What the owner of a failure detector has to do.
+/// An action for the owner of a failure detector.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a message to a member.
     Send(Identity, Message),
     /// The state of a member has changed.
     Changed(Identity, Suspicion),
-    /// The process was stopped for this many microseconds: what it knew of others is old.
+    /// The process was paused for this many microseconds: its observations of other members are outdated.
     Stalled(i64),
 }
--- a/crates/decisions/src/membership/failure_detector/mod.rs
+++ b/crates/decisions/src/membership/failure_detector/mod.rs
@@ -1,8 +1,8 @@
 //! Failure detector: suspects members quickly and sometimes wrongly.
 //!
-//! SWIM with the additions of Lifeguard: members are probed in random order, directly and through others; a suspected member
-//! can refute; a prober with health problems of its own waits longer, independent confirmations shorten a suspicion,
-//! and the accused is told first.
+//! Implements SWIM with the Lifeguard extensions. Members are probed in random order, directly and through
+//! others. A suspected member can refute the suspicion, and is told of it first. Independent confirmations
+//! shorten a suspicion. A prober that has signs of being unhealthy itself waits longer.
 //!
 //! A [`Suspicion`] is not safe to act on. It can only cause a proposal in [`crate::membership::consensus`].
 
@@ -22,12 +22,13 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Members that are told directly when this one leaves.
+/// Number of members that are told directly when this one leaves.
 const LEAVE_ANNOUNCEMENTS: usize = 6;
-/// Upper bound of the health penalty. A penalty of n makes probe intervals and timeouts n + 1 times as long.
+/// Maximum health penalty. A penalty of n makes probe intervals and timeouts n + 1 times as long.
 const MAX_HEALTH_PENALTY: u32 = 8;
-/// For each full group of this many members the interval between exchanges of state grows by the configured one: their
-/// size grows with the fleet, and so the traffic of each member stays the same.
+/// The interval between exchanges of the full state is the configured one times the number of full groups of
+/// this many members, at least one. The size of an exchange grows with the fleet, so this keeps the traffic
+/// of each member constant.
 const MEMBERS_PER_SYNC_INTERVAL: i64 = 32;
 
 /// The state of another member.
@@ -35,25 +36,26 @@
 struct MemberState {
     suspicion: Suspicion,
     refutations: u32,
+    /// When the suspicion last changed, or the member was added.
     since: Timestamp,
-    /// When a message last came from the member itself.
+    /// When the last message came from the member itself, not through others.
     last_heard_at: Option<Timestamp>,
     /// The members that suspect it.
     accusers: BTreeSet<Name>,
-    /// When the suspicion, if there is one, expires.
+    /// When the member is declared gone, if it is suspected.
     suspicion_expires_at: Timestamp,
 }
 
-/// What one member believes about the liveness of the others.
+/// One member's beliefs about the liveness of the others.
 pub struct FailureDetector {
     me: Identity,
     config: FailureDetectorConfig,
     random: ChaCha8Rng,
     members: BTreeMap<Identity, MemberState>,
-    /// Members to be probed next, the last one first.
+    /// Members to probe next, the last one first.
     probe_order: Vec<Identity>,
     current_probe: Option<CurrentProbe>,
-    /// Probes sent for other members, by the sequence number used here.
+    /// Probes sent on behalf of other members, by the sequence number that this process used.
     indirect_probes: BTreeMap<u32, IndirectProbe>,
     sequence: u32,
     refutations: u32,
@@ -65,13 +67,15 @@
 }
 
 impl FailureDetector {
-    /// Creates the failure detector of a member that knows no other one yet. `seed` decides its random choices.
+    /// Creates the failure detector of a member that knows no other member yet. `seed` determines its random
+    /// choices.
     pub fn new(me: Identity, config: FailureDetectorConfig, seed: u64, now: Timestamp) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let first =
-            |span_us: i64, random: &mut ChaCha8Rng| Timestamp(now.0 + random.random_range(0..span_us.max(1)));
-        let next_probe_at = first(config.probe_interval_us, &mut random);
-        let next_sync_at = first(config.sync_interval_us, &mut random);
+        let first_due = |interval_us: i64, random: &mut ChaCha8Rng| {
+            Timestamp(now.0 + random.random_range(0..interval_us.max(1)))
+        };
+        let next_probe_at = first_due(config.probe_interval_us, &mut random);
+        let next_sync_at = first_due(config.sync_interval_us, &mut random);
         Self {
             me,
             config,
@@ -90,7 +94,7 @@
         }
     }
 
-    /// Returns the state of a member, or `None` for one that was never heard of.
+    /// Returns the state of a member, or `None` if the member is not known.
     pub fn suspicion(&self, member: &Identity) -> Option<Suspicion> {
         self.members.get(member).map(|state| state.suspicion)
     }
@@ -100,22 +104,22 @@
         self.members.iter().map(|(member, state)| (member, state.suspicion))
     }
 
-    /// Returns when a message last came from a member itself, not through others.
+    /// Returns when the last message came from a member itself, not through others.
     pub fn last_heard_at(&self, member: &Identity) -> Option<Timestamp> {
         self.members.get(member).and_then(|state| state.last_heard_at)
     }
 
-    /// Returns how far this process distrusts its own health: 0 is healthy, 8 the worst.
+    /// Returns how unhealthy this process considers itself: 0 is healthy, 8 the worst.
     pub fn health_penalty(&self) -> u32 {
         self.health_penalty
     }
 
-    /// Counts the members that are alive or suspected, this one included.
+    /// Returns the number of members that are alive or suspected, including this one.
     fn live_members(&self) -> usize {
         1 + self.members.values().filter(|state| state.suspicion.is_live()).count()
     }
 
-    /// Adds a member that is known to exist. Has no effect on one that is known already.
+    /// Adds a member as alive. Has no effect if the member is known already.
     pub fn add_member(&mut self, now: Timestamp, member: &Identity, out: &mut Vec<Output>) {
         let update = GossipUpdate {
             subject: member.clone(),
@@ -182,7 +186,8 @@
         optional.fold(self.next_probe_at.min(self.next_sync_at), Timestamp::min)
     }
 
-    /// Does what is due at this time.
+    /// Handles what is due at this time: a stall, expired probes and suspicions, the next probe and state
+    /// exchange.
     pub fn handle_timeout(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let late_us = now.0 - self.next_timeout().0;
         if late_us > self.config.stall_threshold_us {
@@ -202,7 +207,7 @@
         }
     }
 
-    /// Announces to some members, which spread it, that this one leaves.
+    /// Announces to some members, which gossip it, that this one leaves.
     pub fn leave(&mut self, out: &mut Vec<Output>) {
         self.leaving = true;
         let update = self.own_update(Suspicion::Left);
@@ -213,21 +218,21 @@
         }
     }
 
-    /// Forgets what was observed before the process was stopped: answers may still be waiting in its sockets, so nobody
-    /// is accused of not having answered.
-    fn recover_from_stall(&mut self, now: Timestamp, span_us: i64, out: &mut Vec<Output>) {
+    /// Discards what was observed before the process was paused: answers may still be waiting in its sockets,
+    /// so no member is accused of not having answered.
+    fn recover_from_stall(&mut self, now: Timestamp, stall_us: i64, out: &mut Vec<Output>) {
         self.current_probe = None;
         self.indirect_probes.clear();
         self.health_penalty = MAX_HEALTH_PENALTY;
         for state in self.members.values_mut() {
-            state.suspicion_expires_at = Timestamp(state.suspicion_expires_at.0 + span_us);
+            state.suspicion_expires_at = Timestamp(state.suspicion_expires_at.0 + stall_us);
             state.last_heard_at = state.last_heard_at.map(|_| now);
         }
         // Others may have suspected this process meanwhile: a higher count supersedes their suspicion.
         self.refutations += 1;
         let update = self.own_update(Suspicion::Alive);
         self.enqueue_update(update);
-        out.push(Output::Stalled(span_us));
+        out.push(Output::Stalled(stall_us));
     }
 
     fn increase_health_penalty(&mut self) {
--- a/crates/decisions/src/membership/failure_detector/probing.rs
+++ b/crates/decisions/src/membership/failure_detector/probing.rs
@@ -1,19 +1,21 @@
-//! Probes: who is probed when, and what follows from an answer or its absence.
+//! Probes: when each member is probed, and the consequences of an answer or its absence.
 
 use super::{FailureDetector, GossipUpdate, Message, Output, Suspicion};
 use crate::interface::Timestamp;
 use crate::membership::view::Identity;
 
-/// Members that are asked to probe a member that did not answer.
+/// Number of members that are asked to probe a member that did not answer.
 const INDIRECT_PROBES: usize = 3;
 
-/// The probe that this process waits for.
+/// The probe whose answer this process waits for.
 pub(super) struct CurrentProbe {
     target: Identity,
     sequence: u32,
-    /// When other members are asked to probe the target; `None` once they were asked.
+    /// When other members are asked to probe the target; `None` once they were asked or the probe was
+    /// answered.
     pub(super) help_at: Option<Timestamp>,
-    /// Helpers that have sent neither an ack nor a nack. If any remain silent, the prober itself may be cut off.
+    /// Helpers that have sent neither an ack nor a nack. If any remain silent, the prober itself may be cut
+    /// off.
     silent_helpers: usize,
     answered: bool,
 }
@@ -27,8 +29,8 @@
 }
 
 impl FailureDetector {
-    /// Probes the next member. Each is probed once in a random order before the order is drawn anew, so two probes of
-    /// one member are at most two rounds apart.
+    /// Probes the next member. Every member is probed once in a random order before a new order is drawn, so
+    /// two probes of one member are at most two rounds apart.
     pub(super) fn start_probe(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let slowdown = i64::from(self.health_penalty) + 1;
         self.next_probe_at = Timestamp(now.0 + self.config.probe_interval_us * slowdown);
@@ -91,7 +93,8 @@
         out.push(Output::Send(target, Message::Probe { sequence: self.sequence, updates }));
     }
 
-    /// Takes an answer to a probe of this process, or passes it on to the member on whose behalf the probe was sent.
+    /// Handles the answer to a probe of this process, or forwards it to the member on whose behalf the probe
+    /// was sent.
     pub(super) fn handle_ack(&mut self, from: &Identity, sequence: u32, out: &mut Vec<Output>) {
         if let Some(IndirectProbe { requester, requester_sequence, .. }) =
             self.indirect_probes.remove(&sequence)
@@ -110,14 +113,14 @@
         }
     }
 
-    /// Notes that a helper is reachable though the target did not answer it.
+    /// Records that a helper is reachable although the target did not answer it.
     pub(super) fn handle_nack(&mut self, sequence: u32) {
         if let Some(probe) = self.current_probe.as_mut().filter(|probe| probe.sequence == sequence) {
             probe.silent_helpers = probe.silent_helpers.saturating_sub(1);
         }
     }
 
-    /// Tells requesters of indirect probes that the target did not answer.
+    /// Ends expired indirect probes, and tells their requesters that the target did not answer.
     pub(super) fn expire_indirect_probes(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let expired: Vec<u32> = self
             .indirect_probes
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Ends the current probe; suspects the target if it has not answered.
+    /// Ends the current probe, and suspects the target if it has not answered.
     pub(super) fn finish_probe(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let Some(probe) = self.current_probe.take().filter(|probe| !probe.answered) else { return };
         if probe.silent_helpers > 0 {
