--- a/crates/decisions/src/membership/member/admission.rs
+++ b/crates/decisions/src/membership/member/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: how a process joins the fleet, founds it with others, leaves it, and becomes another incarnation.
+//! Admission: how a process joins the fleet, founds it with others, leaves it, and continues as another
+//! incarnation.
 
 use super::{Member, MemberMessage, Output};
 use crate::interface::Timestamp;
@@ -7,46 +8,50 @@
 use crate::membership::reconfiguration::ReachabilityMatrix;
 use crate::membership::view::{Identity, Name, View, ViewChange};
 
-/// A process that is rejected for another one of its name reports the conflict after this many lease terms: until then
-/// the other one may be its own previous incarnation, whose removal is under way.
+/// Number of lease durations after which a process that is rejected because of another process of its name
+/// reports the conflict. Until then the other one may be its own previous incarnation, whose removal is under
+/// way.
 const NAME_CONFLICT_LEASES: i64 = 4;
-/// Bound on the processes whose request to join is remembered.
+/// Maximum number of processes whose requests to join are remembered.
 const MAX_JOINING: usize = 64;
 
-/// How far a process has come with joining.
+/// The progress of this process in joining the fleet.
 pub(super) struct JoinProgress {
-    /// From when on the process asks to be admitted: before, it looks whether there is a fleet already.
-    requests_from: Timestamp,
-    /// Whether this incarnation may have been admitted: it has asked for that, or taken part in founding the fleet.
+    /// When the process starts to request admission. Before that it only looks for an existing fleet.
+    request_from: Timestamp,
+    /// Whether this incarnation may have been admitted: it has requested admission, or taken part in founding
+    /// the fleet.
     may_have_joined: bool,
-    /// Since when the process is rejected for another incarnation of its name.
+    /// When the process was first rejected because of another incarnation of its name.
     rejected_since: Option<Timestamp>,
     has_reported_conflict: bool,
 }
 
 impl JoinProgress {
-    pub(super) fn new(requests_from: Timestamp) -> Self {
-        Self { requests_from, may_have_joined: false, rejected_since: None, has_reported_conflict: false }
+    pub(super) fn new(request_from: Timestamp) -> Self {
+        Self { request_from, may_have_joined: false, rejected_since: None, has_reported_conflict: false }
     }
 }
 
 impl Member {
-    /// Notes that this process takes part in founding the fleet.
-    pub(super) fn note_founding(&mut self, message: &consensus::Message) {
+    /// Records that this process takes part in founding the fleet, if the message is a ballot for the first
+    /// view.
+    pub(super) fn record_founding(&mut self, message: &consensus::Message) {
         let is_ballot =
             matches!(message, consensus::Message::Prepare { .. } | consensus::Message::Accept { .. });
         self.join.may_have_joined |= is_ballot && self.consensus.view().epoch == 0;
     }
 
-    /// Records that a member is leaving, as it or a voter says.
+    /// Records that a member is leaving, as reported by itself or by a voter.
     pub(super) fn record_leave(&mut self, member: &Identity, out: &mut Vec<Output>) {
         if self.consensus.view().contains(member) && self.leaving_members.insert(member.clone()) {
             out.push(Output::SuspicionChanged(member.clone(), Suspicion::Left));
         }
     }
 
-    /// Follows a change of the view that admits or removes this process. An incarnation is a member once at most: one
-    /// that was removed, or may have been admitted and removed unseen, continues as another.
+    /// Handles a change of the view that may admit or remove this process. An incarnation is a member at most
+    /// once: a process that was removed, or may have been admitted and removed in views that it missed,
+    /// continues as another incarnation.
     pub(super) fn update_own_membership(
         &mut self,
         now: Timestamp,
@@ -58,7 +63,7 @@
         if view.contains(&self.me) {
             if !was_member {
                 self.joined_at = now;
-                // The time before admission does not count towards a report of a missing lease.
+                // The time before the admission does not count towards reporting a missing lease.
                 self.fenced_since = Some(now);
             }
             return;
@@ -71,6 +76,7 @@
         }
     }
 
+    /// Continues as another incarnation of this process's name, which has not voted yet.
     fn start_new_incarnation(&mut self, now: Timestamp, incarnation: u64, out: &mut Vec<Output>) {
         self.me = Identity { incarnation, ..self.me.clone() };
         self.random_seed = self.random_seed.wrapping_add(1);
@@ -95,6 +101,8 @@
         self.join.may_have_joined = false;
     }
 
+    /// Remembers a process that requests to join, or rejects it while another incarnation of its name is a
+    /// live member.
     pub(super) fn handle_join_request(&mut self, now: Timestamp, from: &Identity, out: &mut Vec<Output>) {
         let rows = self.fresh_rows(now);
         let matrix = ReachabilityMatrix { view: self.consensus.view(), rows: &rows };
@@ -107,6 +115,8 @@
         }
     }
 
+    /// Continues as a later incarnation than the one that is a member; reports a conflict of names if
+    /// rejections go on.
     pub(super) fn handle_join_rejected(&mut self, now: Timestamp, namesake: Identity, out: &mut Vec<Output>) {
         if namesake.name != self.me.name || self.consensus.view().contains(&self.me) {
             return;
@@ -122,7 +132,8 @@
         }
     }
 
-    /// Does what a process that is not a member can do: asks to be admitted, or founds the fleet with the other seeds.
+    /// Runs the periodic check of a process that is not a member: requests admission, or founds the fleet
+    /// with the other founders.
     pub(super) fn check_as_outsider(&mut self, now: Timestamp, view: &View, out: &mut Vec<Output>) {
         if self.leaving {
             return;
@@ -140,7 +151,7 @@
 
     fn request_to_join(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let epoch = self.consensus.view().epoch;
-        let requests_admission = epoch > 0 || now >= self.join.requests_from;
+        let requests_admission = epoch > 0 || now >= self.join.request_from;
         self.join.may_have_joined |= requests_admission;
         let view_request = MemberMessage::Consensus(consensus::Message::ViewRequest { epoch });
         for voter in self.consensus.view().voters().iter().filter(|voter| voter.name != self.me.name) {
@@ -149,19 +160,20 @@
                 out.push(Output::Send(voter.clone(), MemberMessage::JoinRequest));
             }
         }
-        // All voters of the view known here may have been replaced: the seeds are asked for the latest as well.
+        // All voters of the view known here may have been replaced, so the latest view is requested from the
+        // founders as well.
         for name in self.config.founders.iter().filter(|name| **name != self.me.name && epoch > 0) {
-            let seed = Identity { name: Name::clone(name), incarnation: 0 };
-            out.push(Output::Send(seed, view_request.clone()));
+            let founder = Identity { name: Name::clone(name), incarnation: 0 };
+            out.push(Output::Send(founder, view_request.clone()));
         }
     }
 
-    /// Proposes the first view. The seeds take turns, one ballot timeout each.
+    /// Proposes the first view. The founders take turns of one ballot timeout each.
     fn found_fleet(&mut self, now: Timestamp, view: &View, out: &mut Vec<Output>) {
-        let place = view.members.iter().position(|member| member.name == self.me.name).unwrap_or(0) as i64;
+        let position = view.members.iter().position(|member| member.name == self.me.name).unwrap_or(0) as i64;
         let waited_us = self.fenced_since.map_or(0, |since| now.0 - since.0);
         let turn = (waited_us / self.config.terms.ballot_timeout_us) % view.members.len().max(1) as i64;
-        if turn == place && !self.consensus.is_proposing() {
+        if turn == position && !self.consensus.is_proposing() {
             self.with_consensus(now, out, |consensus, outputs| {
                 consensus.propose(now, ViewChange::default(), outputs);
             });
--- a/crates/decisions/src/membership/member/mod.rs
+++ b/crates/decisions/src/membership/member/mod.rs
@@ -1,5 +1,6 @@
-//! One member of the fleet as a state machine: its failure detector, its part in the consensus, and the policy between
-//! them. Events and a time go in, [`Output`]s come out; sockets, addresses and keys are left to the caller.
+//! One member of the fleet as a state machine: its failure detector, its state in the consensus, and the
+//! policy that connects them. Events and the current time go in, [`Output`]s come out. The caller owns
+//! sockets, addresses and keys.
 
 mod admission;
 mod message;
@@ -16,7 +17,7 @@
 use reconfigure::QuorumHistory;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A report of a voter and when it came.
+/// A voter's report and when it was received.
 #[derive(Clone, Debug)]
 struct ReceivedRow {
     row: ReachabilityRow,
@@ -30,23 +31,23 @@
     consensus: Consensus,
     failure_detector: FailureDetector,
     random_seed: u64,
-    /// The latest report of each voter, about the present view.
+    /// The latest report of each voter, about the current view.
     rows: BTreeMap<Identity, ReceivedRow>,
-    /// Members that no quorum hears, and since when.
+    /// Members that no quorum hears, each with the time since which that is so.
     unheard_since: BTreeMap<Identity, Timestamp>,
-    /// Processes that asked to be admitted, and when they last did.
+    /// Processes that requested admission, each with the time of its last request.
     joining: BTreeMap<Identity, Timestamp>,
-    /// Members that reported to have no lease, and when they last did.
+    /// Members that reported a missing lease, each with the time of its last report.
     lease_starved: BTreeMap<Identity, Timestamp>,
     /// Members that are leaving.
     leaving_members: BTreeSet<Identity>,
     flap_damping: FlapDamping,
     quorum_history: QuorumHistory,
-    /// When the view is next checked for changes to propose.
+    /// When this process next reports to the voters and checks whether to propose a change of the view.
     next_check_at: Timestamp,
-    /// Since when this process has no lease.
+    /// Since when this process has no lease, counted anew from its admission; `None` while it has one.
     fenced_since: Option<Timestamp>,
-    /// Since when this process has accepted a proposal whose outcome it does not know.
+    /// When this process first noticed a proposal that it has accepted and whose outcome it does not know.
     undecided_since: Option<Timestamp>,
     /// When this process was admitted.
     joined_at: Timestamp,
@@ -55,7 +56,7 @@
 }
 
 impl Member {
-    /// Starts a process as an incarnation, with the state that it had stored. `random_seed` decides its random choices.
+    /// Starts a process as an incarnation with its stored state. `random_seed` determines its random choices.
     pub fn new(
         me: Identity,
         config: FleetConfig,
@@ -88,12 +89,12 @@
         }
     }
 
-    /// Returns the present incarnation.
+    /// Returns the current incarnation of this process.
     pub fn me(&self) -> &Identity {
         &self.me
     }
 
-    /// Returns the consensus, which may be relied on.
+    /// Returns the consensus, which is safe to act on.
     pub fn consensus(&self) -> &Consensus {
         &self.consensus
     }
@@ -119,7 +120,7 @@
         self.consensus.next_timeout().map_or(next, |at| at.min(next))
     }
 
-    /// Does what is due at this time.
+    /// Handles what is due at this time in the failure detector, the consensus and the periodic check.
     pub fn handle_timeout(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.with_failure_detector(now, out, |detector, now, outputs| {
             if detector.next_timeout() <= now {
@@ -133,7 +134,8 @@
         }
     }
 
-    /// Handles a message. One from another process of this name, or an earlier incarnation of this one, is ignored.
+    /// Handles a message. Ignores messages from another process of this name or another incarnation of this
+    /// process.
     pub fn handle_message(
         &mut self,
         now: Timestamp,
@@ -154,7 +156,7 @@
                 });
             }
             MemberMessage::Consensus(message) => {
-                self.note_founding(&message);
+                self.record_founding(&message);
                 self.with_consensus(now, out, |consensus, outputs| {
                     consensus.handle_message(now, from, message, outputs);
                 });
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Starts to leave the fleet; [`Output::Left`] follows once a view without this process is decided.
+    /// Starts to leave the fleet. [`Output::Left`] follows once a view without this process is decided.
     pub fn leave(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.leaving = true;
         let me = self.me.clone();
@@ -196,15 +198,16 @@
                     }
                     out.push(Output::SuspicionChanged(member, suspicion));
                 }
-                failure_detector::Output::Stalled(span_us) => {
+                failure_detector::Output::Stalled(stall_us) => {
                     self.forget_observations();
-                    out.push(Output::Stalled(span_us));
+                    out.push(Output::Stalled(stall_us));
                 }
             }
         }
     }
 
-    /// Forgets what voters and members reported: it is old after a stall, and about another view after a new one.
+    /// Discards the reports of voters and members: they are outdated after a stall, and concern another view
+    /// after a change of the view.
     fn forget_observations(&mut self) {
         self.rows.clear();
         self.unheard_since.clear();
@@ -231,7 +234,7 @@
             }
         }
         if self.consensus.view().epoch > epoch {
-            self.view_changed(now, out);
+            self.handle_view_change(now, out);
         }
     }
 
@@ -244,7 +247,8 @@
         out.push(Output::Consensus(event));
     }
 
-    fn view_changed(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+    /// Applies a newly adopted view to the state of this member.
+    fn handle_view_change(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let (old, view) = (self.consensus.previous_view().clone(), self.consensus.view().clone());
         let has_left = |member: &Identity| {
             self.leaving_members.contains(member)
--- a/crates/decisions/src/membership/member/reconfigure.rs
+++ b/crates/decisions/src/membership/member/reconfigure.rs
@@ -1,4 +1,4 @@
-//! What a member reports to the voters, and when a voter opens a ballot for another view.
+//! Reports of a member to the voters, and the decision of a voter to open a ballot for another view.
 
 use super::{Member, MemberMessage, Output, ReceivedRow};
 use crate::interface::Timestamp;
@@ -7,31 +7,36 @@
 use crate::membership::view::{Identity, View};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The view is checked this many times in each interval between lease requests.
+/// Number of checks of the view in each interval between lease requests.
 const CHECKS_PER_RENEWAL: i64 = 2;
-/// A voter counts as unheard after this many quarters of the interval between lease requests: it sends twice in each.
+/// Silence after which a voter counts as unheard, in quarters of the interval between lease requests. A voter
+/// sends twice in each interval.
 const VOTER_SILENCE_QUARTERS: i64 = 5;
-/// Any other member counts as unheard after this many quarters of that interval: one request may get lost.
+/// Silence after which any other member counts as unheard, in quarters of the interval between lease
+/// requests. One request may get lost.
 const MEMBER_SILENCE_QUARTERS: i64 = 9;
-/// A member that is gone is removed once it was unheard for this part of the interval between lease requests.
+/// A member that is gone is removed once it has been unheard for the interval between lease requests divided
+/// by this.
 const TRANSIENT_DIVISOR: i64 = 4;
-/// The reports of voters, and of missing leases, hold for this many checks.
+/// Number of check intervals for which the reports of voters, and of missing leases, remain valid.
 const REPORT_LIFETIME_CHECKS: i64 = 4;
-/// A request to join holds for this many checks.
+/// Number of check intervals for which a request to join remains valid.
 const JOIN_REQUEST_LIFETIME_CHECKS: i64 = 5;
-/// A member without contact to a quorum, or without a lease, for this many lease terms is removed even if the failure
-/// detector considers it alive.
+/// Number of lease durations after which a member without contact to a quorum, or without a lease, is removed
+/// even if the failure detector considers it alive.
 const UNREACHABLE_LEASES: i64 = 2;
-/// After it was without a quorum a voter judges nobody for this many intervals between lease requests.
+/// Number of intervals between lease requests for which a voter proposes no change after a long time without
+/// a quorum.
 const SETTLING_RENEWALS: i64 = 2;
 
-/// How long a quorum of voters has been reporting. Voters that come back do so one after the other, and whoever is heard
-/// last would seem to be gone: after a longer time without a quorum nobody is judged for a while.
+/// Tracks whether a quorum of voters has been reporting for long enough to act on the reports. Voters that
+/// return after an outage are heard again one after the other, and the last ones would seem to be gone. So
+/// after a long time without a quorum, reports are ignored for a while.
 pub(super) struct QuorumHistory {
     without_quorum_since: Option<Timestamp>,
-    /// Whether the present or last time without a quorum was longer than one interval between lease requests.
+    /// Whether the current or last time without a quorum was longer than one interval between lease requests.
     was_long_without_quorum: bool,
-    /// From when on reports count.
+    /// When reports start to count again.
     settled_at: Timestamp,
 }
 
@@ -40,7 +45,7 @@
         Self { without_quorum_since: None, was_long_without_quorum: false, settled_at: now }
     }
 
-    /// Records whether a quorum reports at this time; returns whether it has done so for long enough.
+    /// Records whether a quorum reports at this time. Returns whether it has done so for long enough.
     fn record(&mut self, now: Timestamp, has_quorum: bool, renew_interval_us: i64) -> bool {
         if !has_quorum {
             let since = *self.without_quorum_since.get_or_insert(now);
@@ -92,7 +97,8 @@
         out.extend(others.map(|voter| Output::Send(voter.clone(), message.clone())));
     }
 
-    /// The report of this voter.
+    /// Returns the report of this voter, without join requests and reports of missing leases that are too
+    /// old.
     fn own_row(&mut self, now: Timestamp, view: &View) -> ReachabilityRow {
         let check_us = self.check_interval_us();
         self.joining.retain(|_, at| now.0 - at.0 < JOIN_REQUEST_LIFETIME_CHECKS * check_us);
@@ -107,8 +113,8 @@
         }
     }
 
-    /// Returns whether this process has heard a member lately. One that was admitted just now counts as having heard
-    /// everybody at that moment.
+    /// Returns whether this process has heard a member recently. A process counts as having heard all members
+    /// at the moment of its own admission.
     fn hears(&self, now: Timestamp, view: &View, member: &Identity) -> bool {
         let quarters = match view.is_voter(member) {
             true => VOTER_SILENCE_QUARTERS,
@@ -119,7 +125,7 @@
         *member == self.me || heard_at.is_some_and(|at| now.0 - at.0 < silence_us)
     }
 
-    /// Returns the reports that still hold.
+    /// Returns the reports that are still valid.
     pub(super) fn fresh_rows(&self, now: Timestamp) -> BTreeMap<Identity, ReachabilityRow> {
         let lifetime_us = REPORT_LIFETIME_CHECKS * self.config.terms.renew_interval_us / CHECKS_PER_RENEWAL;
         self.rows
@@ -129,8 +135,9 @@
             .collect()
     }
 
-    /// Takes a voter's report. If it hears other voters than under its last report on the same view, the consequences
-    /// do not wait for the next check; changes that concern other members, or follow a new view, are judged together.
+    /// Handles a voter's report. If the voters that it hears differ from those in its last report on the same
+    /// view, the reports are evaluated at once. Changes that concern other members, or follow a new view,
+    /// wait for the next check and are evaluated together.
     pub(super) fn handle_reachability(
         &mut self,
         now: Timestamp,
@@ -155,7 +162,7 @@
         }
     }
 
-    /// Opens a ballot if something ought to change and it is this voter's turn.
+    /// Opens a ballot if the view should change and it is this voter's turn to propose.
     fn reconfigure(&mut self, now: Timestamp, view: &View, out: &mut Vec<Output>) {
         let (me, rows) = (self.me.clone(), self.fresh_rows(now));
         let matrix = ReachabilityMatrix { view, rows: &rows };
@@ -182,21 +189,23 @@
         }
     }
 
-    /// Returns whether a proposal accepted here has been undecided for so long that this voter opens a ballot without
-    /// waiting for its turn: it grants no lease meanwhile. Voters wait longer the later they stand in the view.
+    /// Returns whether a proposal accepted here has been undecided for so long that this voter opens a ballot
+    /// without waiting for its turn, since it grants no leases meanwhile. The timeout grows with the voter's
+    /// position in the view.
     fn undecided_proposal_is_stalled(&mut self, now: Timestamp, view: &View) -> bool {
         let is_undecided = self.consensus.has_undecided_proposal();
         self.undecided_since = is_undecided.then(|| self.undecided_since.unwrap_or(now));
-        let place = view.voters().iter().position(|voter| *voter == self.me).unwrap_or(0) as i64;
-        let timeout_us = self.config.terms.ballot_timeout_us * (2 + place);
+        let position = view.voters().iter().position(|voter| *voter == self.me).unwrap_or(0) as i64;
+        let timeout_us = self.config.terms.ballot_timeout_us * (2 + position);
         self.undecided_since.is_some_and(|since| now.0 - since.0 > timeout_us)
     }
 
+    /// Returns the duration up to which a silence may be a transient loss of messages, in microseconds.
     fn transient_us(&self) -> i64 {
         self.config.terms.renew_interval_us / TRANSIENT_DIVISOR
     }
 
-    /// Keeps since when each member is unheard; schedules a check for when that is no longer transient.
+    /// Records since when each member is unheard, and schedules a check for when that is no longer transient.
     fn update_unheard(&mut self, now: Timestamp, unheard: BTreeSet<Identity>) {
         let confirmed_at = Timestamp(now.0 + self.transient_us());
         self.unheard_since.retain(|member, _| unheard.contains(member));
@@ -208,8 +217,8 @@
         }
     }
 
-    /// Returns whether a member that no quorum hears is to be removed: the failure detector agrees and the silence is no
-    /// transient loss of messages, or it has lasted for long.
+    /// Returns whether a member that no quorum hears should be removed: the failure detector agrees and the
+    /// silence is longer than a transient loss of messages, or the silence has lasted for a long time.
     fn is_confirmed_unreachable(&self, now: Timestamp, member: &Identity) -> bool {
         let suspicion = self.failure_detector.suspicion(member);
         let is_gone = matches!(suspicion, Some(Suspicion::Gone | Suspicion::Left));
