--- a/crates/decisions/src/membership/reconfiguration/flap_damping.rs
+++ b/crates/decisions/src/membership/reconfiguration/flap_damping.rs
@@ -1,16 +1,17 @@
-//! Flap damping: a member that is removed again and again is kept out for a growing time.
+//! Flap damping: a member that is removed repeatedly is kept out of the fleet for increasing times.
 
 use crate::interface::Timestamp;
 use crate::membership::view::{Identity, Name, View};
 use std::collections::BTreeMap;
 
-/// How long a member is kept out after its second removal; doubled with each further one. The first has no consequence.
+/// How long a member is kept out after its second removal; doubled with each further one. The first removal
+/// has no consequence.
 const FIRST_HOLD_OFF_US: i64 = 10_000_000;
-/// The longest time for which a member is kept out.
+/// Maximum time for which a member is kept out.
 const MAX_HOLD_OFF_US: i64 = 300_000_000;
 /// Removals are forgotten after this time without another one.
 const FLAP_MEMORY_US: i64 = 600_000_000;
-/// Doublings that are computed; more would exceed [`MAX_HOLD_OFF_US`] in any case.
+/// Maximum number of doublings that are computed; more would exceed [`MAX_HOLD_OFF_US`] in any case.
 const MAX_DOUBLINGS: u32 = 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,13 +20,13 @@
     last_at: Timestamp,
 }
 
-/// How often members were removed lately.
+/// Recent removals of members, by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FlapDamping(BTreeMap<Name, Removals>);
 
 impl FlapDamping {
-    /// Counts the members that a new view removes. A member that left, or was replaced by another incarnation, does not
-    /// count.
+    /// Counts a removal of each member that a new view removes. A member that left, or was replaced by
+    /// another incarnation, does not count.
     pub fn record_view_change(
         &mut self,
         now: Timestamp,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Returns until when a name is kept out of the fleet, or `None` if it is not.
+    /// Returns the time until which a name is kept out of the fleet, or `None` if it is not.
     pub fn held_off_until(&self, name: &str) -> Option<Timestamp> {
         let removals = self.0.get(name).filter(|removals| removals.count > 1)?;
         let doublings = (removals.count - 2).min(MAX_DOUBLINGS);
--- a/crates/decisions/src/membership/reconfiguration/mod.rs
+++ b/crates/decisions/src/membership/reconfiguration/mod.rs
@@ -1,9 +1,10 @@
-//! Reconfiguration policy: which change of the view to propose, and which voter proposes it. A wrong proposal costs a
-//! ballot and cannot make anybody act twice.
+//! Reconfiguration policy: which change of the view to propose, and which voter proposes it. A wrong proposal
+//! costs a ballot, but cannot cause two processes to act as the same member.
 //!
-//! Members are judged by what the voters hear themselves. A member that a quorum of voters hears stays, however many
-//! other links to it are broken. One that a quorum does not hear, or that reports for long that it cannot get its lease,
-//! is removed. Links have a direction; what counts is the one towards the voters.
+//! Removals depend on which members the voters hear themselves. A member that a quorum of voters hears stays,
+//! however many of its other links are broken. One that no quorum hears, or that has reported for a long time
+//! that it cannot obtain its lease, is removed. Links are directional; only the direction towards the voters
+//! counts.
 
 mod flap_damping;
 mod reachability;
@@ -17,30 +18,30 @@
 use crate::interface::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one voter makes of the reports of all.
+/// The policy of one voter, applied to the reports of all voters.
 #[derive(Clone, Copy, Debug)]
 pub struct ReconfigurationPolicy<'a> {
     /// The voter that decides.
     pub me: &'a Identity,
-    /// The reports that it has.
+    /// The reports that this voter has received.
     pub matrix: ReachabilityMatrix<'a>,
 }
 
 impl<'a> ReconfigurationPolicy<'a> {
-    /// Returns the voter whose turn it is to propose: the first one that this voter hears and that has its lease, or this
-    /// voter itself. Two voters may both consider it their turn; ballots settle that. Returns `None` if this voter has
-    /// no report of its own.
+    /// Returns the voter whose turn it is to propose: the first one in the view that this voter hears and
+    /// that has its lease, or this voter itself. Two voters may both consider it their turn; ballots resolve
+    /// that. Returns `None` if this voter has no report of its own.
     pub fn proposer(&self) -> Option<&'a Identity> {
         let own = self.matrix.rows.get(self.me)?;
-        self.matrix.view.voters().iter().enumerate().find_map(|(place, voter)| {
-            let is_heard = own.hears.get(place) == Some(&true);
+        self.matrix.view.voters().iter().enumerate().find_map(|(position, voter)| {
+            let is_heard = own.hears.get(position) == Some(&true);
             let has_lease = self.matrix.report_of(voter).is_some_and(|row| !row.fenced);
             (voter == self.me || (is_heard && has_lease)).then_some(voter)
         })
     }
 
-    /// Returns the change that the reports ask for. `is_confirmed` tells of a member that a quorum does not hear whether
-    /// that has lasted for long enough to remove it.
+    /// Returns the change that the reports call for. `is_confirmed` says whether a member that no quorum
+    /// hears has been unheard for long enough to be removed.
     pub fn propose(
         &self,
         flap_damping: &FlapDamping,
@@ -52,20 +53,23 @@
         ViewChange { evict, join }
     }
 
+    /// Returns the members whose unheard state is confirmed, that a voter reports as leaving, or that a
+    /// quorum of voters reports as having no lease.
     fn members_to_evict(&self, is_confirmed: impl Fn(&Identity) -> bool) -> BTreeSet<Identity> {
         let view = self.matrix.view;
         let unheard = self.matrix.unheard_by_quorum(self.me);
         let lease_starved = self.count_reports(|row| &row.lease_starved);
         let leaving = self.count_reports(|row| &row.leaving);
-        let is_to_leave = |member: &&Identity| {
+        let should_be_evicted = |member: &&Identity| {
             (unheard.contains(*member) && is_confirmed(member))
                 || leaving.contains_key(*member)
                 || lease_starved.get(*member).is_some_and(|voters| *voters >= view.quorum())
         };
-        view.members.iter().filter(is_to_leave).cloned().collect()
+        view.members.iter().filter(should_be_evicted).cloned().collect()
     }
 
-    /// An incarnation that stays is not replaced: the joining one would be a second process of its name.
+    /// Returns the joining incarnations to admit. An incarnation that stays in the view is not replaced,
+    /// since the joining one would be a second process of its name.
     fn members_to_admit(
         &self,
         evict: &BTreeSet<Identity>,
@@ -82,13 +86,13 @@
         self.count_reports(|row| &row.joining).into_keys().filter(may_join).cloned().collect()
     }
 
-    /// Counts the voters that name each member.
+    /// Returns the number of reports that name each member in the list selected by `members_of`.
     fn count_reports(
         &self,
-        named: fn(&ReachabilityRow) -> &BTreeSet<Identity>,
+        members_of: fn(&ReachabilityRow) -> &BTreeSet<Identity>,
     ) -> BTreeMap<&'a Identity, usize> {
         let mut counts = BTreeMap::new();
-        for member in self.matrix.rows.values().flat_map(named) {
+        for member in self.matrix.rows.values().flat_map(members_of) {
             *counts.entry(member).or_insert(0) += 1;
         }
         counts
--- a/crates/decisions/src/membership/reconfiguration/tests.rs
+++ b/crates/decisions/src/membership/reconfiguration/tests.rs
@@ -13,7 +13,8 @@
     ReconfigurationPolicy { me, matrix: matrix(view, rows) }
 }
 
-/// The change that a voter proposes if every unheard member is confirmed and none has flapped.
+/// Returns the change that a voter proposes if every unheard member is confirmed and none has been removed
+/// before.
 fn proposed_change(view: &View, me: &Identity, rows: &BTreeMap<Identity, ReachabilityRow>) -> ViewChange {
     policy(view, me, rows).propose(&FlapDamping::default(), |_| true, Timestamp(0))
 }
@@ -23,7 +24,7 @@
     View { epoch: 3, members: (0..members).map(name).collect() }
 }
 
-/// Rows of a graph: `hears(voter, member)`.
+/// Returns the reports of all voters in a reachability graph given by `hears(voter, member)`.
 fn rows(view: &View, hears: impl Fn(usize, usize) -> bool) -> BTreeMap<Identity, ReachabilityRow> {
     let row = |voter: usize| ReachabilityRow {
         epoch: view.epoch,
@@ -33,10 +34,11 @@
     view.voters().iter().enumerate().map(|(n, voter)| (voter.clone(), row(n))).collect()
 }
 
-/// All graphs of up to five members: what stays is heard by most voters, nothing else goes, and one view later nothing
-/// more changes for those that are left, unless their own majority has become another one: at most one view a member.
+/// Checks all reachability graphs of up to five members. Exactly the members that no quorum hears are
+/// removed. A removal may change which voters are a quorum and so cause another one, but the fleet converges
+/// within one view per member.
 #[test]
-fn all_graphs_of_up_to_five_members_come_to_rest() {
+fn all_graphs_of_up_to_five_members_converge() {
     for members in 1..=5usize {
         let links: Vec<(usize, usize)> =
             (0..members).flat_map(|a| (0..members).filter(move |b| *b != a).map(move |b| (a, b))).collect();
@@ -44,30 +46,32 @@
             let linked = |a: usize, b: usize| {
                 a == b || links.iter().position(|l| *l == (a, b)).is_some_and(|at| graph >> at & 1 == 1)
             };
-            comes_to_rest(members, linked);
+            assert_converges(members, linked);
         }
     }
 }
 
-fn comes_to_rest(members: usize, linked: impl Fn(usize, usize) -> bool) {
+/// Checks that repeated proposals by the first member reach a view that needs no further change.
+fn assert_converges(members: usize, linked: impl Fn(usize, usize) -> bool) {
     let first = view(members);
-    let place = |who: &Identity| first.members.iter().position(|m| m == who).unwrap_or(usize::MAX);
-    let mut now = first.clone();
+    let position = |member: &Identity| first.members.iter().position(|m| m == member).unwrap_or(usize::MAX);
+    let mut current = first.clone();
     for step in 0..=members {
-        let places: Vec<usize> = now.members.iter().map(place).collect();
-        let rows = rows(&now, |a, b| linked(places[a], places[b]));
-        let proposed = proposed_change(&now, &now.members[0], &rows);
-        let heard = matrix(&now, &rows).heard_by_quorum();
-        assert_eq!(proposed.evict, now.members.iter().filter(|m| !heard.contains(*m)).cloned().collect());
-        // It comes to a view only if most of the voters can speak with each other through its proposer.
-        let Some(next) = now.next(&proposed) else { return };
-        assert!(next.members.len() < now.members.len() && step < members, "{next:?}");
-        now = next;
+        let positions: Vec<usize> = current.members.iter().map(position).collect();
+        let rows = rows(&current, |a, b| linked(positions[a], positions[b]));
+        let proposed = proposed_change(&current, &current.members[0], &rows);
+        let heard = matrix(&current, &rows).heard_by_quorum();
+        assert_eq!(proposed.evict, current.members.iter().filter(|m| !heard.contains(*m)).cloned().collect());
+        // In a fleet, the change is decided only if a majority of the voters can communicate with the
+        // proposer.
+        let Some(next) = current.next(&proposed) else { return };
+        assert!(next.members.len() < current.members.len() && step < members, "{next:?}");
+        current = next;
     }
 }
 
 #[test]
-fn a_broken_link_puts_nobody_out_as_long_as_most_hear() {
+fn a_broken_link_evicts_nobody_while_a_majority_hears_each_member() {
     let five = view(5);
     for (a, b) in [(0, 1), (1, 0), (4, 0), (2, 3)] {
         let rows = rows(&five, |voter, member| (voter, member) != (a, b));
@@ -76,7 +80,7 @@
 }
 
 #[test]
-fn a_member_that_most_do_not_hear_goes_though_it_hears_all() {
+fn a_member_that_a_majority_does_not_hear_is_evicted_although_it_hears_all() {
     let five = view(5);
     let rows = rows(&five, |voter, member| member != 4 || voter == 0);
     let evicted = proposed_change(&five, &five.members[0], &rows).evict;
@@ -84,7 +88,7 @@
 }
 
 #[test]
-fn the_first_voter_that_is_heard_and_has_its_lease_wishes() {
+fn the_first_voter_that_is_heard_and_has_its_lease_proposes() {
     let three = view(3);
     let mut rows = rows(&three, |_, _| true);
     assert_eq!(policy(&three, &three.members[2], &rows).proposer(), Some(&three.members[0]));
@@ -95,7 +99,7 @@
 }
 
 #[test]
-fn a_life_that_is_heard_is_not_replaced_by_a_second_process_of_its_name() {
+fn an_incarnation_that_is_heard_is_not_replaced_by_a_second_process_of_its_name() {
     let three = view(3);
     let joiner = Identity::new("m2", 9);
     let mut rows = rows(&three, |_, _| true);
@@ -110,37 +114,40 @@
     assert_eq!(matrix(&three, &rows).name_conflict(&joiner), None);
 }
 
-/// Right after a view rows come one by one: whoever has yet to speak may hear everybody.
+/// After a change of the view, reports arrive one by one: a voter that has not reported yet may hear all
+/// members.
 #[test]
-fn voters_that_are_heard_and_have_yet_to_speak_put_nobody_out() {
+fn nobody_is_evicted_while_voters_that_are_heard_have_not_reported() {
     let five = view(5);
-    // The last one has just come in and hears nobody.
-    let mut some = rows(&five, |voter, _| voter != 4);
-    some.remove(&five.members[1]);
-    some.remove(&five.members[2]);
+    // The last voter has just joined and hears no member.
+    let mut partial_rows = rows(&five, |voter, _| voter != 4);
+    partial_rows.remove(&five.members[1]);
+    partial_rows.remove(&five.members[2]);
     let proposed =
         |rows: &BTreeMap<Identity, ReachabilityRow>| proposed_change(&five, &five.members[0], rows).evict;
-    assert_eq!(proposed(&some), BTreeSet::new());
-    // Two that are not heard either have no say.
-    some.values_mut().for_each(|row| row.hears = vec![true, false, false, true, true]);
-    assert_eq!(proposed(&some), five.members[1..3].iter().cloned().collect());
+    assert_eq!(proposed(&partial_rows), BTreeSet::new());
+    // Missing reports of two voters that are not heard do not prevent their removal.
+    partial_rows.values_mut().for_each(|row| row.hears = vec![true, false, false, true, true]);
+    assert_eq!(proposed(&partial_rows), five.members[1..3].iter().cloned().collect());
 }
 
 #[test]
-fn whoever_is_put_out_again_and_again_stays_out_longer_each_time() {
+fn a_member_that_is_evicted_repeatedly_is_kept_out_longer_each_time() {
     let (with, without) = (view(4), View { epoch: 4, ..view(3) });
     let mut flap_damping = FlapDamping::default();
-    let mut waits = Vec::new();
+    let mut hold_offs_us = Vec::new();
     for n in 0..8 {
         flap_damping.record_view_change(Timestamp(n), &with, &without, |_| false);
-        waits.push(flap_damping.held_off_until("m3").map_or(0, |until| until.0 - n));
+        hold_offs_us.push(flap_damping.held_off_until("m3").map_or(0, |until| until.0 - n));
     }
-    assert_eq!(waits[..4], [0, 10_000_000, 20_000_000, 40_000_000]);
-    assert_eq!(waits[7], 300_000_000);
+    assert_eq!(hold_offs_us[..4], [0, 10_000_000, 20_000_000, 40_000_000]);
+    assert_eq!(hold_offs_us[7], 300_000_000);
     assert_eq!(flap_damping.held_off_until("m0"), None);
     let replaced = View { epoch: 5, members: [&view(3).members[..], &[Identity::new("m3", 2)]].concat() };
-    let mut calm = FlapDamping::default();
-    (0..5).for_each(|n| calm.record_view_change(Timestamp(n), &with, &replaced, |_| false));
-    (0..5).for_each(|n| calm.record_view_change(Timestamp(n), &with, &without, |who| *who.name == *"m3"));
-    assert_eq!(calm.held_off_until("m3"), None);
+    let mut not_counted = FlapDamping::default();
+    (0..5).for_each(|n| not_counted.record_view_change(Timestamp(n), &with, &replaced, |_| false));
+    (0..5).for_each(|n| {
+        not_counted.record_view_change(Timestamp(n), &with, &without, |member| *member.name == *"m3")
+    });
+    assert_eq!(not_counted.held_off_until("m3"), None);
 }
