--- a/crates/decisions/src/membership/membership_log/mod.rs
+++ b/crates/decisions/src/membership/membership_log/mod.rs
@@ -1,5 +1,5 @@
-//! Log of the membership for people: who is in the fleet, what changed and why. It only reads the member's outputs and
-//! decides nothing.
+//! Membership log for operators: who is in the fleet, what changed and why. It only observes the outputs of
+//! the member and makes no decisions.
 
 mod status;
 #[cfg(test)]
@@ -15,43 +15,46 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bound on the changes that are remembered, and on the removed members that are watched until they can be replaced.
+/// Maximum number of changes that are kept, and of removed members that are watched until they can be
+/// replaced.
 const MAX_CHANGES: usize = 64;
 
-/// Why the standing of a member changed. The names are part of the answer of `GET /admin/fleet` and of log lines.
+/// The reason for a change in the membership. The names are part of the response of `GET /admin/fleet` and of
+/// log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
     /// The member founded the fleet with the others.
     Founded,
-    /// The member asked to be admitted.
+    /// The member was admitted at its request.
     Joined,
-    /// The member left.
+    /// The member left the fleet.
     Left,
-    /// The member answered nobody.
+    /// The member was removed after the failure detector declared it gone.
     Gone,
-    /// Another process of the member's name took its place.
+    /// Another incarnation of the member's name replaced it.
     Replaced,
-    /// Most voters did not hear the member, or it could not renew its lease, though it seemed alive.
+    /// The member was removed because most voters did not hear it or it could not renew its lease, although
+    /// it seemed alive.
     CutOff,
-    /// This process has got its lease.
+    /// This process obtained its lease.
     LeaseHeld,
-    /// This process has lost its lease or was removed, and does not act as a member.
+    /// This process lost its lease or was removed, and does not act as a member.
     Fenced,
-    /// This process was stopped for a while.
+    /// This process was paused.
     Stood,
-    /// The member was removed and knows it by now: another process may act in its place.
+    /// The member was removed and its lease has expired: another process may act in its place.
     Free,
 }
 
-/// A change of the standing of a member.
+/// A change in the membership, or in the state of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipChange {
-    /// The view since.
+    /// The epoch of the latest view when the change was recorded.
     pub epoch: u64,
     /// The member's name and incarnation.
     pub member: String,
-    /// Why.
+    /// The reason for the change.
     pub cause: Cause,
 }
 
@@ -65,11 +68,12 @@
 #[derive(Clone, Debug)]
 pub struct MembershipLog {
     view: View,
-    /// The latest first.
+    /// The recorded changes, the latest first.
     changes: VecDeque<LoggedChange>,
-    /// What the failure detector last said about members: the cause if they are removed.
+    /// The last state of each member according to the failure detector. Determines the cause if the member is
+    /// removed.
     last_suspicions: BTreeMap<Identity, Suspicion>,
-    /// Removed members that could not be replaced yet when last checked.
+    /// Removed members that could not be replaced yet at the last check.
     awaiting_takeover: Vec<Identity>,
 }
 
@@ -85,7 +89,7 @@
 }
 
 impl MembershipLog {
-    /// Records an output of the member `me`; returns the changes that it means.
+    /// Records an output of the member `me`. Returns the changes that it implies.
     pub fn record(&mut self, now: Timestamp, me: &Identity, output: &Output) -> Vec<MembershipChange> {
         let changes = match output {
             Output::SuspicionChanged(member, suspicion) => {
@@ -101,7 +105,7 @@
         self.remember(now, changes)
     }
 
-    /// Returns the removed members that became replaceable since the last call.
+    /// Records and returns a change for each removed member that became replaceable since the last call.
     pub fn record_takeovers(&mut self, now: Timestamp, consensus: &Consensus) -> Vec<MembershipChange> {
         if self.awaiting_takeover.is_empty() {
             return Vec::new();
--- a/crates/decisions/src/membership/membership_log/status.rs
+++ b/crates/decisions/src/membership/membership_log/status.rs
@@ -1,4 +1,5 @@
-//! The fleet as one process knows it: what `GET /admin/fleet` answers. The names in that answer are fixed; serde maps them.
+//! Status of the fleet as known to one process, which `GET /admin/fleet` returns. The names in the JSON are
+//! fixed; fields that are named differently here are renamed by serde.
 
 use super::{Cause, LoggedChange, MembershipLog};
 use crate::interface::Timestamp;
@@ -12,73 +13,73 @@
 /// A change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeStatus {
-    /// How long ago, in milliseconds.
+    /// Time since the change, in milliseconds.
     pub ms_ago: i64,
-    /// The view since.
+    /// The epoch of the latest view when the change was recorded.
     pub epoch: u64,
-    /// The member that it is about.
+    /// The name and incarnation of the member concerned.
     #[serde(rename = "who")]
     pub member: String,
-    /// Why.
+    /// The reason for the change.
     pub cause: Cause,
 }
 
 /// A member of the view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name and incarnation.
+    /// The name and incarnation of the member.
     pub member: String,
-    /// Whether it votes on the next view.
+    /// Whether the member votes on the next view.
     pub votes: bool,
-    /// What the failure detector says; `None` of a member that this process has not met.
+    /// The state according to the failure detector; `None` if it does not know the member.
     #[serde(rename = "advice")]
     pub suspicion: Option<Suspicion>,
-    /// How long ago a message last came from it, in milliseconds.
+    /// Time since the last message from the member itself, in milliseconds.
     pub heard_ms_ago: Option<i64>,
-    /// Its address.
+    /// The address of the member, if known.
     pub address: Option<String>,
 }
 
-/// The links to one voter.
+/// The links towards one voter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterLinks {
     /// The voter.
     pub voter: String,
-    /// Members that it does not hear: links that are broken in its direction.
+    /// Members that the voter does not hear: their links are broken in the direction of the voter.
     #[serde(rename = "deaf_to")]
     pub unheard: Vec<String>,
-    /// Whether it has no lease.
+    /// Whether the voter has no lease.
     pub fenced: bool,
 }
 
-/// The fleet as one process knows it.
+/// The status of the fleet as known to one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// The fleet's name.
+    /// The name of the fleet.
     pub fleet: String,
-    /// The process that answers.
+    /// The name and incarnation of the answering process.
     pub me: String,
-    /// The latest view that it knows; 0 before the fleet is founded.
+    /// The epoch of the latest view that the process knows; 0 before the fleet is founded.
     pub epoch: u64,
-    /// Whether it is a member of that view.
+    /// Whether the process is a member of that view.
     pub member: bool,
-    /// Whether it must not act as a member.
+    /// Whether the process must not act as a member.
     pub fenced: bool,
-    /// How long its lease still lasts, in milliseconds.
+    /// How long the lease of the process remains valid, in milliseconds.
     pub lease_left_ms: i64,
-    /// How far it distrusts its own health: 0 is healthy.
+    /// How unhealthy the process considers itself: 0 is healthy.
     #[serde(rename = "unwell")]
     pub health_penalty: u32,
-    /// The members of the view, the longest-standing first.
+    /// The members of the view, the earliest admitted first.
     pub members: Vec<MemberStatus>,
-    /// What the voters report of their links, if this process votes.
+    /// The links that the voters report, if this process votes.
     pub links: Vec<VoterLinks>,
     /// The last changes, the latest first.
     pub changes: Vec<ChangeStatus>,
 }
 
 impl MembershipLog {
-    /// Returns the fleet as that member knows it. `address` looks up where a member is.
+    /// Returns the status of the fleet as known to `member`. `address` looks up the address of a member.
     pub fn status(
         &self,
         now: Timestamp,
--- a/crates/decisions/src/membership/membership_log/tests.rs
+++ b/crates/decisions/src/membership/membership_log/tests.rs
@@ -21,15 +21,18 @@
     record(&mut membership_log, Output::SuspicionChanged(Identity::new("c", 1), Suspicion::Left));
     record(&mut membership_log, Output::SuspicionChanged(Identity::new("e", 1), Suspicion::Suspect));
     let changed = record(&mut membership_log, view(2, &[("a", 1), ("d", 2), ("f", 1)]));
-    let of = |name: &str| {
-        changed.iter().filter(|(who, _)| who.starts_with(name)).map(|(_, c)| *c).collect::<Vec<_>>()
+    let causes_of = |name: &str| {
+        changed.iter().filter(|(member, _)| member.starts_with(name)).map(|(_, c)| *c).collect::<Vec<_>>()
     };
-    assert_eq!((of("b"), of("c"), of("e")), (vec![Cause::Gone], vec![Cause::Left], vec![Cause::CutOff]));
-    assert_eq!((of("d"), of("f")), (vec![Cause::Replaced, Cause::Joined], vec![Cause::Joined]));
+    assert_eq!(
+        (causes_of("b"), causes_of("c"), causes_of("e")),
+        (vec![Cause::Gone], vec![Cause::Left], vec![Cause::CutOff])
+    );
+    assert_eq!((causes_of("d"), causes_of("f")), (vec![Cause::Replaced, Cause::Joined], vec![Cause::Joined]));
 }
 
 #[test]
-fn the_last_change_stands_first_and_few_are_remembered() {
+fn changes_are_kept_latest_first_and_limited_in_number() {
     let mut membership_log = MembershipLog::default();
     for _ in 0..100 {
         record(&mut membership_log, Output::Consensus(Event::Fenced));
