--- a/crates/decisions/src/membership/transport/authentication.rs
+++ b/crates/decisions/src/membership/transport/authentication.rs
@@ -1,13 +1,13 @@
-//! Authentication: the bytes of one datagram or stream, with version, fleet, content, and a tag that only holders of the
-//! fleet's key can compute (`docs/protocol/peers.md`). Guards against garbage, forgery and other fleets; replays are for
-//! [`super::ReplayWindow`] to detect.
+//! Authentication: encodes a frame as the bytes of one datagram or stream, with the version, the fleet, the
+//! content, and a tag that only holders of the fleet's key can compute (`docs/protocol/peers.md`). Protects
+//! against garbage, forgery and messages of other fleets; replays are detected by [`super::ReplayWindow`].
 
 use super::{DropReason, Frame};
 use std::fmt;
 
 /// The first bytes of each message.
 const MAGIC: [u8; 3] = *b"wpp";
-/// The version of the protocol that this program speaks.
+/// The version of the protocol that this program implements.
 pub const PROTOCOL_VERSION: u8 = 1;
 /// Length of the fleet's identifier: the first bytes of BLAKE3 of its name.
 const FLEET_ID_BYTES: usize = 8;
@@ -19,7 +19,7 @@
 /// Context of the key derivation; part of the protocol.
 const KEY_CONTEXT: &str = "wheelpier 2026-12 messages between members";
 /// Initial capacity for an encoded message; most are shorter.
-const TYPICAL_BYTES: usize = 256;
+const INITIAL_CAPACITY_BYTES: usize = 256;
 
 /// The longest message in a datagram. A longer one is sent on a stream.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
@@ -30,13 +30,13 @@
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key([u8; KEY_BYTES]);
 
-/// The text of a key is not 64 hexadecimal digits.
+/// The error for a key whose text is not 64 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a key is 64 hexadecimal digits, which 32 random bytes make")]
+#[error("a key must be 64 hexadecimal digits (32 random bytes)")]
 pub struct KeyError;
 
 impl Key {
-    /// Reads 64 hexadecimal digits, ignoring white space around them.
+    /// Parses 64 hexadecimal digits, ignoring white space around them.
     ///
     /// # Errors
     /// [`KeyError`] if the text is anything else.
@@ -50,7 +50,8 @@
         }
     }
 
-    fn derived(&self) -> [u8; KEY_BYTES] {
+    /// Returns the key that authenticates messages, derived from this one.
+    fn derive(&self) -> [u8; KEY_BYTES] {
         blake3::derive_key(KEY_CONTEXT, &self.0)
     }
 }
@@ -65,7 +66,8 @@
 #[derive(Clone)]
 pub struct Authenticator {
     fleet_id: [u8; FLEET_ID_BYTES],
-    /// Derived keys. The first one authenticates; a message is accepted with any.
+    /// Derived keys. The first one authenticates sent messages; a received message is accepted with any of
+    /// them.
     keys: Vec<[u8; KEY_BYTES]>,
 }
 
@@ -76,17 +78,17 @@
 }
 
 impl Authenticator {
-    /// Creates the authenticator of a fleet. Messages are sent with the first key and accepted with both, so keys can be
-    /// changed member by member.
+    /// Creates the authenticator of a fleet. Messages are sent with the first key and accepted with either,
+    /// so that keys can be changed one member at a time.
     pub fn new(fleet: &str, first: &Key, second: Option<&Key>) -> Self {
         let mut fleet_id = [0; FLEET_ID_BYTES];
         fleet_id.copy_from_slice(&blake3::hash(fleet.as_bytes()).as_bytes()[..FLEET_ID_BYTES]);
-        Self { fleet_id, keys: std::iter::once(first).chain(second).map(Key::derived).collect() }
+        Self { fleet_id, keys: std::iter::once(first).chain(second).map(Key::derive).collect() }
     }
 
     /// Returns the bytes of a frame, or `None` if it cannot be encoded.
     pub fn encode(&self, frame: &Frame) -> Option<Vec<u8>> {
-        let mut header = Vec::with_capacity(TYPICAL_BYTES);
+        let mut header = Vec::with_capacity(INITIAL_CAPACITY_BYTES);
         header.extend(MAGIC);
         header.push(PROTOCOL_VERSION);
         header.extend(self.fleet_id);
@@ -99,7 +101,7 @@
     /// Decodes the bytes of a frame.
     ///
     /// # Errors
-    /// The reason if they are no message of this fleet.
+    /// The reason if the bytes are not a valid frame of this fleet.
     pub fn decode(&self, bytes: &[u8]) -> Result<Frame, DropReason> {
         let Some(content_end) = bytes.len().checked_sub(TAG_BYTES).filter(|end| *end >= HEADER_BYTES) else {
             return Err(DropReason::Garbage);
@@ -124,13 +126,14 @@
     }
 }
 
+/// Returns the authentication tag of the bytes before it.
 fn tag(key: &[u8; KEY_BYTES], bytes: &[u8]) -> [u8; TAG_BYTES] {
     let mut tag = [0; TAG_BYTES];
     tag.copy_from_slice(&blake3::keyed_hash(key, bytes).as_bytes()[..TAG_BYTES]);
     tag
 }
 
-/// Compares in constant time: how long it takes does not tell where two tags differ.
+/// Compares two tags in constant time, so that the time taken does not reveal where they differ.
 fn is_same_tag(expected: &[u8; TAG_BYTES], given: &[u8]) -> bool {
     let difference = expected.iter().zip(given).fold(0, |difference, (a, b)| difference | (a ^ b));
     difference == 0 && given.len() == TAG_BYTES
--- a/crates/decisions/src/membership/transport/authentication/tests.rs
+++ b/crates/decisions/src/membership/transport/authentication/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_is_sealed_opens_with_the_same_key_and_fleet_alone() {
+fn a_frame_decodes_only_with_the_same_key_and_fleet() {
     let authenticator = Authenticator::new("north", &key(1), None);
     let bytes = authenticator.encode(&frame()).unwrap();
     assert_eq!(authenticator.decode(&bytes), Ok(frame()));
@@ -27,22 +27,26 @@
     assert_eq!(Authenticator::new("north", &key(2), None).decode(&bytes), Err(DropReason::Forged));
 }
 
-/// Old alone, old with new, new with old, new alone: at each step neighbours understand each other.
+/// The steps are the old key alone, old with new, new with old, and new alone. Members at consecutive steps
+/// accept each other's messages.
 #[test]
-fn a_key_is_changed_member_by_member() {
+fn a_key_can_be_changed_one_member_at_a_time() {
     let steps = [(1, None), (1, Some(2)), (2, Some(1)), (2, None)];
-    let seals: Vec<Authenticator> =
+    let authenticators: Vec<Authenticator> =
         steps.map(|(a, b)| Authenticator::new("north", &key(a), b.map(key).as_ref())).to_vec();
-    for pair in seals.windows(2) {
+    for pair in authenticators.windows(2) {
         for (from, to) in [(&pair[0], &pair[1]), (&pair[1], &pair[0])] {
             assert_eq!(to.decode(&from.encode(&frame()).unwrap()), Ok(frame()));
         }
     }
-    assert_eq!(seals[3].decode(&seals[0].encode(&frame()).unwrap()), Err(DropReason::Forged));
+    assert_eq!(
+        authenticators[3].decode(&authenticators[0].encode(&frame()).unwrap()),
+        Err(DropReason::Forged)
+    );
 }
 
 #[test]
-fn another_version_is_told_apart_from_garbage() {
+fn another_version_is_distinguished_from_garbage() {
     let authenticator = Authenticator::new("north", &key(1), None);
     let mut bytes = authenticator.encode(&frame()).unwrap();
     bytes[3] = PROTOCOL_VERSION + 1;
@@ -52,7 +56,7 @@
 }
 
 #[test]
-fn keys_are_64_digits_and_are_not_told() {
+fn keys_are_64_digits_and_are_not_printed() {
     assert_eq!(Key::from_hex(&format!(" {}\n", "0a".repeat(32))), Ok(Key([10; 32])));
     for wrong in ["", "0a", &"0a".repeat(33), &"0x".repeat(32), &"ä".repeat(32)] {
         assert_eq!(Key::from_hex(wrong), Err(KeyError), "{wrong}");
@@ -62,7 +66,7 @@
 
 proptest! {
     #[test]
-    fn no_change_to_a_message_goes_unseen(at in 0usize..200, bit in 0u8..8, cut in 0usize..60) {
+    fn any_change_to_a_message_is_detected(at in 0usize..200, bit in 0u8..8, cut in 0usize..60) {
         let authenticator = Authenticator::new("north", &key(1), Some(&key(2)));
         let whole = authenticator.encode(&frame()).unwrap();
         let mut bytes = whole.clone();
@@ -76,7 +80,7 @@
     }
 
     #[test]
-    fn any_bytes_are_answered_with_a_reason(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_rejected_with_a_reason(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         prop_assert!(Authenticator::new("north", &key(1), None).decode(&bytes).is_err());
     }
 }
--- a/crates/decisions/src/membership/transport/drop_reason.rs
+++ b/crates/decisions/src/membership/transport/drop_reason.rs
@@ -1,33 +1,33 @@
-//! Why a message is dropped.
+//! Reasons for dropping a message.
 
-/// Why a message is dropped. The displayed name is part of the counter `gw.fleet.dropped.NAME`.
+/// The reason for dropping a message. The displayed name is part of the metric `gw.fleet.dropped.NAME`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, thiserror::Error)]
 pub enum DropReason {
-    /// It is no message of this protocol, or does not decode.
+    /// The bytes are not a message of this protocol, or cannot be decoded.
     #[error("garbage")]
     Garbage,
-    /// It is of another version of the protocol.
+    /// The message has another version of the protocol.
     #[error("version")]
     Version,
-    /// It is of another fleet.
+    /// The message belongs to another fleet.
     #[error("fleet")]
     Fleet,
-    /// It is not authenticated with a key of the fleet.
+    /// The message is not authenticated with a key of the fleet.
     #[error("forged")]
     Forged,
-    /// It is for another name or incarnation, or was sent by this process itself.
+    /// The message is addressed to another name or incarnation, or was sent by this process itself.
     #[error("astray")]
     Astray,
-    /// Its sequence number was received before or is too old, or it answers no open challenge.
+    /// The sequence number was received before or is too old, or the message answers no open challenge.
     #[error("replayed")]
     Replayed,
-    /// Its sender was challenged a moment ago and has not answered, or cannot be challenged.
+    /// The sender was challenged recently and has not answered, or cannot be challenged.
     #[error("unproved")]
     Unproved,
-    /// It is longer than allowed.
+    /// The message is longer than allowed.
     #[error("oversized")]
     Oversized,
-    /// The address of its receiver is not known.
+    /// The address of the receiver is not known.
     #[error("unknown")]
     Unknown,
 }
--- a/crates/decisions/src/membership/transport/frame.rs
+++ b/crates/decisions/src/membership/transport/frame.rs
@@ -7,22 +7,22 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a frame carries.
+/// The payload of a frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// A message between members.
     Member(MemberMessage),
-    /// Asks a process that is not known to prove that it is alive now.
+    /// Requests proof from an unknown process that it is alive now.
     Challenge {
-        /// A number that nobody could foresee.
+        /// An unpredictable number.
         nonce: u64,
     },
     /// Answers a challenge.
     ChallengeResponse {
-        /// The number from the challenge.
+        /// The nonce of the challenge.
         nonce: u64,
     },
-    /// Asks for the address of a member.
+    /// Requests the address of a member.
     AddressQuery(Name),
     /// Answers an address query.
     AddressAnswer(Name, SocketAddr),
@@ -33,11 +33,11 @@
 pub struct Frame {
     /// The sender.
     pub from: Identity,
-    /// The receiver: this incarnation alone, or any of the name if its number is 0.
+    /// The receiver: only this incarnation, or any incarnation of the name if the number is 0.
     pub to: Identity,
-    /// The number that the sending process drew at its start.
+    /// The random number that the sending process drew at its start.
     pub incarnation_nonce: u64,
-    /// The number of this frame among all that the process has sent.
+    /// The sequence number of this frame among all frames that the process has sent.
     pub sequence: u64,
     /// The message.
     pub message: Message,
--- a/crates/decisions/src/membership/transport/mod.rs
+++ b/crates/decisions/src/membership/transport/mod.rs
@@ -1,5 +1,6 @@
-//! Transport between members without sockets: which processes are spoken with, which messages are accepted, and to which
-//! addresses messages go. Bytes and a time go in, messages and datagrams come out (`docs/protocol/peers.md`).
+//! Transport between members, without sockets: sessions with other processes, which messages are accepted,
+//! and to which addresses messages are sent. Received bytes and the current time go in, messages and encoded
+//! frames come out (`docs/protocol/peers.md`).
 
 mod address_table;
 mod authentication;
@@ -27,39 +28,39 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The address of a name is asked for again after this time.
+/// Minimum time between two queries for the address of a name.
 const ADDRESS_QUERY_INTERVAL_US: i64 = 200_000;
-/// Members that are asked for the address of another one.
+/// Number of members that are asked for the address of another one.
 const MEMBERS_QUERIED: usize = 2;
-/// Bound on the names whose address was asked for lately.
+/// Maximum number of names whose address was queried recently.
 const MAX_ADDRESS_QUERIES: usize = 64;
 
-/// Bytes to be sent, as a datagram or, if they are too long, on a stream.
+/// An encoded frame to be sent as a datagram or, if it is too long, on a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OutboundDatagram {
+pub struct OutboundFrame {
     /// The receiver's address.
     pub address: SocketAddr,
     /// The encoded frame.
     pub bytes: Vec<u8>,
 }
 
-impl OutboundDatagram {
+impl OutboundFrame {
     /// Returns whether the frame is too long for a datagram and has to be sent on a stream.
     pub fn needs_stream(&self) -> bool {
         self.bytes.len() > MAX_DATAGRAM_BYTES
     }
 }
 
-/// What follows from received bytes.
+/// The result of received bytes that were accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Received {
     /// A message for the member, with its sender.
     pub message: Option<(Identity, MemberMessage)>,
-    /// At most one answer, at most a few bytes longer than what it answers.
-    pub reply: Option<OutboundDatagram>,
+    /// At most one reply, at most a few bytes longer than the frame that it answers.
+    pub reply: Option<OutboundFrame>,
 }
 
-/// Where a received frame came from.
+/// The origin of a received frame.
 struct Origin {
     process: ProcessId,
     member: Identity,
@@ -67,22 +68,24 @@
     source: Option<SocketAddr>,
 }
 
-/// One process's end of the transport.
+/// The transport of one process.
 pub struct Transport {
     name: Name,
-    /// Drawn at the start of the process: distinguishes it from others of its name.
+    /// Drawn at the start of the process; distinguishes it from other processes of its name.
     incarnation_nonce: u64,
+    /// The sequence number of the last frame sent.
     sequence: u64,
     authenticator: Authenticator,
     addresses: AddressTable,
     session_table: SessionTable,
-    /// Names whose address was asked for, and when.
+    /// Names whose address was queried, each with the time of the last query.
     address_queries: BTreeMap<Name, Timestamp>,
     random: ChaCha8Rng,
 }
 
 impl Transport {
-    /// Creates the transport of a process that starts. `seed` must be unpredictable and another one at each start.
+    /// Creates the transport of a process that starts. `seed` must be unpredictable and different at each
+    /// start.
     pub fn new(name: Name, authenticator: Authenticator, addresses: AddressTable, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         Self {
@@ -97,24 +100,24 @@
         }
     }
 
-    /// Returns the addresses of members.
+    /// Returns the table of the members' addresses.
     pub fn addresses(&self) -> &AddressTable {
         &self.addresses
     }
 
-    /// Encodes a message of this process as `from` to `to`. If the address of the receiver is not known, other members
-    /// are asked for it and the message is lost.
+    /// Encodes a message of this process, whose identity is `from`, to `to`. If the address of the receiver
+    /// is not known, returns address queries to other members instead, and the message is lost.
     ///
     /// # Errors
-    /// [`DropReason::Unknown`] if the address is not known and nobody can be asked now; [`DropReason::Oversized`] if
-    /// the message is too long.
+    /// [`DropReason::Unknown`] if the address is not known and nobody can be asked now;
+    /// [`DropReason::Oversized`] if the message is too long.
     pub fn send(
         &mut self,
         now: Timestamp,
         from: &Identity,
         to: &Identity,
         message: MemberMessage,
-    ) -> Result<Vec<OutboundDatagram>, DropReason> {
+    ) -> Result<Vec<OutboundFrame>, DropReason> {
         match self.addresses.address(to) {
             Some(address) => Ok(vec![self.encode(from, to, address, Message::Member(message))?]),
             None => self.query_address(now, from, &to.name),
@@ -127,7 +130,7 @@
         to: &Identity,
         address: SocketAddr,
         message: Message,
-    ) -> Result<OutboundDatagram, DropReason> {
+    ) -> Result<OutboundFrame, DropReason> {
         self.sequence += 1;
         let frame = Frame {
             from: from.clone(),
@@ -137,39 +140,39 @@
             message,
         };
         let bytes = self.authenticator.encode(&frame).filter(|bytes| bytes.len() <= MAX_STREAM_BYTES);
-        Ok(OutboundDatagram { address, bytes: bytes.ok_or(DropReason::Oversized)? })
+        Ok(OutboundFrame { address, bytes: bytes.ok_or(DropReason::Oversized)? })
     }
 
-    /// Asks the members that were heard last for the address of a name.
+    /// Asks the members heard most recently for the address of a name.
     fn query_address(
         &mut self,
         now: Timestamp,
         from: &Identity,
         name: &Name,
-    ) -> Result<Vec<OutboundDatagram>, DropReason> {
+    ) -> Result<Vec<OutboundFrame>, DropReason> {
         self.address_queries.retain(|_, at| now.0 - at.0 < ADDRESS_QUERY_INTERVAL_US);
         if self.address_queries.contains_key(name) || self.address_queries.len() >= MAX_ADDRESS_QUERIES {
             return Err(DropReason::Unknown);
         }
-        let others = self.addresses.latest().into_iter().filter(|member| member.name != *name);
+        let others = self.addresses.by_recency().into_iter().filter(|member| member.name != *name);
         let queried: Vec<Identity> = others.take(MEMBERS_QUERIED).cloned().collect();
         if queried.is_empty() {
             return Err(DropReason::Unknown);
         }
         self.address_queries.insert(Name::clone(name), now);
-        let mut datagrams = Vec::new();
+        let mut frames = Vec::new();
         for member in queried {
             let Some(address) = self.addresses.address(&member) else { continue };
             let query = Message::AddressQuery(Name::clone(name));
-            datagrams.push(self.encode(from, &any_incarnation(&member), address, query)?);
+            frames.push(self.encode(from, &any_incarnation(&member), address, query)?);
         }
-        Ok(datagrams)
+        Ok(frames)
     }
 
     /// Handles the bytes of a datagram from `source`, or of a stream if there is no source.
     ///
     /// # Errors
-    /// The reason if they are dropped.
+    /// The reason if the bytes are dropped.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -195,14 +198,15 @@
         }
     }
 
-    /// A frame is for this process if it names it and its incarnation, or any, and was not sent by it.
+    /// Returns whether a frame is for this process: it is addressed to this name and incarnation, or to any
+    /// incarnation of the name, and was not sent by this process.
     fn is_addressed_here(&self, me: &Identity, frame: &Frame) -> bool {
         let is_other_incarnation = frame.to.incarnation != 0 && frame.to.incarnation != me.incarnation;
         let is_own = frame.from.name == self.name && frame.incarnation_nonce == self.incarnation_nonce;
         frame.to.name == self.name && !is_other_incarnation && !is_own
     }
 
-    /// Returns the nonce to any process that asks: one answer for one challenge.
+    /// Returns the nonce to any process that sends a challenge, with one reply per challenge.
     fn answer_challenge(
         &mut self,
         me: &Identity,
@@ -216,6 +220,7 @@
         Ok(Received { message: None, reply })
     }
 
+    /// Opens a session with a process that has answered its challenge.
     fn complete_challenge(
         &mut self,
         now: Timestamp,
@@ -230,7 +235,7 @@
         Ok(Received { message: pending, reply: None })
     }
 
-    /// Handles a message of a process with a session; challenges any other process.
+    /// Handles a message from a process with a session; challenges any other process.
     fn receive_in_session(
         &mut self,
         now: Timestamp,
@@ -258,19 +263,19 @@
         match message {
             Message::Member(message) => received.message = Some((from, message)),
             Message::AddressQuery(name) => {
-                let answer = self.addresses.shared_address(&name).zip(self.addresses.address(&from));
-                if let Some((queried, address)) = answer {
-                    let answer = Message::AddressAnswer(name, queried);
-                    received.reply = Some(self.encode(me, &any_incarnation(&from), address, answer)?);
+                let known = self.addresses.shared_address(&name).zip(self.addresses.address(&from));
+                if let Some((queried_address, reply_to)) = known {
+                    let answer = Message::AddressAnswer(name, queried_address);
+                    received.reply = Some(self.encode(me, &any_incarnation(&from), reply_to, answer)?);
                 }
             }
-            Message::AddressAnswer(name, address) => self.addresses.record_hearsay(&name, address),
+            Message::AddressAnswer(name, address) => self.addresses.record_reported(&name, address),
             Message::Challenge { .. } | Message::ChallengeResponse { .. } => {}
         }
         Ok(received)
     }
 
-    /// Challenges a process without a session; its message waits for the answer.
+    /// Challenges a process without a session, and holds its message until the answer.
     fn challenge(
         &mut self,
         now: Timestamp,
@@ -295,7 +300,8 @@
     }
 }
 
-/// Any incarnation of a name: challenges and address queries are between processes, not members.
+/// Returns the identity that stands for any incarnation of the member's name. Challenges and address queries
+/// are exchanged between processes, not members.
 fn any_incarnation(member: &Identity) -> Identity {
     Identity { incarnation: 0, ..member.clone() }
 }
--- a/crates/decisions/src/membership/transport/replay_window.rs
+++ b/crates/decisions/src/membership/transport/replay_window.rs
@@ -1,16 +1,17 @@
-//! Replay window: which sequence numbers of one process were received. Each is accepted once; one that is too old to tell is
-//! not accepted.
+//! Replay window: which sequence numbers of one process were received. Each number is accepted once; a number
+//! too old to be tracked is not accepted.
 
-/// Numbers behind the highest one that are still told apart. A datagram may be overtaken by as many.
+/// Number of sequence numbers that are tracked, up to the highest one received. A datagram that is further
+/// behind is not accepted.
 pub const WIDTH: u64 = 1024;
 const WORDS: usize = (WIDTH / 64) as usize;
 
-/// Where a frame stands among those of its sender.
+/// The order in which a frame arrived relative to other frames of its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// No later one has been received.
+    /// No later frame has been received.
     Latest,
-    /// A later one has been received before it.
+    /// A later frame was received before this one.
     Overtaken,
 }
 
@@ -18,22 +19,23 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplayWindow {
     highest: u64,
-    /// One bit for each number, by its remainder: set if it was received.
+    /// One bit for each sequence number modulo [`WIDTH`], set if the number was received.
     received: [u64; WORDS],
 }
 
 impl ReplayWindow {
-    /// Creates a window in which `sequence` and all numbers before it count as received.
+    /// Creates a window in which `sequence` and all lower numbers count as received.
     pub fn starting_at(sequence: u64) -> Self {
         let mut window = Self { highest: sequence, received: [u64::MAX; WORDS] };
         window.mark(sequence);
         window
     }
 
-    /// Accepts a number that is received for the first time. Returns `None` for any other.
+    /// Accepts a number that is received for the first time. Returns `None` if it was received before or is
+    /// too old.
     pub fn accept(&mut self, sequence: u64) -> Option<Arrival> {
         if sequence > self.highest {
-            // The numbers between may still arrive.
+            // The skipped numbers may still arrive.
             for skipped in (self.highest + 1..=sequence).rev().take(WIDTH as usize) {
                 self.clear(skipped);
             }
--- a/crates/decisions/src/membership/transport/session_table.rs
+++ b/crates/decisions/src/membership/transport/session_table.rs
@@ -1,7 +1,7 @@
-//! The processes that this one speaks with, and those that it has challenged.
+//! Sessions with other processes, and open challenges.
 //!
-//! A process is known by its name and incarnation nonce. It is spoken with once it has answered a challenge, so a
-//! recording is never accepted, also not by a process that has just started.
+//! A process is identified by its name and incarnation nonce. It gets a session once it has answered a
+//! challenge, so a recorded message is never accepted, not even by a process that has just started.
 
 use super::replay_window::{Arrival, ReplayWindow};
 use super::DropReason;
@@ -10,23 +10,25 @@
 use crate::membership::view::{Identity, Name};
 use std::collections::BTreeMap;
 
-/// Bound on the processes that were challenged and have not answered; the oldest challenge is dropped for a new one.
+/// Maximum number of open challenges; the oldest one is dropped for a new one.
 pub(super) const MAX_CHALLENGES: usize = 64;
-/// Bound on the processes that are spoken with; the one that was silent for longest is dropped for a new one.
+/// Maximum number of sessions; the one with the process silent for longest is dropped for a new one.
 const MAX_SESSIONS: usize = 4_096;
-/// A process is challenged again after this time.
+/// Minimum time between two challenges to one process.
 const CHALLENGE_INTERVAL_US: i64 = 200_000;
 
-/// A process by its name and incarnation nonce.
+/// The identity of a process: its name and incarnation nonce.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ProcessId {
     pub name: Name,
     pub incarnation_nonce: u64,
 }
 
-/// A message that waits for its sender to answer a challenge.
+/// A message held until its sender answers a challenge; `None` if the frame that caused the challenge had no
+/// message for the member.
 pub(super) type PendingMessage = Option<(Identity, MemberMessage)>;
 
+/// A challenge that was not answered yet.
 struct OpenChallenge {
     nonce: u64,
     sent_at: Timestamp,
@@ -34,6 +36,7 @@
     pending: PendingMessage,
 }
 
+/// A process that has answered a challenge.
 struct Session {
     replay_window: ReplayWindow,
     last_heard_at: Timestamp,
@@ -47,10 +50,10 @@
 }
 
 impl SessionTable {
-    /// Accepts a sequence number of a process with a session. Returns `None` if there is no session.
+    /// Accepts a sequence number from a process with a session. Returns `None` if there is no session.
     ///
     /// # Errors
-    /// [`DropReason::Replayed`] if the number was received before or is too old to tell.
+    /// [`DropReason::Replayed`] if the number was received before or is too old to be tracked.
     pub fn accept(
         &mut self,
         now: Timestamp,
@@ -65,13 +68,13 @@
         Some(Ok(arrival))
     }
 
-    /// Returns whether a process was challenged so lately that it is not challenged again.
+    /// Returns whether a process was challenged so recently that it is not challenged again yet.
     pub fn is_challenged(&self, now: Timestamp, process: &ProcessId) -> bool {
         let challenge = self.challenges.get(process);
         challenge.is_some_and(|challenge| now.0 - challenge.sent_at.0 < CHALLENGE_INTERVAL_US)
     }
 
-    /// Opens a challenge, in place of an earlier one to the same process.
+    /// Records a new challenge in place of an earlier one to the same process.
     pub fn open_challenge(
         &mut self,
         now: Timestamp,
@@ -83,7 +86,7 @@
         self.challenges.insert(process, OpenChallenge { nonce, sent_at: now, pending });
     }
 
-    /// Opens a session with a process that answers its challenge. Returns the message that waited for that.
+    /// Opens a session with a process that has answered its challenge. Returns the message held until then.
     ///
     /// # Errors
     /// [`DropReason::Replayed`] if the nonce is not that of an open challenge.
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -1,10 +1,10 @@
-//! The actor of the fleet: owns this process's membership, its transport and its datagrams. What a message means is decided
-//! in [`crate::membership`]; here are sockets, timers, the log and the counters. Does not run unless the operator's file has
-//! `peers`.
+//! The actor of the fleet: owns this process's membership, its transport and its datagrams. What a message
+//! means is decided in [`crate::membership`]; here are sockets, timers, the log and the counters. Does not
+//! run unless the operator's file has `peers`.
 //!
-//! Mailboxes: messages from streams (bounded; what does not fit is dropped and counted, as any message may get lost) and
-//! queries of the console (bounded). The actor never blocks: datagrams that the socket does not take are dropped, and
-//! a bounded number of tasks writes to streams.
+//! Mailboxes: messages from streams (bounded; what does not fit is dropped and counted, as any message may
+//! get lost) and queries of the console (bounded). The actor never blocks: datagrams that the socket does not
+//! take are dropped, and a bounded number of tasks writes to streams.
 
 mod streams;
 
@@ -12,7 +12,7 @@
 use crate::config::Peers;
 use crate::membership::consensus::Event;
 use crate::membership::transport::{
-    AddressTable, Authenticator, DropReason, OutboundDatagram, Received, Transport, MAX_DATAGRAM_BYTES,
+    AddressTable, Authenticator, DropReason, OutboundFrame, Received, Transport, MAX_DATAGRAM_BYTES,
 };
 use crate::membership::{
     DurableState, FailureDetectorConfig, FleetConfig, FleetStatus, Identity, LeaseTerms, Member,
@@ -66,8 +66,8 @@
     pub draining: watch::Receiver<Option<Instant>>,
 }
 
-/// Starts the actor. It leaves the fleet when the proxy drains, and ends then. If it fails the proxy continues without
-/// its fleet.
+/// Starts the actor. It leaves the fleet when the proxy drains, and ends then. If it fails the proxy
+/// continues without its fleet.
 ///
 /// # Errors
 /// When the system has no random numbers, or the address of the listener is not known.
@@ -101,15 +101,16 @@
     metrics: Arc<PeerMetrics>,
     streams: Streams,
     /// Messages to be sent at the end of the present turn.
-    outbound: Vec<OutboundDatagram>,
+    outbound: Vec<OutboundFrame>,
     has_left: bool,
 }
 
 impl Actor {
     fn new(listener: &PeerListener, start: &Start) -> io::Result<Self> {
         let peers = &start.peers;
-        // The votes of earlier processes are not stored, so this one must be another incarnation. Any number that differs
-        // will do: if the view has a higher one, the process continues as the incarnation after that.
+        // The votes of earlier processes are not stored, so this one must be another incarnation. Any number
+        // that differs will do: if the view has a higher one, the process continues as the incarnation after
+        // that.
         let me = Identity::new(&start.name, 1 + (random_number()? >> 32));
         let config = FleetConfig {
             founders: peers.founders.keys().cloned().collect(),
@@ -169,8 +170,8 @@
         tracing::info!(member = %self.member.me(), "left the fleet");
     }
 
-    /// Handles a timeout that is due before anything that was received: a process that was stopped has to notice it
-    /// first.
+    /// Handles a timeout that is due before anything that was received: a process that was stopped has to
+    /// notice it first.
     fn handle_due_timeout(&mut self) {
         if self.member.next_timeout() <= self.clock.now() {
             self.with_member(Member::handle_timeout);
--- a/src/net/peers/streams.rs
+++ b/src/net/peers/streams.rs
@@ -1,6 +1,7 @@
-//! Messages that are too long for a datagram: one for each connection, preceded by its length (`docs/protocol/peers.md`).
+//! Messages that are too long for a datagram: one for each connection, preceded by its length
+//! (`docs/protocol/peers.md`).
 
-use crate::membership::transport::{OutboundDatagram, MAX_STREAM_BYTES};
+use crate::membership::transport::{OutboundFrame, MAX_STREAM_BYTES};
 use crate::peer_metrics::PeerMetrics;
 use std::io;
 use std::sync::Arc;
@@ -39,7 +40,7 @@
     }
 
     /// Writes a message to a stream of its own. Drops it if too many are being written.
-    pub fn send(&self, message: OutboundDatagram) {
+    pub fn send(&self, message: OutboundFrame) {
         let Ok(permit) = Arc::clone(&self.writers).try_acquire_owned() else {
             return self.metrics.unsent();
         };
@@ -53,7 +54,7 @@
     }
 }
 
-async fn write(message: &OutboundDatagram) -> io::Result<()> {
+async fn write(message: &OutboundFrame) -> io::Result<()> {
     let mut stream = TcpStream::connect(message.address).await?;
     let length = u32::try_from(message.bytes.len()).map_err(io::Error::other)?;
     stream.write_all(&length.to_be_bytes()).await?;
