--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -1,10 +1,10 @@
-//! The actor of the fleet: owns this process's membership, its transport and its datagrams. What a message
-//! means is decided in [`crate::membership`]; here are sockets, timers, the log and the counters. Does not
-//! run unless the operator's file has `peers`.
+//! The fleet actor: owns this process's membership state, its transport and its datagram socket.
+//! [`crate::membership`] decides what messages mean; this module has the sockets, timers, log lines and
+//! metrics. It runs only if the operator's file has `peers`.
 //!
-//! Mailboxes: messages from streams (bounded; what does not fit is dropped and counted, as any message may
-//! get lost) and queries of the console (bounded). The actor never blocks: datagrams that the socket does not
-//! take are dropped, and a bounded number of tasks writes to streams.
+//! Mailboxes: messages from streams (bounded; those that do not fit are dropped and counted, since any
+//! message may get lost) and queries of the console (bounded). The actor never blocks: datagrams that the
+//! socket does not accept are dropped, and a bounded number of tasks writes to streams.
 
 mod streams;
 
@@ -28,10 +28,10 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep_until, Instant};
 
-/// Bound on the queries that wait for the actor.
+/// Maximum number of queries that wait for the actor.
 const QUERY_CAPACITY: usize = 16;
 
-/// Bound sockets of the fleet's port.
+/// The bound sockets on which messages of other members arrive.
 #[derive(Debug)]
 pub(crate) struct PeerListener {
     datagrams: UdpSocket,
@@ -42,7 +42,7 @@
     /// Binds one port for datagrams and streams.
     ///
     /// # Errors
-    /// When the address cannot be bound; the error names the setting and the address.
+    /// If the address cannot be bound; the error names the setting and the address.
     pub async fn bind(address: SocketAddr) -> io::Result<Self> {
         let with_address =
             |error: io::Error| io::Error::new(error.kind(), format!("peers.listen {address}: {error}"));
@@ -52,25 +52,25 @@
     }
 }
 
-/// Where the console asks for the status of the fleet.
+/// The channel on which the console requests the status of the fleet.
 pub(crate) type MembershipQueries = mpsc::Sender<oneshot::Sender<FleetStatus>>;
 
-/// What the actor is started with.
+/// The arguments of [`start`].
 pub(crate) struct Start {
     pub name: String,
     pub peers: Peers,
-    /// Bound on the streams that are open at a time, in each direction.
+    /// Maximum number of open streams in each direction.
     pub streams: usize,
     pub clock: Clock,
     pub metrics: Arc<PeerMetrics>,
     pub draining: watch::Receiver<Option<Instant>>,
 }
 
-/// Starts the actor. It leaves the fleet when the proxy drains, and ends then. If it fails the proxy
-/// continues without its fleet.
+/// Starts the actor, which leaves the fleet and ends when the proxy drains. If the actor fails, the proxy
+/// continues without the fleet.
 ///
 /// # Errors
-/// When the system has no random numbers, or the address of the listener is not known.
+/// If the system provides no random numbers, or the address of the listener cannot be determined.
 pub(crate) fn start(
     listener: PeerListener,
     start: Start,
@@ -81,7 +81,7 @@
     let metrics = start.metrics;
     let supervised = async move {
         if let Err(error) = run.await {
-            metrics.stands(0, 0, true);
+            metrics.set_membership(0, 0, true);
             tracing::error!(%error, "fleet actor failed, continuing without the fleet");
         }
     };
@@ -89,7 +89,8 @@
 }
 
 fn random_number() -> io::Result<u64> {
-    getrandom::u64().map_err(|error| io::Error::other(format!("random numbers: {error}")))
+    getrandom::u64()
+        .map_err(|error| io::Error::other(format!("the system provides no random numbers: {error}")))
 }
 
 struct Actor {
@@ -100,7 +101,7 @@
     membership_log: MembershipLog,
     metrics: Arc<PeerMetrics>,
     streams: Streams,
-    /// Messages to be sent at the end of the present turn.
+    /// Frames to be sent after the current event was handled.
     outbound: Vec<OutboundFrame>,
     has_left: bool,
 }
@@ -108,9 +109,9 @@
 impl Actor {
     fn new(listener: &PeerListener, start: &Start) -> io::Result<Self> {
         let peers = &start.peers;
-        // The votes of earlier processes are not stored, so this one must be another incarnation. Any number
-        // that differs will do: if the view has a higher one, the process continues as the incarnation after
-        // that.
+        // The votes of earlier processes are not stored, so this process must be another incarnation. Any
+        // different number will do: if the view has a higher one, the process continues as the incarnation
+        // after that.
         let me = Identity::new(&start.name, 1 + (random_number()? >> 32));
         let config = FleetConfig {
             founders: peers.founders.keys().cloned().collect(),
@@ -145,17 +146,17 @@
     ) {
         let PeerListener { datagrams, streams } = listener;
         let mut stream_messages = self.streams.listen(streams);
-        // One byte more than allowed shows that a datagram is too long.
+        // One byte more than allowed reveals a datagram that is too long.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         while !self.has_left {
-            let due = self.clock.instant(self.member.next_timeout());
+            let timeout_at = self.clock.instant(self.member.next_timeout());
             tokio::select! {
                 received = datagrams.recv_from(&mut buffer) => match received {
                     Ok((length, source)) => self.receive(&buffer[..length], Some(source)),
                     Err(error) => tracing::debug!(%error, "receiving a datagram failed"),
                 },
                 Some(bytes) = stream_messages.recv() => self.receive(&bytes, None),
-                () = sleep_until(due) => self.handle_due_timeout(),
+                () = sleep_until(timeout_at) => self.handle_due_timeout(),
                 Some(query) = queries.recv() => {
                     self.handle_due_timeout();
                     // The console may have given up waiting.
@@ -170,8 +171,8 @@
         tracing::info!(member = %self.member.me(), "left the fleet");
     }
 
-    /// Handles a timeout that is due before anything that was received: a process that was stopped has to
-    /// notice it first.
+    /// Handles a timeout that is due. Has to be called before handling anything received, so that a process
+    /// that was paused notices the pause first.
     fn handle_due_timeout(&mut self) {
         if self.member.next_timeout() <= self.clock.now() {
             self.with_member(Member::handle_timeout);
@@ -181,7 +182,7 @@
 
     fn receive(&mut self, bytes: &[u8], source: Option<SocketAddr>) {
         self.handle_due_timeout();
-        self.metrics.received(bytes.len());
+        self.metrics.record_received(bytes.len());
         let (now, me) = (self.clock.now(), self.member.me().clone());
         match self.transport.receive(now, &me, bytes, source) {
             Ok(Received { message, reply }) => {
@@ -197,7 +198,7 @@
     }
 
     fn record_drop(&self, reason: DropReason) {
-        self.metrics.dropped(reason);
+        self.metrics.record_dropped(reason);
         tracing::trace!(%reason, "peer message dropped");
     }
 
@@ -210,7 +211,7 @@
         }
         let consensus = self.member.consensus();
         let view = consensus.view();
-        self.metrics.stands(view.epoch, view.members.len(), consensus.is_fenced(now));
+        self.metrics.set_membership(view.epoch, view.members.len(), consensus.is_fenced(now));
     }
 
     fn apply_output(&mut self, now: Timestamp, output: Output) {
@@ -220,11 +221,11 @@
         }
         match output {
             Output::Send(to, message) => match self.transport.send(now, &me, &to, message) {
-                Ok(datagrams) => self.outbound.extend(datagrams),
+                Ok(frames) => self.outbound.extend(frames),
                 Err(reason) => self.record_drop(reason),
             },
             Output::Left => self.has_left = true,
-            // Nothing is stored: each process is another incarnation.
+            // Nothing is stored, since each process is another incarnation.
             Output::Persist(..) => {}
             event => log_event(now, &me, &event),
         }
@@ -250,18 +251,18 @@
     }
 
     fn send_outbound(&mut self, datagrams: &UdpSocket) {
-        for datagram in self.outbound.drain(..) {
-            self.metrics.sent(datagram.bytes.len());
-            if datagram.needs_stream() {
-                self.streams.send(datagram);
-            } else if datagrams.try_send_to(&datagram.bytes, datagram.address).is_err() {
-                self.metrics.unsent();
+        for frame in self.outbound.drain(..) {
+            self.metrics.record_sent(frame.bytes.len());
+            if frame.needs_stream() {
+                self.streams.send(frame);
+            } else if datagrams.try_send_to(&frame.bytes, frame.address).is_err() {
+                self.metrics.record_unsent();
             }
         }
     }
 }
 
-/// Logs an output of the member that only informs. The field `event` tells tools which one it is.
+/// Logs an output of the member that needs no action. The field `event` identifies the output for tools.
 fn log_event(now: Timestamp, me: &Identity, output: &Output) {
     let at_us = now.0;
     match output {
--- a/src/net/peers/streams.rs
+++ b/src/net/peers/streams.rs
@@ -1,5 +1,5 @@
-//! Messages that are too long for a datagram: one for each connection, preceded by its length
-//! (`docs/protocol/peers.md`).
+//! Streams for messages that are too long for a datagram: one message on each connection, preceded by its
+//! length (`docs/protocol/peers.md`).
 
 use crate::membership::transport::{OutboundFrame, MAX_STREAM_BYTES};
 use crate::peer_metrics::PeerMetrics;
@@ -11,44 +11,45 @@
 use tokio::sync::{mpsc, Semaphore};
 use tokio::time::{sleep, timeout};
 
-/// Bound on the messages that wait for the actor.
+/// Maximum number of received messages that wait for the actor.
 const MESSAGE_CAPACITY: usize = 32;
-/// Time within which a message has to be read or written.
+/// Timeout for reading or writing a message.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause after a connection could not be accepted, for lack of file descriptors.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Streams from and to other members.
 pub(super) struct Streams {
-    writers: Arc<Semaphore>,
-    /// Bound on the streams that are open at a time, in each direction.
+    /// Has one permit for each stream that may be written at a time.
+    write_permits: Arc<Semaphore>,
+    /// Maximum number of open streams in each direction.
     max_concurrent: usize,
     metrics: Arc<PeerMetrics>,
 }
 
 impl Streams {
-    /// Creates the streams with a bound on how many are open at a time in each direction.
+    /// Creates the streams, of which at most `max_concurrent` are open at a time in each direction.
     pub fn new(max_concurrent: usize, metrics: Arc<PeerMetrics>) -> Self {
-        Self { writers: Arc::new(Semaphore::new(max_concurrent)), max_concurrent, metrics }
+        Self { write_permits: Arc::new(Semaphore::new(max_concurrent)), max_concurrent, metrics }
     }
 
-    /// Starts to accept streams; returns the messages read from them.
+    /// Starts to accept streams. Returns the channel of the messages read from them.
     pub fn listen(&self, listener: TcpListener) -> mpsc::Receiver<Vec<u8>> {
-        let (messages, received) = mpsc::channel(MESSAGE_CAPACITY);
+        let (messages, received_messages) = mpsc::channel(MESSAGE_CAPACITY);
         tokio::spawn(accept(listener, self.max_concurrent, messages, Arc::clone(&self.metrics)));
-        received
+        received_messages
     }
 
-    /// Writes a message to a stream of its own. Drops it if too many are being written.
+    /// Writes a message to a stream of its own. Drops the message if too many streams are being written.
     pub fn send(&self, message: OutboundFrame) {
-        let Ok(permit) = Arc::clone(&self.writers).try_acquire_owned() else {
-            return self.metrics.unsent();
+        let Ok(permit) = Arc::clone(&self.write_permits).try_acquire_owned() else {
+            return self.metrics.record_unsent();
         };
         let metrics = Arc::clone(&self.metrics);
         tokio::spawn(async move {
             let _permit = permit;
             if !matches!(timeout(TRANSFER_TIMEOUT, write(&message)).await, Ok(Ok(()))) {
-                metrics.unsent();
+                metrics.record_unsent();
             }
         });
     }
@@ -69,7 +70,7 @@
     messages: mpsc::Sender<Vec<u8>>,
     metrics: Arc<PeerMetrics>,
 ) {
-    let readers = Arc::new(Semaphore::new(max_concurrent));
+    let read_permits = Arc::new(Semaphore::new(max_concurrent));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -79,8 +80,8 @@
             sleep(ACCEPT_RETRY_INTERVAL).await;
             continue;
         };
-        let Ok(permit) = Arc::clone(&readers).try_acquire_owned() else {
-            metrics.crowded();
+        let Ok(permit) = Arc::clone(&read_permits).try_acquire_owned() else {
+            metrics.record_over_capacity();
             continue;
         };
         let (messages, metrics) = (messages.clone(), Arc::clone(&metrics));
@@ -88,7 +89,7 @@
             let _permit = permit;
             if let Ok(Ok(bytes)) = timeout(TRANSFER_TIMEOUT, read(stream)).await {
                 if messages.try_send(bytes).is_err() {
-                    metrics.crowded();
+                    metrics.record_over_capacity();
                 }
             }
         });
@@ -100,7 +101,7 @@
     if length > MAX_STREAM_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
-    // Memory is taken as bytes arrive, not as the length announces: the sender is not authenticated yet.
+    // Memory is allocated as bytes arrive, not by the announced length: the sender is not authenticated yet.
     let mut bytes = Vec::new();
     stream.take(length as u64).read_to_end(&mut bytes).await?;
     if bytes.len() == length {
--- a/src/peer_metrics.rs
+++ b/src/peer_metrics.rs
@@ -1,61 +1,65 @@
-//! What is counted of the fleet's messages.
+//! Metrics of the messages between members of the fleet.
 
 use crate::membership::DropReason;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 
-/// Running totals since the start, and where this process stands.
+/// Message counters since the start of the process, and its current membership.
 #[derive(Debug, Default)]
 pub struct PeerMetrics {
+    /// Number of messages sent, and their bytes.
     sent: [AtomicU64; 2],
+    /// Number of messages received, and their bytes.
     received: [AtomicU64; 2],
+    /// Number of dropped messages by [`DropReason`].
     dropped: [AtomicU64; DropReason::ALL.len()],
     unsent: AtomicU64,
-    crowded: AtomicU64,
+    over_capacity: AtomicU64,
     epoch: AtomicU64,
     members: AtomicU64,
     fenced: AtomicBool,
 }
 
-fn count(pair: &[AtomicU64; 2], bytes: usize) {
-    pair[0].fetch_add(1, Relaxed);
-    pair[1].fetch_add(bytes as u64, Relaxed);
+fn count(messages_and_bytes: &[AtomicU64; 2], bytes: usize) {
+    messages_and_bytes[0].fetch_add(1, Relaxed);
+    messages_and_bytes[1].fetch_add(bytes as u64, Relaxed);
 }
 
 impl PeerMetrics {
-    /// A message of so many bytes goes out.
-    pub fn sent(&self, bytes: usize) {
+    /// Counts a message of `bytes` bytes that is sent.
+    pub fn record_sent(&self, bytes: usize) {
         count(&self.sent, bytes);
     }
 
-    /// One has come.
-    pub fn received(&self, bytes: usize) {
+    /// Counts a message of `bytes` bytes that was received.
+    pub fn record_received(&self, bytes: usize) {
         count(&self.received, bytes);
     }
 
-    /// One was dropped for that reason.
-    pub fn dropped(&self, reason: DropReason) {
+    /// Counts a message that was dropped for a reason.
+    pub fn record_dropped(&self, reason: DropReason) {
         self.dropped[reason as usize].fetch_add(1, Relaxed);
     }
 
-    /// One could not be sent.
-    pub fn unsent(&self) {
+    /// Counts a message that could not be sent.
+    pub fn record_unsent(&self) {
         self.unsent.fetch_add(1, Relaxed);
     }
 
-    /// One found no room here.
-    pub fn crowded(&self) {
-        self.crowded.fetch_add(1, Relaxed);
+    /// Counts a received message that was dropped because too many streams were open or too many messages
+    /// waited.
+    pub fn record_over_capacity(&self) {
+        self.over_capacity.fetch_add(1, Relaxed);
     }
 
-    /// Where this process stands.
-    pub fn stands(&self, epoch: u64, members: usize, fenced: bool) {
+    /// Sets the epoch and size of the current view, and whether this process is fenced.
+    pub fn set_membership(&self, epoch: u64, members: usize, fenced: bool) {
         self.epoch.store(epoch, Relaxed);
         self.members.store(members as u64, Relaxed);
         self.fenced.store(fenced, Relaxed);
     }
 
-    /// The figures, `gw.fleet.NAME=VALUE` a line.
+    /// Appends one line `gw.fleet.NAME=VALUE` for each metric to `out`.
     pub fn write_metrics(&self, out: &mut String) {
         let get = |counter: &AtomicU64| counter.load(Relaxed);
         let mut line = |name: &str, value: u64| _ = writeln!(out, "gw.fleet.{name}={value}");
@@ -67,7 +71,7 @@
         line("received", get(&self.received[0]));
         line("received_bytes", get(&self.received[1]));
         line("unsent", get(&self.unsent));
-        line("crowded", get(&self.crowded));
+        line("crowded", get(&self.over_capacity));
         for (reason, counter) in DropReason::ALL.iter().zip(&self.dropped) {
             line(&format!("dropped.{reason}"), get(counter));
         }
