--- a/crates/decisions/tests/discovery/mod.rs
+++ b/crates/decisions/tests/discovery/mod.rs
@@ -1,101 +1,104 @@
-//! A fleet of proxies and the one discovery that they ask, in virtual time: each proxy asks as the program does
-//! (`src/net/discovery.rs`), discovery answers one call after the other.
+//! Simulation, in virtual time, of a fleet of proxies and the one discovery service that they call. Each
+//! proxy calls as the program does (`src/net/discovery/mod.rs`); discovery answers one call after the other.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 use wheelpier_decisions::membership::DiscoveryRetry;
 
-/// A call that has queued for so long fails.
+/// Time after which a queued call fails.
 const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a fleet is watched.
+/// Duration of a simulation.
 const SIMULATED_TIME: Duration = Duration::from_secs(60);
 
-/// What discovery does with calls until it works.
+/// How discovery handles calls during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// They fail at once.
+    /// Calls fail at once.
     Refuses,
-    /// They are taken and never answered, not even once it works.
-    Mute,
+    /// Calls are accepted and never answered, not even after the outage.
+    Unanswered,
 }
 
-/// How the fleet came to ask.
+/// The reason why the proxies start to call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// All watches were reset at the first moment.
+    /// All watches were reset at time zero.
     Reset,
-    /// All watches fell silent at the first moment, which is noticed so much later.
+    /// All watches fell silent at time zero, which is noticed after the given time.
     Silent(Duration),
-    /// All were sent to this discovery by new settings.
+    /// New settings name this discovery service.
     Moved,
-    /// All started.
+    /// All proxies started.
     Fresh,
 }
 
-/// One discovery, and a fleet's way to it.
+/// The properties of one discovery service, of the fleet and of an outage.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
+    /// Number of proxies in the fleet.
     pub routers: u32,
-    /// So many of them ask.
+    /// Number of proxies that call discovery.
     pub pollers: u32,
     pub is_polled: bool,
-    /// What a call takes of it.
+    /// Time that discovery needs for one call.
     pub call_duration: Duration,
     pub start: Start,
     pub outage: Outage,
-    /// Until when the outage lasts: from then on it has a change, and can be reached.
-    pub until: Duration,
+    /// End of the outage. From then on discovery has a change and can be reached.
+    pub outage_end: Duration,
 }
 
-/// What came of it.
+/// The result of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// When each proxy held the change, from when it could be had.
-    pub held: Vec<Duration>,
-    /// Calls that failed.
+    /// Time from the end of the outage until each proxy had the change.
+    pub latencies: Vec<Duration>,
+    /// Number of failed calls.
     pub failed: usize,
-    /// Calls that were answered though nobody waited any more.
+    /// Number of calls that were answered although their proxy no longer waited.
     pub wasted: usize,
 }
 
 impl Outcome {
     pub fn worst(&self) -> Duration {
-        self.held.iter().copied().max().unwrap_or(SIMULATED_TIME)
+        self.latencies.iter().copied().max().unwrap_or(SIMULATED_TIME)
     }
 
-    /// When nine in ten held it.
-    pub fn nine_in_ten(&self) -> Duration {
-        let mut held = self.held.clone();
-        held.sort();
-        held.get((held.len() * 9).div_ceil(10).saturating_sub(1)).copied().unwrap_or(SIMULATED_TIME)
+    /// Returns the time until 90 % of the proxies had the change.
+    pub fn ninetieth_percentile(&self) -> Duration {
+        let mut latencies = self.latencies.clone();
+        latencies.sort();
+        latencies.get((latencies.len() * 9).div_ceil(10).saturating_sub(1)).copied().unwrap_or(SIMULATED_TIME)
     }
 
     pub fn mean(&self) -> Duration {
-        self.held.iter().sum::<Duration>() / self.held.len().max(1) as u32
+        self.latencies.iter().sum::<Duration>() / self.latencies.len().max(1) as u32
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// Discovery has answered the call that it works on.
+    /// Discovery has answered the call that it serves.
     Answered,
-    /// A call has queued for too long.
-    TimesOut(u64),
-    /// A proxy has waited long enough for its calls.
+    /// A call has been queued for too long.
+    QueueTimeout(u64),
+    /// A proxy has waited for an answer for the timeout of its last call.
     CallTimeout(usize, u64),
-    /// A proxy asks.
-    Calls(usize),
+    /// A proxy starts to call.
+    StartCalls(usize),
 }
 
 struct Proxy {
     retry: DiscoveryRetry,
-    began: Duration,
-    /// Calls placed since then, and those of them that may still be answered.
+    calling_since: Duration,
+    /// Number of calls placed since then.
     calls_placed: usize,
     last_call: u64,
+    /// Calls placed since then that may still be answered.
     open_calls: Vec<u64>,
-    held: Option<Duration>,
+    /// When the proxy got the change.
+    updated_at: Option<Duration>,
 }
 
 struct Simulation {
@@ -103,21 +106,24 @@
     now: Duration,
     events: BinaryHeap<Reverse<(Duration, Event)>>,
     proxies: Vec<Proxy>,
+    /// Number of calls placed; the last call has this number.
     calls: u64,
+    /// Queued calls, each with its proxy.
     queue: VecDeque<(u64, usize)>,
+    /// The call that discovery serves, with its proxy.
     serving: Option<(u64, usize)>,
     outcome: Outcome,
 }
 
-/// Plays a scenario.
-pub fn play(scenario: Scenario, seed: u64) -> Outcome {
+/// Simulates a scenario.
+pub fn simulate(scenario: Scenario, seed: u64) -> Outcome {
     let proxy = |n: u32| Proxy {
         retry: DiscoveryRetry::new(scenario.routers, scenario.is_polled, seed * 1_000 + u64::from(n)),
-        began: Duration::ZERO,
+        calling_since: Duration::ZERO,
         calls_placed: 0,
         last_call: 0,
         open_calls: Vec::new(),
-        held: None,
+        updated_at: None,
     };
     let mut simulation = Simulation {
         scenario,
@@ -136,7 +142,7 @@
             Start::Fresh => proxy.retry.initial_delay(),
             Start::Moved => proxy.retry.delay_after_move(),
         };
-        simulation.events.push(Reverse((at, Event::Calls(n))));
+        simulation.events.push(Reverse((at, Event::StartCalls(n))));
     }
     while let Some(Reverse((at, event))) =
         simulation.events.pop().filter(|Reverse((at, _))| *at < SIMULATED_TIME)
@@ -144,9 +150,9 @@
         simulation.now = at;
         simulation.handle_event(event);
     }
-    let from = scenario.until;
-    simulation.outcome.held =
-        simulation.proxies.iter().map(|p| p.held.unwrap_or(SIMULATED_TIME).saturating_sub(from)).collect();
+    let latency =
+        |proxy: &Proxy| proxy.updated_at.unwrap_or(SIMULATED_TIME).saturating_sub(scenario.outage_end);
+    simulation.outcome.latencies = simulation.proxies.iter().map(latency).collect();
     simulation.outcome
 }
 
@@ -157,26 +163,27 @@
 
     fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Calls(n) => {
+            Event::StartCalls(n) => {
                 let proxy = &mut self.proxies[n];
-                (proxy.began, proxy.calls_placed) = (self.now, 0);
+                (proxy.calling_since, proxy.calls_placed) = (self.now, 0);
                 proxy.open_calls.clear();
-                self.place(n);
+                self.place_call(n);
             }
             Event::CallTimeout(n, last_call) => {
                 let proxy = &self.proxies[n];
-                // Another call was placed since, or it was answered.
-                if proxy.held.is_some() || proxy.last_call != last_call || proxy.open_calls.is_empty() {
+                // The proxy has an answer, or has placed another call since, or waits before it calls again.
+                if proxy.updated_at.is_some() || proxy.last_call != last_call || proxy.open_calls.is_empty() {
                     return;
                 }
                 if proxy.calls_placed < proxy.retry.max_concurrent_calls() {
-                    self.place(n);
+                    self.place_call(n);
                 } else {
                     self.retry_later(n);
                 }
             }
-            Event::TimesOut(call) => {
-                // It has failed, and is worked off all the same: an installation was seen to do so.
+            Event::QueueTimeout(call) => {
+                // The call has failed, but stays queued and is still processed, as was observed at an
+                // installation.
                 if let Some(&(_, n)) = self.queue.iter().find(|(queued, _)| *queued == call) {
                     self.outcome.failed += 1;
                     self.handle_failed_call(n, call);
@@ -185,8 +192,8 @@
             Event::Answered => {
                 let (call, n) = self.serving.take().expect("a call is answered");
                 let proxy = &mut self.proxies[n];
-                if proxy.held.is_none() && proxy.open_calls.contains(&call) {
-                    proxy.held = Some(self.now);
+                if proxy.updated_at.is_none() && proxy.open_calls.contains(&call) {
+                    proxy.updated_at = Some(self.now);
                 } else {
                     self.outcome.wasted += 1;
                 }
@@ -195,8 +202,8 @@
         }
     }
 
-    /// Places a call; the one before may wait beside it.
-    fn place(&mut self, n: usize) {
+    /// Places a call. Earlier calls of the proxy stay open.
+    fn place_call(&mut self, n: usize) {
         self.calls += 1;
         let call = self.calls;
         let proxy = &mut self.proxies[n];
@@ -205,7 +212,7 @@
         proxy.open_calls.push(call);
         let call_timeout = proxy.retry.call_timeout();
         self.schedule(self.now + call_timeout, Event::CallTimeout(n, call));
-        if self.now < self.scenario.until {
+        if self.now < self.scenario.outage_end {
             if self.scenario.outage == Outage::Refuses {
                 self.outcome.failed += 1;
                 self.handle_failed_call(n, call);
@@ -213,16 +220,16 @@
             return;
         }
         self.queue.push_back((call, n));
-        self.schedule(self.now + QUEUE_TIMEOUT, Event::TimesOut(call));
+        self.schedule(self.now + QUEUE_TIMEOUT, Event::QueueTimeout(call));
         self.serve();
     }
 
-    /// A call has failed; with the last of them, the proxy waits and asks again.
+    /// Handles a failed call. Once its last open call has failed, the proxy waits and calls again.
     fn handle_failed_call(&mut self, n: usize, call: u64) {
         let proxy = &mut self.proxies[n];
         let open_calls = proxy.open_calls.len();
-        proxy.open_calls.retain(|open_calls| *open_calls != call);
-        if proxy.held.is_none() && open_calls > 0 && proxy.open_calls.is_empty() {
+        proxy.open_calls.retain(|open_call| *open_call != call);
+        if proxy.updated_at.is_none() && open_calls > 0 && proxy.open_calls.is_empty() {
             self.retry_later(n);
         }
     }
@@ -230,10 +237,11 @@
     fn retry_later(&mut self, n: usize) {
         let proxy = &mut self.proxies[n];
         proxy.open_calls.clear();
-        let wait = proxy.retry.delay_after_failure(false, self.now - proxy.began);
-        self.schedule(self.now + wait, Event::Calls(n));
+        let delay = proxy.retry.delay_after_failure(false, self.now - proxy.calling_since);
+        self.schedule(self.now + delay, Event::StartCalls(n));
     }
 
+    /// Starts to serve the next queued call if discovery serves none.
     fn serve(&mut self) {
         if self.serving.is_none() {
             self.serving = self.queue.pop_front();
