--- a/crates/decisions/src/membership/consensus/model_test.rs
+++ b/crates/decisions/src/membership/consensus/model_test.rs
@@ -38,7 +38,7 @@
     disk: Disk,
     /// Pairs of a node that may open one ballot and the member that it proposes to remove.
     proposals: Vec<(usize, usize)>,
-    /// How far the clock advances, in units of half a lease.
+    /// Number of clock ticks in a run, each half a lease long.
     ticks: i64,
     /// The nodes that may restart, once each.
     restarts: Vec<usize>,
--- a/crates/decisions/src/membership/discovery_retry.rs
+++ b/crates/decisions/src/membership/discovery_retry.rs
@@ -61,7 +61,8 @@
     consecutive_failures: u32,
     /// Number of consecutive calls that failed while queued.
     consecutive_overloads: u32,
-    /// How long discovery may have had a change and been reachable without this proxy knowing the change.
+    /// Time for which discovery may have had a change and been reachable without this proxy knowing the
+    /// change.
     possible_staleness: Duration,
     random: ChaCha8Rng,
 }
--- a/crates/decisions/src/membership/failure_detector/gossip.rs
+++ b/crates/decisions/src/membership/failure_detector/gossip.rs
@@ -16,7 +16,7 @@
 const MAX_UPDATES_PER_MESSAGE: usize = 6;
 /// Number of times that an update is sent, as a multiple of the binary logarithm of the number of members.
 const RETRANSMIT_MULTIPLE: f64 = 3.0;
-/// How long a member that is gone is remembered, so that older updates do not add it again.
+/// Time for which a member that is gone is remembered, so that older updates do not add it again.
 const REMOVED_RETENTION_US: i64 = 60_000_000;
 
 /// An update that is still being disseminated.
--- a/crates/decisions/src/membership/failure_detector/mod.rs
+++ b/crates/decisions/src/membership/failure_detector/mod.rs
@@ -109,7 +109,7 @@
         self.members.get(member).and_then(|state| state.last_heard_at)
     }
 
-    /// Returns how unhealthy this process considers itself: 0 is healthy, 8 the worst.
+    /// Returns the health penalty of this process: 0 is healthy, 8 the worst.
     pub fn health_penalty(&self) -> u32 {
         self.health_penalty
     }
--- a/crates/decisions/src/membership/membership_log/status.rs
+++ b/crates/decisions/src/membership/membership_log/status.rs
@@ -65,9 +65,9 @@
     pub member: bool,
     /// Whether the process must not act as a member.
     pub fenced: bool,
-    /// How long the lease of the process remains valid, in milliseconds.
+    /// Remaining duration of the lease of the process, in milliseconds; 0 while it is fenced.
     pub lease_left_ms: i64,
-    /// How unhealthy the process considers itself: 0 is healthy.
+    /// The health penalty of the process: 0 is healthy.
     #[serde(rename = "unwell")]
     pub health_penalty: u32,
     /// The members of the view, the earliest admitted first.
--- a/crates/decisions/src/membership/reconfiguration/flap_damping.rs
+++ b/crates/decisions/src/membership/reconfiguration/flap_damping.rs
@@ -4,8 +4,8 @@
 use crate::membership::view::{Identity, Name, View};
 use std::collections::BTreeMap;
 
-/// How long a member is kept out after its second removal; doubled with each further one. The first removal
-/// has no consequence.
+/// Time for which a member is kept out after its second removal; doubled with each further one. The first
+/// removal has no consequence.
 const FIRST_HOLD_OFF_US: i64 = 10_000_000;
 /// Maximum time for which a member is kept out.
 const MAX_HOLD_OFF_US: i64 = 300_000_000;
