--- a/src/counters/mod.rs
+++ b/src/counters/mod.rs
@@ -167,18 +167,18 @@
         increment(&self.outcomes[outcome as usize]);
     }
 
-    /// Counts a connection to a host that is being opened.
-    pub fn upstream_connect(&self) {
+    /// Counts an attempt to connect to a host.
+    pub fn upstream_connect_started(&self) {
         increment(&self.upstream_connects);
     }
 
     /// Counts a health check that is sent.
-    pub fn health_check(&self) {
+    pub fn health_check_sent(&self) {
         increment(&self.health_checks);
     }
 
-    /// Counts a watch event of the endpoint list.
-    pub fn endpoint_list(&self) {
+    /// Counts an endpoint list or an update of it.
+    pub fn endpoint_list_applied(&self) {
         increment(&self.endpoint_lists);
     }
 
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -17,8 +17,8 @@
     pub is_complete: bool,
     /// The hosts.
     pub entries: Vec<ListedEndpoint>,
-    /// Names of hosts whose entries cannot be used; their previous entries stay in force.
-    pub unusable: Vec<String>,
+    /// Names of hosts whose entries are invalid; their previous entries stay in force.
+    pub invalid_hosts: Vec<String>,
 }
 
 /// One host of the list.
@@ -117,8 +117,8 @@
                 Err(error) => errors.push(error),
             }
         }
-        let unusable = errors.iter().map(|error| error.name.clone()).collect();
-        let list = EndpointList { index: self.index, is_complete: self.is_complete, entries, unusable };
+        let invalid_hosts = errors.iter().map(|error| error.name.clone()).collect();
+        let list = EndpointList { index: self.index, is_complete: self.is_complete, entries, invalid_hosts };
         (list, errors)
     }
 }
--- a/src/net/core/actions.rs
+++ b/src/net/core/actions.rs
@@ -1,4 +1,4 @@
-//! Events to the router, and carrying out the actions that it decides on.
+//! Passes events to the router and carries out the actions that it returns.
 
 use super::attempts::Forward;
 use super::Core;
@@ -10,14 +10,16 @@
 use tokio::time::Instant;
 
 impl Core {
-    /// Notifies the router of an event and carries out its actions, and those of the events that follow from them.
+    /// Passes an event to the router and carries out the actions that it returns. Events that these actions
+    /// cause are handled in the same way before this returns.
     pub(super) async fn notify_router(&mut self, event: Event) {
         self.pending_events.push_back(event);
         while let Some(event) = self.pending_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             let now = self.clock.now();
             tracing::trace!(at_us = now.0, ?event, "router event");
-            // Which hosts are ejected changes with endpoint lists and with time.
+            // Ejections depend on the endpoint list and on time, so the gauge is refreshed on these two
+            // events.
             let may_change_ejections = matches!(event, Event::EndpointList(..) | Event::Timer(_));
             self.router.handle(now, event, &mut actions);
             if may_change_ejections {
@@ -55,12 +57,12 @@
                 self.timers.set_router_timer(self.clock.instant(at), token);
             }
             Action::Log(note) => tracing::info!(note, "router note"),
-            // Discovery's watch is always open.
+            // The discovery actor always keeps a watch open, so there is nothing to start or fetch.
             Action::WatchEndpoints(_) | Action::FetchEndpoints => {}
         }
     }
 
-    /// Rejects a request because the router decided so.
+    /// Rejects a request on the router's decision.
     fn reject(&mut self, id: RequestId, retry_after: Option<TimeDelta>) {
         if let Some(request) = self.requests.get(id) {
             let class = self.config.names.classes.get(request.class).map_or("", |class| class.name.as_str());
@@ -72,7 +74,7 @@
     }
 
     async fn start_health_check(&mut self, host: HostId) {
-        self.counters.health_check();
+        self.counters.health_check_sent();
         if let Some(handle) = self.hosts.get_mut(host) {
             handle.outstanding += 1;
             handle.actor.send(Command::HealthCheck { sent_at: Instant::now() }).await;
--- a/src/net/core/attempts.rs
+++ b/src/net/core/attempts.rs
@@ -14,17 +14,17 @@
 pub(super) struct Forward {
     pub id: RequestId,
     pub host: HostId,
-    /// How long the attempt may take; until the request's deadline if there is none.
+    /// Longest duration of the attempt; `None` leaves it bounded by the request's deadline alone.
     pub timeout: Option<TimeDelta>,
-    /// What the data behind the answer has to satisfy.
+    /// Freshness that the answer's data must have.
     pub requirement: ReadRequirement,
-    /// After this time the query is not written any more.
+    /// Time after which the query must not be written.
     pub write_by: Option<Instant>,
 }
 
 impl Core {
-    /// Gives a request to a host's actor. The attempt ends as not sent if the request is closed, its deadline has passed,
-    /// its attempts are used up or the host is gone.
+    /// Hands a request to a host's actor. The attempt ends as not sent if the request is closed, its deadline
+    /// has passed, its attempts are used up or the host is unknown.
     pub(super) async fn forward(&mut self, forward: Forward) {
         let Forward { id, host, timeout, requirement, write_by } = forward;
         let now = Instant::now();
@@ -34,9 +34,9 @@
         let attempt = request.attempt_hosts.len() as u32;
         request.attempt_hosts.push(host);
         request.requirement = requirement;
-        let is_pointless =
+        let must_not_send =
             request.is_closed() || now >= request.deadline || attempt >= self.config.max_attempts;
-        let Some(handle) = self.hosts.get_mut(host).filter(|_| !is_pointless) else {
+        let Some(handle) = self.hosts.get_mut(host).filter(|_| !must_not_send) else {
             let request_closed = request.is_closed();
             return self.attempt_not_sent(id, attempt, host, request_closed);
         };
@@ -56,6 +56,7 @@
         handle.actor.send(command).await;
     }
 
+    /// Queues the end of an attempt that no host's actor was given.
     fn attempt_not_sent(&mut self, id: RequestId, attempt: u32, host: HostId, request_closed: bool) {
         self.counters.attempt_ended(Outcome::NotSent);
         self.pending_events.push_back(Event::AttemptEnded(AttemptResult {
@@ -72,7 +73,7 @@
         }));
     }
 
-    /// Sends the host of an attempt the command that stops it.
+    /// Sends the command that stops an attempt to the actor of its host.
     pub(super) async fn stop_attempt(&mut self, id: RequestId, attempt: u32, command: Command) {
         let request = self.requests.get(id);
         let host = request.and_then(|request| request.attempt_hosts.get(attempt as usize));
@@ -81,8 +82,9 @@
         }
     }
 
-    /// Withdraws the attempts in flight of a request that has ended: a query that its host does not have completely yet is
-    /// not written any more. This is no cancellation, since such a query never runs.
+    /// Withdraws the in-flight attempts of a request that has ended: queries that are not completely written
+    /// are abandoned. Unlike a cancellation this never interrupts a running query, since a host does not
+    /// execute an incomplete one.
     pub(super) async fn withdraw_attempts(&mut self, id: RequestId) {
         let request = self.requests.get(id).filter(|request| request.in_flight_attempts > 0);
         let Some(request) = request else { return };
@@ -93,7 +95,8 @@
         }
     }
 
-    /// Takes the end of an attempt: answers the request if it brought a value, and notifies the router.
+    /// Handles the end of an attempt: answers the request if the attempt returned a value, and notifies the
+    /// router.
     pub(super) async fn attempt_ended(&mut self, mut end: AttemptEnd) {
         self.host_clock.expire_confirmation(self.clock.now());
         let outcome = if self.is_stale(&end) { Outcome::Stale } else { end.outcome };
@@ -102,7 +105,7 @@
         let id = end.id;
         self.counters.attempt_ended(outcome);
         self.hosts.work_ended(end.host);
-        let is_open = self.note_attempt_ended(id);
+        let is_open = self.record_attempt_ended(id);
         let mut served = None;
         if outcome == Outcome::Ok && is_open {
             served = self.close(id, RequestEnd::Served).zip(end.value.take());
@@ -119,7 +122,8 @@
             answer_lost: end.answer_lost,
             report: None,
         };
-        // Before the answer is sent, so that the client's next read finds the commit known.
+        // The router learns of a commit before the client does, so that it knows the commit at the client's
+        // next read.
         self.notify_router(Event::AttemptEnded(result)).await;
         if let Some((client, value)) = served {
             send_answer(&client, id, Answer::Served(value));
@@ -128,8 +132,8 @@
         self.requests.remove_if_finished(id);
     }
 
-    /// Counts an attempt as ended. Returns whether its request is open.
-    fn note_attempt_ended(&mut self, id: RequestId) -> bool {
+    /// Removes one attempt from its request's in-flight attempts. Returns whether the request is still open.
+    fn record_attempt_ended(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(id) else { return false };
         request.in_flight_attempts -= 1;
         !request.is_closed()
--- a/src/net/core/endpoints.rs
+++ b/src/net/core/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists from discovery.
+//! Applies the endpoint lists that discovery sends.
 
 use super::Core;
 use crate::endpoint_list::{EndpointList, ListedEndpoint};
@@ -8,9 +8,9 @@
 use tokio::time::Instant;
 
 impl Core {
-    /// Takes an endpoint list: updates the hosts and their actors, and notifies the router.
+    /// Applies an endpoint list: updates the hosts and their actors, and notifies the router.
     pub(super) async fn update_endpoints(&mut self, list: EndpointList, kind: EndpointUpdate) {
-        self.counters.endpoint_list();
+        self.counters.endpoint_list_applied();
         let now = Instant::now();
         let mut entries = Vec::with_capacity(list.entries.len());
         let mut listed_hosts = HashSet::new();
@@ -20,7 +20,7 @@
             entries.push(entry);
         }
         if kind != EndpointUpdate::Delta {
-            self.keep_unreadable(&list.unusable, &mut listed_hosts, &mut entries);
+            self.keep_invalid_entries(&list.invalid_hosts, &mut listed_hosts, &mut entries);
             self.remove_unlisted(&listed_hosts, now).await;
         }
         self.hosts.remove_expired(now);
@@ -43,20 +43,20 @@
             group,
             zone,
             weight,
-            // These lists name no primary: it is learnt from answers and health checks.
+            // Discovery's lists do not name the primary: it is learnt from answers and health checks.
             listed_as_primary: false,
             state,
             started_at: started_at.map(|at| self.host_clock.to_local(at)),
         };
         if let Some(handle) = self.hosts.update(&entry, now) {
-            // Precedes every attempt that the router decides on from now on.
+            // Sent before the router gets the list, so that no attempt decided on with it arrives earlier.
             handle.actor.send(Command::Listed { address, state }).await;
         }
         entry
     }
 
-    /// Adds the previous entries of hosts that a complete list names, but whose new entries cannot be read.
-    fn keep_unreadable(
+    /// Adds the previous entries of hosts whose entries in a complete list are invalid.
+    fn keep_invalid_entries(
         &self,
         names: &[String],
         listed_hosts: &mut HashSet<HostId>,
--- a/src/net/core/host_registry.rs
+++ b/src/net/core/host_registry.rs
@@ -1,4 +1,5 @@
-//! The hosts that discovery has named: their ids, their actors, and when one that is gone is forgotten.
+//! Registry of the hosts that discovery has listed, with their ids and actors. Hosts that are no longer
+//! listed expire.
 
 use crate::endpoint_list::ListedEndpoint;
 use crate::interface::{EndpointEntry, HostId, HostState, Timestamp};
@@ -9,38 +10,39 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How long a host that is not listed any more keeps its id and its actor: most that return do so earlier.
-/// Independent of how long the router remembers it.
+/// Time for which a host that is no longer listed keeps its id and its actor. Most hosts that return do so
+/// earlier. Independent of how long the router remembers a host.
 const REMOVED_HOST_TTL: Duration = Duration::from_secs(30);
 
-/// A host's actor and what is known of the host.
+/// A host's actor, its latest entry and its outstanding work.
 #[derive(Debug)]
 pub(super) struct HostHandle {
-    /// Its name in the endpoint list.
+    /// Name of the host in the endpoint list.
     pub name: String,
     pub actor: HostActor,
-    /// Attempts and health checks that the actor has not brought back.
+    /// Number of attempts and health checks whose end the actor has not reported.
     pub outstanding: u32,
-    /// Since when the host is not listed; none while it is.
+    /// When the host was removed from the endpoint list; `None` while it is listed.
     pub removed_at: Option<Instant>,
-    /// Its latest entry in the endpoint list.
+    /// The host's latest entry in the endpoint list.
     pub entry: EndpointEntry,
 }
 
-/// Owns the hosts. A host keeps its id for as long as its name is known, whatever its address; ids are not reused.
+/// Owns the hosts. A host keeps its id as long as it is registered, even if its address changes; ids are not
+/// reused.
 #[derive(Debug)]
 pub(super) struct HostRegistry {
     hosts: HashMap<HostId, HostHandle>,
     ids: HashMap<String, HostId>,
     next_id: u32,
-    /// All groups that were ever listed.
+    /// Every group that was ever listed.
     groups: HashSet<u32>,
     context: UpstreamContext,
     events: mpsc::Sender<CoreEvent>,
 }
 
 impl HostRegistry {
-    /// Returns an empty registry. Actors of hosts report to `events`.
+    /// Returns an empty registry. The hosts' actors report to `events`.
     pub fn new(context: UpstreamContext, events: mpsc::Sender<CoreEvent>) -> Self {
         Self {
             hosts: HashMap::new(),
@@ -62,22 +64,22 @@
         self.groups.contains(&group)
     }
 
-    /// Returns the host of this id.
+    /// Returns the host with this id; `None` if it is unknown.
     pub fn get(&self, host: HostId) -> Option<&HostHandle> {
         self.hosts.get(&host)
     }
 
-    /// Returns the host of this id.
+    /// Returns the host with this id; `None` if it is unknown.
     pub fn get_mut(&mut self, host: HostId) -> Option<&mut HostHandle> {
         self.hosts.get_mut(&host)
     }
 
-    /// Returns the host of this name.
+    /// Returns the host with this name; `None` if it is unknown.
     pub fn by_name(&self, name: &str) -> Option<&HostHandle> {
         self.ids.get(name).and_then(|host| self.hosts.get(host))
     }
 
-    /// Returns the id of a listed host, and starts its actor if the name is new.
+    /// Returns the id of a listed host. Registers the host and starts its actor if the name is new.
     pub fn register(&mut self, listed: &ListedEndpoint, address: HostAddress) -> HostId {
         self.groups.insert(listed.group);
         if let Some(host) = self.ids.get(&listed.name) {
@@ -100,20 +102,21 @@
         self.hosts.iter_mut().map(|(host, handle)| (*host, handle))
     }
 
-    /// Returns how many hosts are listed.
+    /// Returns the number of listed hosts.
     pub fn listed(&self) -> usize {
         self.hosts.values().filter(|handle| handle.removed_at.is_none()).count()
     }
 
-    /// Notes that an attempt or a health check at a host has ended.
+    /// Records that an attempt or a health check at a host has ended.
     pub fn work_ended(&mut self, host: HostId) {
         if let Some(handle) = self.hosts.get_mut(&host) {
             handle.outstanding = handle.outstanding.saturating_sub(1);
         }
     }
 
-    /// Forgets hosts that have been gone for long and have nothing outstanding. Without this they would add up where hosts
-    /// are replaced under new names. A host's actor ends with its handle.
+    /// Removes hosts that have not been listed for [`REMOVED_HOST_TTL`] and have nothing outstanding. Without
+    /// this the registry would grow where hosts are replaced under new names. A host's actor ends with its
+    /// handle.
     pub fn remove_expired(&mut self, now: Instant) {
         self.hosts.retain(|_, handle| {
             let is_kept = |removed_at: Instant| now - removed_at < REMOVED_HOST_TTL;
@@ -123,7 +126,8 @@
         ids.retain(|_, host| hosts.contains_key(host));
     }
 
-    /// Moves the hosts' start times by `shift` microseconds, after the hosts' clock was set anew.
+    /// Moves the hosts' start times back by `shift` microseconds, after the offset of the hosts' clock has
+    /// changed.
     pub fn shift_start_times(&mut self, shift: i64) {
         for handle in self.hosts.values_mut() {
             let started_at = &mut handle.entry.started_at;
@@ -131,7 +135,8 @@
         }
     }
 
-    /// Notes whether a host is listed as removed.
+    /// Stores a host's new entry, and when the host was removed. Returns its handle; `None` if the host is
+    /// unknown.
     pub fn update(&mut self, entry: &EndpointEntry, now: Instant) -> Option<&HostHandle> {
         let handle = self.hosts.get_mut(&entry.host)?;
         handle.entry = entry.clone();
--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -1,13 +1,13 @@
-//! The core actor: connects the router's decisions with the actors of clients and hosts. It alone owns the router.
+//! The core actor: owns the router and connects its decisions with the actors of clients and hosts.
 //!
 //! - `request_table`: the requests in flight
 //! - `requests`: arrival, answer and end of a request
 //! - `attempts`: forwarding a request to a host and the end of an attempt
-//! - `positions`: log positions and times of the hosts in this machine's time
+//! - `positions`: conversion of the hosts' log positions and times to local time, and staleness checks
 //! - `host_registry`: the hosts, their ids and their actors
 //! - `endpoints`: endpoint lists from discovery
 //! - `timers`: the router's timers and the final reply of each request
-//! - `actions`: events to the router, and carrying out its actions
+//! - `actions`: passes events to the router and carries out its actions
 
 mod actions;
 mod attempts;
@@ -38,16 +38,16 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// An event that takes this long is logged.
+/// Handling time from which an event is logged as slow.
 const SLOW_EVENT: Duration = Duration::from_secs(1);
 
-/// What the core actor shares with other actors.
+/// State that the core actor shares with other actors.
 #[derive(Debug)]
 pub(crate) struct CoreContext {
     pub clock: Clock,
     /// Mailbox of the core actor, for the actors that it starts.
     pub events: mpsc::Sender<CoreEvent>,
-    /// Set once a host that can serve is listed.
+    /// Becomes true once a running host is listed.
     pub ready: watch::Sender<bool>,
     pub counters: Arc<Counters>,
     /// Counts and logs rejections.
@@ -56,7 +56,7 @@
     pub memory: Memory,
 }
 
-/// The core actor. See the module for its parts.
+/// The core actor. The module documentation lists its parts.
 pub(crate) struct Core {
     router: Router,
     config: Config,
@@ -70,9 +70,9 @@
     counters: Arc<Counters>,
     rejections: Rejections,
     memory: Memory,
-    /// Buffer for the actions of one event, empty between events.
+    /// Reused buffer for the actions of one event; empty between events.
     actions: Vec<Action>,
-    /// Events for the router that arose while its actions were carried out.
+    /// Events for the router that were caused by carrying out its actions.
     pending_events: VecDeque<Event>,
 }
 
@@ -80,7 +80,7 @@
     /// Returns an actor that has not started.
     ///
     /// # Errors
-    /// When the settings contradict one another.
+    /// Returns an error if the settings contradict one another.
     pub fn new(config: Config, context: CoreContext) -> Result<Self, SettingsError> {
         let CoreContext { clock, events, ready, counters, rejections, memory } = context;
         let large_answers = LargeAnswers::new(memory.clone());
@@ -124,7 +124,7 @@
     async fn handle_scheduled(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::RouterTimer(token) => self.notify_router(Event::Timer(token)).await,
-            ScheduledEvent::FinalReply(id) => self.reply_finally(id).await,
+            ScheduledEvent::FinalReply(id) => self.send_final_reply(id).await,
         }
     }
 
@@ -154,7 +154,7 @@
         self.notify_router(Event::HealthChecked { host, outcome, latency, report }).await;
     }
 
-    /// Makes the final reply of each open request due at `reply_by` at the latest.
+    /// Limits the final reply of each open request to `reply_by` at the latest.
     fn bring_all_replies_forward(&mut self, reply_by: Instant) {
         for timer in self.requests.final_reply_timers() {
             self.timers.bring_forward(timer, reply_by);
@@ -162,7 +162,7 @@
     }
 }
 
-/// Handles an event, and logs its name if that took long.
+/// Awaits the handling of an event, and logs the event's name if it took [`SLOW_EVENT`] or longer.
 async fn log_if_slow(event: &'static str, handling: impl Future<Output = ()>) {
     let started_at = Instant::now();
     handling.await;
--- a/src/net/core/positions.rs
+++ b/src/net/core/positions.rs
@@ -1,4 +1,5 @@
-//! Log positions and times that hosts report, in this machine's time.
+//! Converts log positions and times that hosts report to this machine's time, and checks answers for
+//! staleness.
 
 use super::Core;
 use crate::interface::{HostId, LoadReport, LogPosition, Outcome, Role, TimeDelta};
@@ -6,8 +7,8 @@
 use crate::state::host_clock::{Sample, MAX_POSITION_LEAD, MAX_PRIMARY_LAG, POSITION_PRECISION};
 
 impl Core {
-    /// Returns the position that an attempt's answer reported, in local time, after the hosts' clock has been checked
-    /// against it.
+    /// Updates the hosts' clock from the position in an attempt's answer. Returns the position in local time;
+    /// `None` if there is none or it cannot be dated.
     pub(super) fn observe_position(&mut self, end: &AttemptEnd, outcome: Outcome) -> Option<LogPosition> {
         let is_commit = outcome == Outcome::Ok && self.is_write(end);
         let position = end.position?.rounded(is_commit);
@@ -22,8 +23,9 @@
         }
     }
 
-    /// Returns a host's applied position in local time; none where nothing proves how old its data are. Hosts that check
-    /// reads themselves reject what they may not serve, so that the offset need not be confirmed there.
+    /// Returns a host's applied position in local time; `None` if nothing proves the age of its data. Where
+    /// hosts verify reads themselves they reject those that they may not serve, so the offset need not be
+    /// confirmed.
     fn applied_position(&self, position: LogPosition) -> Option<LogPosition> {
         if !self.config.settings.responses_verified {
             return Some(self.host_clock.to_local_commit(position));
@@ -34,8 +36,8 @@
         Some(local).filter(|local| local.0 <= latest.0)
     }
 
-    /// Returns a load report in local time. Its position is left out while the host's positions contradict the clock; its
-    /// role still counts.
+    /// Returns a load report with its position in local time. The position is dropped while the host's
+    /// positions contradict the clock; the role is kept.
     pub(super) fn report_in_local_time(&mut self, host: HostId, report: LoadReport) -> LoadReport {
         let Some(position) = report.position else { return report };
         let sample = Sample { position, role: report.role, sent: None, received: self.clock.now() };
@@ -44,7 +46,8 @@
         LoadReport { position, ..report }
     }
 
-    /// Checks the hosts' clock against a sample, and moves all that is known in it if the clock has to be set anew.
+    /// Adds a sample to the hosts' clock. If the clock's offset changes, corrects the start times and the
+    /// router's state that were derived from it.
     fn observe_host_clock(&mut self, host: HostId, sample: Sample) {
         let Some(shift) = self.host_clock.record(host, sample) else { return };
         let offset_ms = self.host_clock.offset().0 / 1000;
@@ -53,10 +56,13 @@
         self.router.shift_host_clock(self.clock.now(), shift.0);
     }
 
-    /// Returns whether the data behind an answer are too old for its request, where the settings leave that check to the
-    /// proxy. The bound counts from the query's last byte, which may have waited for its connection since the router's
-    /// decision. A primary is never stale, unless its own position is one that hosts have shown to be past: then it counts
-    /// as a replica. A position ahead of the clock, or one that an unconfirmed clock cannot date, proves nothing.
+    /// Returns whether the data behind an answer is too old for its request. Always false if the settings
+    /// leave that check to the hosts.
+    ///
+    /// The bound counts from the time at which the query's last byte was written, not from the router's
+    /// decision, since the query may have waited for a connection in between. A primary is never stale,
+    /// unless its own position is past: then it is treated as a replica. A position that is ahead of the
+    /// clock, or that an unconfirmed clock cannot date, proves nothing.
     pub(super) fn is_stale(&self, end: &AttemptEnd) -> bool {
         if !self.config.settings.responses_verified || end.outcome != Outcome::Ok {
             return false;
@@ -68,8 +74,8 @@
         !is_primary && !request.requirement.is_met_by(applied, self.clock.timestamp(written_at))
     }
 
-    /// Returns the role that an answer proves: one of a primary whose position is past comes from a host that was replaced
-    /// and has not learnt of it.
+    /// Returns the role that an answer proves. A host that claims to be the primary with a past position was
+    /// replaced and has not noticed it yet: it counts as a replica.
     pub(super) fn proven_role(&self, end: &AttemptEnd) -> Option<Role> {
         let is_checked = self.config.settings.responses_verified;
         let is_read = is_checked && end.outcome == Outcome::Ok && !self.is_write(end);
@@ -81,8 +87,9 @@
         }
     }
 
-    /// Returns whether the position of a read's answer was past already when the query was about to be written. The time
-    /// after the write does not do: this process may have been held up before it looked at its clock.
+    /// Returns whether the position of a read's answer was already past when writing the query began. The
+    /// time after the write is unsuitable: this process may have been suspended between the write and reading
+    /// the clock.
     fn is_past(&self, end: &AttemptEnd, tolerance: TimeDelta) -> bool {
         let position = end.position.map(|position| position.rounded(false));
         position.zip(end.write_started_at).is_some_and(|(position, started_at)| {
@@ -90,7 +97,7 @@
         })
     }
 
-    /// Logs on what evidence an answer is served or withheld, and what it tells of its host.
+    /// Logs the evidence on which an answer is served or withheld, and what the answer says about its host.
     pub(super) fn log_attempt(&self, end: &AttemptEnd, outcome: Outcome) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
@@ -122,7 +129,8 @@
         );
     }
 
-    /// Returns whether the host may have executed the request before, and answered with what it did then.
+    /// Returns whether the host may have executed the request before, in which case its answer may report the
+    /// position of that earlier commit.
     fn may_be_repeated(&self, end: &AttemptEnd) -> bool {
         self.requests.get(end.id).is_none_or(|request| request.is_client_retry || end.attempt > 0)
     }
--- a/src/net/core/request_table.rs
+++ b/src/net/core/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests in flight: those without an answer, and those with attempts that have not ended.
+//! Table of the requests in flight: those without an answer, and those with attempts that have not ended.
 
 use super::timers::FinalReplyTimer;
 use crate::budget::Reservation;
@@ -12,44 +12,45 @@
 /// A request without an answer, or with attempts that have not ended.
 #[derive(Debug)]
 pub(super) struct InFlightRequest {
-    /// The client's name for it.
+    /// The id that the client gave the request.
     pub name: String,
-    /// What each attempt forwards.
+    /// Statement that each attempt forwards.
     pub statement: Statement,
-    /// Until when it may be worked on.
+    /// Time at which attempts of the request end.
     pub deadline: Instant,
-    /// Where the answer goes; none once it is answered.
+    /// Mailbox of the client's actor, for the answer; `None` once the request is closed.
     pub client: Option<mpsc::Sender<ClientMessage>>,
     /// Whether the client's connection is still open.
     pub client_liveness: PeerLiveness,
-    /// None once it is answered.
+    /// Timer of the final reply; `None` once the request is closed or the timer has expired.
     pub final_reply_timer: Option<FinalReplyTimer>,
-    /// Whether its reply is due before its own deadline, for the requests behind it on its connection.
+    /// Whether the reply is due before the request's own deadline, because of requests behind it on its
+    /// connection.
     pub is_reply_due_early: bool,
-    /// The host of each attempt, by the attempt's index.
+    /// Host of each attempt, by the attempt's index.
     pub attempt_hosts: Vec<HostId>,
-    /// What the data behind an answer to the latest attempt has to satisfy.
+    /// Freshness that the data of an answer to the latest attempt must have.
     pub requirement: ReadRequirement,
-    /// How many attempts have not ended.
+    /// Number of attempts that have not ended.
     pub in_flight_attempts: u32,
-    /// Whether its client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     pub is_client_retry: bool,
-    /// Whether its class writes.
+    /// Whether the request's class writes.
     pub is_write: bool,
-    /// Index of its class in the settings at its arrival.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Accounts for its memory until it is removed.
+    /// Accounts for the request's memory until the request is removed.
     pub _memory_reservation: Reservation,
 }
 
 impl InFlightRequest {
-    /// Returns whether it has been answered or its client has disconnected.
+    /// Returns whether the request has been answered or its client has disconnected.
     pub fn is_closed(&self) -> bool {
         self.client.is_none()
     }
 }
 
-/// What is left to do for a request that has just been closed.
+/// State of a closed request that the caller still needs: where to send the answer, and the timer to cancel.
 #[derive(Debug)]
 pub(super) struct ClosedRequest {
     pub client: mpsc::Sender<ClientMessage>,
@@ -57,25 +58,26 @@
     pub class: usize,
 }
 
-/// Owns the requests in flight.
+/// Owns the requests in flight. A request is open until it is answered or its client disconnects.
 ///
-/// Invariant: a request is in the table while it is open or has attempts in flight; its name is reserved while it is open.
+/// Invariant: a request is in the table while it is open or has attempts in flight. Its name is reserved
+/// while it is open.
 #[derive(Debug, Default)]
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, InFlightRequest>,
-    /// How many requests have no answer yet.
+    /// Number of open requests.
     open: usize,
-    /// The clients' names of the open requests.
+    /// Names of the open requests.
     open_names: HashSet<String>,
 }
 
 impl RequestTable {
-    /// Returns how many requests have no answer yet.
-    pub fn open(&self) -> usize {
+    /// Returns the number of open requests.
+    pub fn open_count(&self) -> usize {
         self.open
     }
 
-    /// Reserves a name. Returns whether no open request had it.
+    /// Reserves a name. Returns false if it was reserved already.
     pub fn reserve_name(&mut self, name: &str) -> bool {
         self.open_names.insert(name.to_owned())
     }
@@ -91,22 +93,22 @@
         self.open += 1;
     }
 
-    /// Returns the request of this id.
+    /// Returns the request with this id; `None` if it is not in flight.
     pub fn get(&self, id: RequestId) -> Option<&InFlightRequest> {
         self.requests.get(&id)
     }
 
-    /// Returns the request of this id.
+    /// Returns the request with this id; `None` if it is not in flight.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut InFlightRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// Returns the timers of all open requests.
+    /// Returns the final-reply timers of all open requests.
     pub fn final_reply_timers(&self) -> impl Iterator<Item = &FinalReplyTimer> {
         self.requests.values().filter_map(|request| request.final_reply_timer.as_ref())
     }
 
-    /// Marks a request as answered; none if it is not open.
+    /// Closes a request. Returns `None` if it is not open.
     pub fn close(&mut self, id: RequestId) -> Option<ClosedRequest> {
         let request = self.requests.get_mut(&id)?;
         let client = request.client.take()?;
@@ -127,6 +129,7 @@
 
 /// Sends a request's answer to its client's actor.
 pub(super) fn send_answer(client: &mpsc::Sender<ClientMessage>, id: RequestId, answer: Answer) {
-    // Fails only when the client has disconnected: the mailbox holds one answer for each request that it may have in flight.
+    // Fails only if the client has disconnected: the mailbox has room for an answer to each request that a
+    // client may have in flight.
     let _ = client.try_send(ClientMessage::Answer(id, answer));
 }
--- a/src/net/core/requests.rs
+++ b/src/net/core/requests.rs
@@ -1,4 +1,4 @@
-//! Arrival, answer and end of a request.
+//! Admission, answer and end of requests.
 
 use super::request_table::{send_answer, InFlightRequest};
 use super::timers::{final_reply_at, request_deadline};
@@ -11,10 +11,10 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Why a request is not taken into the request table.
+/// Reason why a request is not admitted to the request table.
 #[derive(Debug, thiserror::Error)]
 enum AdmissionError {
-    /// No group is known yet, though any may be listed.
+    /// No endpoint list has been received, so no group is known yet.
     #[error("no endpoint list has come yet")]
     NotReady,
     #[error("the limit of requests in flight is reached")]
@@ -26,7 +26,7 @@
 }
 
 impl Core {
-    /// Admits a request and notifies the router of it, or answers it at once.
+    /// Admits a request and notifies the router, or answers the request at once.
     pub(super) async fn request_arrived(&mut self, arrival: Arrival) {
         self.counters.request_accepted();
         match self.admit(&arrival.request) {
@@ -34,16 +34,16 @@
                 let request = self.insert_request(arrival, memory_reservation);
                 self.notify_router(Event::RequestArrived(request)).await;
             }
-            Err(error) => self.refuse(&arrival, error),
+            Err(error) => self.answer_not_admitted(&arrival, error),
         }
     }
 
-    /// Reserves the request's name and its memory.
+    /// Checks that a request can be admitted, and reserves its name and its memory.
     fn admit(&mut self, request: &Request) -> Result<Reservation, AdmissionError> {
         if self.hosts.is_empty() {
             return Err(AdmissionError::NotReady);
         }
-        if self.requests.open() >= self.config.max_pending_requests {
+        if self.requests.open_count() >= self.config.max_pending_requests {
             return Err(AdmissionError::TooManyRequests);
         }
         // The router would queue a request of an unknown group until its client disconnects.
@@ -61,7 +61,7 @@
     }
 
     /// Answers a request that is not admitted.
-    fn refuse(&self, arrival: &Arrival, error: AdmissionError) {
+    fn answer_not_admitted(&self, arrival: &Arrival, error: AdmissionError) {
         let retry_after = self.max_retry_after();
         let (reason, retry_after) = match error {
             AdmissionError::NotReady => (RejectionReason::NotReady, retry_after),
@@ -79,7 +79,7 @@
         send_answer(&arrival.client, arrival.id, Answer::Rejected { retry_after });
     }
 
-    /// Takes an admitted request into the table. Returns it as the router gets it.
+    /// Inserts an admitted request into the table. Returns the request in the form that the router takes.
     fn insert_request(&mut self, arrival: Arrival, memory_reservation: Reservation) -> interface::Request {
         let Arrival { id, request, arrived_at, reply_due, client, client_liveness } = arrival;
         let deadline = request_deadline(arrived_at, request.timeout);
@@ -117,14 +117,14 @@
         router_request
     }
 
-    /// Returns how long before `arrived_at` the session's last write was. A write that lies ahead of the clock counts as
-    /// made just now.
+    /// Returns the time from the session's last write to `arrived_at`. A write that is ahead of the clock
+    /// counts as made just now.
     fn time_since_write(&self, arrived_at: Instant, last_write_at: Timestamp) -> TimeDelta {
         let since_write = self.clock.timestamp(arrived_at).0 - self.host_clock.to_local(last_write_at).0;
         TimeDelta(since_write.max(1))
     }
 
-    /// Makes the reply to a request due at `reply_due`, if it was due later.
+    /// Limits the reply to a request to `reply_due`; has no effect if the reply is due earlier.
     pub(super) fn bring_reply_forward(&mut self, id: RequestId, reply_due: Instant) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(timer) = &request.final_reply_timer else { return };
@@ -141,8 +141,9 @@
         self.requests.remove_if_finished(id);
     }
 
-    /// Answers a request whose reply is due. Guarantees that every request is answered in time, whatever the router does.
-    pub(super) async fn reply_finally(&mut self, id: RequestId) {
+    /// Answers a request whose final-reply timer has expired. Guarantees that every request is answered in
+    /// time, even if the router never decides on it.
+    pub(super) async fn send_final_reply(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(id) {
             request.final_reply_timer = None;
         }
@@ -162,6 +163,8 @@
         self.requests.remove_if_finished(id);
     }
 
+    /// Records a rejection of a request whose reply is due early, or logs that a request reached its
+    /// deadline.
     fn record_final_reply(&self, id: RequestId, request: &InFlightRequest) {
         if request.is_reply_due_early {
             let attempts = request.attempt_hosts.len();
@@ -185,21 +188,22 @@
         }
     }
 
-    /// Returns whether the client may retry: no attempt was made, or repeating it does no harm. Stricter than the router,
-    /// which knows which attempts cannot have been executed.
+    /// Returns whether the client may retry the request: no attempt was made, or a repeat does no harm on
+    /// any host. Stricter than the router, which knows which attempts cannot have been executed.
     fn client_may_retry(&self, request: &InFlightRequest) -> bool {
         let class = self.config.settings.classes.get(request.class);
         request.attempt_hosts.is_empty()
             || class.is_some_and(|class| class.idempotency.is_harmless_to_repeat_anywhere())
     }
 
-    /// Returns the longest Retry-After of the settings; none where the settings allow none.
+    /// Returns the longest Retry-After of the settings; `None` if the settings do not allow one.
     fn max_retry_after(&self) -> Option<TimeDelta> {
         let settings = &self.config.settings;
         settings.retry_after_allowed.then_some(settings.max_retry_after)
     }
 
-    /// Marks a request as ended. Returns where its answer goes; none if it is not open.
+    /// Closes a request and counts its end. Returns the mailbox for its answer; `None` if the request is not
+    /// open.
     pub(super) fn close(&mut self, id: RequestId, ended: RequestEnd) -> Option<mpsc::Sender<ClientMessage>> {
         let closed = self.requests.close(id)?;
         if let Some(timer) = closed.final_reply_timer {
@@ -209,7 +213,7 @@
         Some(closed.client)
     }
 
-    /// Answers a request, if it is open.
+    /// Answers a request if it is open.
     pub(super) fn answer(&mut self, id: RequestId, ended: RequestEnd, answer: Answer) {
         if let Some(client) = self.close(id, ended) {
             send_answer(&client, id, answer);
--- a/src/net/core/timers.rs
+++ b/src/net/core/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the core actor: those that the router sets, and the final reply of each request in flight.
+//! Timers of the core actor: those that the router sets, and one for the final reply to each open request.
 
 use crate::interface::RequestId;
 use std::future::poll_fn;
@@ -6,24 +6,24 @@
 use tokio::time::Instant;
 use tokio_util::time::{delay_queue::Key, DelayQueue};
 
-/// Part of a request's timeout that is kept for the way to the client and back and for late timers; a tenth of the
-/// timeout, if that is less.
+/// Part of a request's timeout that is reserved for the network round trip to the client and for late timers;
+/// a tenth of the timeout, if that is less.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
-/// How long before its reply is due a request without an answer is answered by this proxy; a twentieth of the time left,
-/// if that is less.
+/// Time before a reply is due at which the proxy itself answers a request that has no answer; a twentieth of
+/// the time left, if that is less.
 const FINAL_REPLY_MARGIN: Duration = Duration::from_millis(5);
 
-/// What is due.
+/// Event of a timer that has expired.
 #[derive(Debug)]
 pub(super) enum ScheduledEvent {
-    /// A timer that the router has set, by its token.
+    /// A timer that the router has set, with its token.
     RouterTimer(u64),
-    /// The request has to be answered now, whatever the router does.
+    /// The request must be answered now, even if the router has not decided on it.
     FinalReply(RequestId),
 }
 
 impl ScheduledEvent {
-    /// Returns its name in log lines.
+    /// Returns the event's name in log lines.
     pub fn name(&self) -> &'static str {
         match self {
             Self::RouterTimer(_) => "router timer",
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(super) struct FinalReplyTimer(Key);
 
-/// The timers that are set.
+/// Owns the timers that are set.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     queue: DelayQueue<ScheduledEvent>,
@@ -53,7 +53,7 @@
         FinalReplyTimer(self.queue.insert_at(ScheduledEvent::FinalReply(id), at))
     }
 
-    /// Makes a final reply due at `at` if it is due later. Returns whether it was.
+    /// Moves a final reply forward to `at` if it is due later. Returns whether it was.
     pub fn bring_forward(&mut self, timer: &FinalReplyTimer, at: Instant) -> bool {
         let is_later = self.queue.deadline(&timer.0) > at;
         if is_later {
@@ -72,21 +72,21 @@
         self.queue.is_empty()
     }
 
-    /// Waits for the next event; none at once if no timer is set. Cancel safe.
+    /// Waits for the next event. Returns `None` at once if no timer is set. Cancel safe.
     pub async fn next(&mut self) -> Option<ScheduledEvent> {
         let expired = poll_fn(|context| self.queue.poll_expired(context)).await;
         expired.map(|expired| expired.into_inner())
     }
 }
 
-/// Returns until when a request that was read at `arrived_at` may be worked on, so that its answer is with the client
-/// before the client's timeout.
+/// Returns the deadline for attempts of a request that was read at `arrived_at`: early enough for the answer
+/// to reach the client before the client's timeout.
 pub(super) fn request_deadline(arrived_at: Instant, timeout: Duration) -> Instant {
     arrived_at + timeout.saturating_sub(RESPONSE_MARGIN.min(timeout / 10))
 }
 
-/// Returns when a request whose reply is due at `reply_due` is answered by this proxy at the latest. `since` is when the
-/// request arrived or its reply was brought forward.
+/// Returns the time at which the proxy itself answers a request whose reply is due at `reply_due`. `since` is
+/// when the request arrived or its reply was brought forward.
 pub(super) fn final_reply_at(since: Instant, reply_due: Instant) -> Instant {
     reply_due - FINAL_REPLY_MARGIN.min(reply_due.saturating_duration_since(since) / 20)
 }
--- a/src/net/upstream/connector.rs
+++ b/src/net/upstream/connector.rs
@@ -1,4 +1,4 @@
-//! Provides one task with a connection: an idle one or a new one.
+//! Provides a task with a connection: an idle one or a new one.
 
 use super::connection::Connection;
 use super::{HostAddress, UpstreamContext};
@@ -8,14 +8,14 @@
 use tokio::sync::{watch, OwnedSemaphorePermit};
 use tokio::time::{timeout_at, Instant};
 
-/// What it takes to connect to a host.
+/// Everything that a task needs to get a connection to a host.
 #[derive(Debug)]
 pub(super) struct Connector {
-    /// An idle connection, if the host's actor had one.
+    /// Idle connection, if the host's actor had one.
     pub idle: Option<Connection>,
     pub address: HostAddress,
     pub context: UpstreamContext,
-    /// Whether the endpoint list says that the host runs.
+    /// Whether the host is listed as running.
     pub running: watch::Receiver<bool>,
 }
 
@@ -23,22 +23,24 @@
     /// Returns the idle connection or a new one.
     ///
     /// # Errors
-    /// The attempt's outcome, when there is no connection by the deadline, or the host stops running.
+    /// Returns the attempt's outcome if there is no connection by the deadline, or the host is no longer
+    /// running.
     pub async fn connect(&mut self, deadline: Instant) -> Result<Connection, Outcome> {
-        // Checked again: from here to the query's first byte no other task runs.
+        // The host may have stopped running since the task was started. On an idle connection no other task
+        // runs between this check and the query's first byte.
         if !*self.running.borrow() {
             return Err(Outcome::ConnectFailed);
         }
         if let Some(connection) = self.idle.take().filter(Connection::is_open_and_silent) {
             return Ok(connection);
         }
-        self.context.counters.upstream_connect();
+        self.context.counters.upstream_connect_started();
         let give_up_at = deadline.min(Instant::now() + self.context.connect_timeout);
         let Self { address, context, running, .. } = self;
         tokio::select! {
             biased;
             opened = open(*address, context, give_up_at) => opened,
-            // A host that stops while a request waits for its connection gets nothing of the request.
+            // No request is written to a host that stops running while the connection is being opened.
             Ok(_) = running.wait_for(|running| !running) => Err(Outcome::ConnectFailed),
         }
     }
@@ -58,8 +60,8 @@
     opened
 }
 
-/// Acquires the permit of a connection. If there is none, idle connections of all hosts are closed. A permit that cannot be
-/// had is no fault of the host, whose circuit breaker must not open for it.
+/// Acquires the permit of a connection. If none is available, asks all hosts to close their idle connections.
+/// A missing permit must not open the host's circuit breaker, so the outcome is [`Outcome::NotSent`].
 async fn acquire_permit(
     context: &UpstreamContext,
     give_up_at: Instant,
