--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -1,10 +1,10 @@
-//! One attempt: connects, writes the query, reads the answer, and concludes the outcome.
+//! One attempt: connects, writes the query, reads the answer and determines the outcome.
 
 use super::connection::{Connection, ConnectionStatus};
 use super::connector::Connector;
 use super::dialect::Query;
 use super::exchange::Exchange;
-use super::host_actor::Finished;
+use super::host_actor::TaskResult;
 use super::large::{LargeRow, Slot};
 use super::Attempt;
 use crate::interface::{HostId, Outcome, TimeDelta};
@@ -13,14 +13,14 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, Instant};
 
-/// Stops an attempt. Each way can be used once.
+/// Stops an attempt by cancelling or withdrawing it. Each has an effect only the first time.
 #[derive(Debug)]
 pub(super) struct StopHandle {
     cancel: Option<oneshot::Sender<()>>,
     withdraw: Option<oneshot::Sender<()>>,
 }
 
-/// The attempt's end of a [`StopHandle`].
+/// Receiving side of a [`StopHandle`], held by the attempt.
 #[derive(Debug)]
 pub(super) struct StopSignals {
     cancelled: oneshot::Receiver<()>,
@@ -28,19 +28,19 @@
 }
 
 impl StopHandle {
-    /// Returns both ends.
+    /// Returns a handle and its receiving side.
     pub fn new() -> (Self, StopSignals) {
         let (cancel, cancelled) = oneshot::channel();
         let (withdraw, withdrawn) = oneshot::channel();
         (Self { cancel: Some(cancel), withdraw: Some(withdraw) }, StopSignals { cancelled, withdrawn })
     }
 
-    /// Stops the attempt, whatever it has come to.
+    /// Stops the attempt, even if its query is running.
     pub fn cancel(&mut self) {
         signal(&mut self.cancel);
     }
 
-    /// Stops the attempt unless its query is written completely.
+    /// Stops the attempt unless its query is completely written.
     pub fn withdraw(&mut self) {
         signal(&mut self.withdraw);
     }
@@ -48,34 +48,34 @@
 
 fn signal(sender: &mut Option<oneshot::Sender<()>>) {
     if let Some(sender) = sender.take() {
-        // Fails only when the attempt has ended.
+        // Fails only if the attempt has ended.
         let _ = sender.send(());
     }
 }
 
-/// Why work on an attempt came to an end.
+/// Reason why work on an attempt ended.
 #[derive(Clone, Copy, Debug)]
 enum Ending {
-    /// The answer ended, or the connection failed after the query was begun.
+    /// The answer ended, or the connection failed after writing the query began.
     Answered(ConnectionStatus),
-    /// The query was not begun: its client has disconnected, or it would have been late.
+    /// Writing the query did not begin: its client has disconnected, or its time to be written has passed.
     NotWritten,
-    /// There was no connection, or the attempt was stopped.
+    /// No connection could be opened, or the attempt was stopped or timed out.
     Stopped(Outcome),
 }
 
-/// Makes an attempt until it ends, is stopped or reaches its deadline.
+/// Runs an attempt until it ends, is stopped or reaches its deadline.
 pub(super) async fn run(
     host: HostId,
     attempt: Attempt,
     connector: Connector,
     signals: StopSignals,
-) -> Finished {
+) -> TaskResult {
     let StopSignals { cancelled, withdrawn } = signals;
     let deadline = attempt.deadline;
     let is_written = AtomicBool::new(false);
     let withdrawn_unwritten = async {
-        // A query that is written completely may run: only a cancellation stops it.
+        // A completely written query may be running: only a cancellation stops it.
         if withdrawn.await.is_err() || is_written.load(Relaxed) {
             std::future::pending::<()>().await;
         }
@@ -98,13 +98,14 @@
     connector: Connector,
     connection: Option<Connection>,
     exchange: Exchange,
-    /// The right to forward a large row, once it is there.
+    /// Slot for forwarding a large row, once it is acquired.
     slot: Option<Slot>,
 }
 
 impl AttemptWork {
     fn new(attempt: Attempt, connector: Connector) -> Self {
-        // A write's answer reports the commit's position behind the row, and the session's next read needs that position.
+        // A write's answer reports the commit's position after the row, and the session's next read needs
+        // that position.
         let may_stream = connector.context.may_stream && attempt.statement.value_range.is_none();
         Self { attempt, connector, connection: None, exchange: Exchange::new(may_stream), slot: None }
     }
@@ -116,7 +117,7 @@
             Err(outcome) => return Ending::Stopped(outcome),
         };
         let is_late = attempt.write_by.is_some_and(|write_by| Instant::now() > write_by);
-        // The client may have disconnected in this turn, and the message of it be on its way.
+        // The client may have just disconnected, and the core's command to withdraw may not have arrived yet.
         if is_late || attempt.client_liveness.has_closed().await {
             return Ending::NotWritten;
         }
@@ -129,13 +130,13 @@
         let query = Query::Statement(&attempt.statement, timeout);
         let status = connection.query(&query, exchange, on_written).await;
         if exchange.large_row_bytes.is_some() {
-            // Nothing is read meanwhile: the host keeps what it has not written yet.
+            // Nothing is read while this waits, so the rest of the answer stays with the host.
             *slot = context.large_answers.acquire().await;
         }
         Ending::Answered(status)
     }
 
-    fn finish(self, host: HostId, ending: Ending) -> Finished {
+    fn finish(self, host: HostId, ending: Ending) -> TaskResult {
         let latency = TimeDelta::from(self.attempt.sent_at.elapsed());
         let Self { attempt, mut connection, exchange, slot, .. } = self;
         let (written_at, position, role) = (exchange.written_at, exchange.position, exchange.role);
@@ -153,9 +154,9 @@
         };
         let (outcome, status) = match &large_row {
             Some(_) => (Outcome::Ok, ConnectionStatus::Unusable),
-            None => conclude(ending, &exchange),
+            None => determine_outcome(ending, &exchange),
         };
-        // What follows a large row is not read for the role.
+        // The answer is not searched for the role after a large row.
         let answer_lost = is_role_missing && large_row.is_none();
         let value = match large_row {
             Some(row) => Some(row.forward(exchange)),
@@ -175,7 +176,7 @@
             value,
             transfer,
         };
-        Finished {
+        TaskResult {
             connection: connection.filter(|_| status == ConnectionStatus::Reusable),
             event: CoreEvent::AttemptEnded(Box::new(end)),
         }
@@ -183,16 +184,16 @@
 }
 
 /// Returns the outcome of an attempt that forwards no large row, and whether its connection can be reused.
-fn conclude(ending: Ending, exchange: &Exchange) -> (Outcome, ConnectionStatus) {
+fn determine_outcome(ending: Ending, exchange: &Exchange) -> (Outcome, ConnectionStatus) {
     use ConnectionStatus::{Reusable, Unusable};
     match ending {
-        // The query has run, but there is no memory to forward its answer.
+        // The query has run, but there is no memory to forward its large row.
         Ending::Answered(_) if exchange.large_row_bytes.is_some() => (Outcome::Error, Unusable),
         Ending::Answered(status) => (exchange.outcome(), status),
         Ending::NotWritten => (Outcome::NotSent, Reusable),
-        // A complete result counts, though the end of the answer did not come in time.
+        // A complete result counts even if the end of the answer did not arrive in time.
         Ending::Stopped(Outcome::Timeout) if exchange.has_result() => (exchange.outcome(), Unusable),
-        // An incomplete query never runs.
+        // A host never executes an incomplete query.
         Ending::Stopped(Outcome::Timeout) if exchange.written_at.is_none() => {
             (Outcome::ConnectFailed, Unusable)
         }
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a host, whatever its protocol.
+//! A connection to a host, for any protocol.
 
 use super::dialect::{Dialect, Query};
 use super::exchange::Exchange;
@@ -18,96 +18,99 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{timeout_at, Instant};
 
-/// A buffer that has grown beyond this many bytes is released after its answer.
+/// Capacity in bytes above which a read buffer is released after an answer.
 const MAX_RETAINED_BUFFER_BYTES: usize = 4 * 1024;
-/// Bytes that the buffer of a new connection takes.
+/// Capacity in bytes of a new connection's read buffer.
 const INITIAL_BUFFER_BYTES: usize = 1024;
-/// How long after its first byte an answer is complete. Hosts write an answer at once, so that an incomplete one stays so.
+/// Time after its first byte within which an answer must be complete. Hosts write an answer in one go, so one
+/// that is still incomplete by then will stay incomplete.
 const ANSWER_COMPLETION_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Numbers the connections of this process, so that log lines of one can be told from those of another.
+/// Number of the process's next connection. The numbers tell connections apart in log lines.
 static NEXT_CONNECTION_ID: AtomicU64 = AtomicU64::new(1);
 
-/// Whether a connection can be used after an answer.
+/// Whether a connection can be reused after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionStatus {
-    /// It can take the next query.
+    /// The connection can take another query.
     Reusable,
-    /// It has to be closed.
+    /// The connection must be closed.
     Unusable,
 }
 
-/// A connection that has logged in. Holds its permit until it is closed.
+/// A connection that has logged in. Holds its permit until the connection is closed.
 #[derive(Debug)]
 pub(super) struct Connection {
     id: u64,
     stream: Socket,
     address: HostAddress,
     dialect: Box<dyn Dialect>,
-    read: BytesMut,
+    read_buffer: BytesMut,
     _permit: OwnedSemaphorePermit,
 }
 
 impl Connection {
-    /// Connects and logs in. Local faults are retried until then, and are no fault of the host.
+    /// Connects and logs in, at `deadline` at the latest. Retries after local faults until then.
     ///
     /// # Errors
-    /// The attempt's outcome: [`Outcome::NotSent`] for a local fault, else as the host's fault is.
+    /// Returns the attempt's outcome: [`Outcome::NotSent`] for a local fault, which does not count against
+    /// the host, and the outcome of the host's fault otherwise.
     pub async fn open(
         address: HostAddress,
         permit: OwnedSemaphorePermit,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Self, Outcome> {
         let connect = || Socket::connect(address.address);
-        let connected = local_faults::retry_local_faults(until, connect).await;
+        let connected = local_faults::retry_local_faults(deadline, connect).await;
         let stream = connected.ok_or(Outcome::ConnectFailed)?.map_err(|error| connect_outcome(&error))?;
         let mut connection = Self {
             id: NEXT_CONNECTION_ID.fetch_add(1, Relaxed),
             stream,
             address,
-            dialect: dialect(address.protocol),
-            read: BytesMut::with_capacity(INITIAL_BUFFER_BYTES),
+            dialect: new_dialect(address.protocol),
+            read_buffer: BytesMut::with_capacity(INITIAL_BUFFER_BYTES),
             _permit: permit,
         };
-        timeout_at(until, connection.log_in()).await.unwrap_or(Err(Outcome::ConnectFailed))?;
+        timeout_at(deadline, connection.log_in()).await.unwrap_or(Err(Outcome::ConnectFailed))?;
         Ok(connection)
     }
 
     async fn log_in(&mut self) -> Result<(), Outcome> {
         let failed = |_: io::Error| Outcome::ConnectFailed;
-        let mut out = BytesMut::new();
-        self.dialect.start_login(&mut out);
+        let mut output = BytesMut::new();
+        self.dialect.start_login(&mut output);
         loop {
-            if !out.is_empty() {
-                self.stream.write_all(&out.split()).await.map_err(failed)?;
+            if !output.is_empty() {
+                self.stream.write_all(&output.split()).await.map_err(failed)?;
             }
-            if self.stream.read_buf(&mut self.read).await.map_err(failed)? == 0 {
+            if self.stream.read_buf(&mut self.read_buffer).await.map_err(failed)? == 0 {
                 return Err(Outcome::ConnectFailed);
             }
-            if self.dialect.continue_login(&mut self.read, &mut out)? {
-                // Bytes behind the login would be read as the first query's answer.
-                return if self.read.is_empty() { Ok(()) } else { Err(Outcome::ConnectFailed) };
+            if self.dialect.continue_login(&mut self.read_buffer, &mut output)? {
+                // Bytes after the login would be read as the first query's answer.
+                return if self.read_buffer.is_empty() { Ok(()) } else { Err(Outcome::ConnectFailed) };
             }
         }
     }
 
-    /// Returns its number in log lines.
+    /// Returns the connection's number in log lines.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// Returns where it is connected to.
+    /// Returns the host's address.
     pub fn address(&self) -> HostAddress {
         self.address
     }
 
-    /// Returns whether an idle connection is open and has nothing to read. Asks the system: the runtime may not have seen
-    /// yet that it was closed.
+    /// Returns whether an idle connection is open and has nothing to read. Peeks at the socket, since the
+    /// runtime may not have noticed yet that it was closed.
     pub fn is_open_and_silent(&self) -> bool {
         matches!(peek(&self.stream), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Writes a query and reads the answer into `exchange`. Calls `on_written` once the query's last byte is written.
+    /// Writes a query and reads the answer into `exchange`. Calls `on_written` once the query's last byte is
+    /// written.
     pub async fn query(
         &mut self,
         query: &Query<'_>,
@@ -115,34 +118,34 @@
         on_written: impl FnOnce(),
     ) -> ConnectionStatus {
         let status = self.exchange(query, exchange, on_written).await;
-        // What has been read of a large row is taken from the buffer when the row is forwarded. Otherwise hundreds of idle
-        // connections must not each keep a buffer for the longest answer.
-        if self.read.capacity() > MAX_RETAINED_BUFFER_BYTES && exchange.large_row_bytes.is_none() {
-            self.read = BytesMut::new();
+        // Hundreds of idle connections must not each keep a buffer for the longest answer. The buffer of a
+        // large row is kept until the row is forwarded.
+        if self.read_buffer.capacity() > MAX_RETAINED_BUFFER_BYTES && exchange.large_row_bytes.is_none() {
+            self.read_buffer = BytesMut::new();
         }
         status
     }
 
-    /// Takes what has been read of a message of `length` bytes.
+    /// Removes the buffered part of a message of `length` bytes and returns it.
     pub fn take_buffered(&mut self, length: usize) -> BytesMut {
-        let buffered = self.read.len().min(length);
-        self.read.split_to(buffered)
+        let buffered = self.read_buffer.len().min(length);
+        self.read_buffer.split_to(buffered)
     }
 
-    /// Reads at most `limit` bytes of a message. Returns no bytes once the host has closed.
+    /// Reads at most `limit` bytes of a message. Returns no bytes once the host has closed the connection.
     pub async fn read_chunk(&mut self, limit: usize) -> io::Result<Bytes> {
         let mut chunk = BytesMut::with_capacity(limit).limit(limit);
         self.stream.read_buf(&mut chunk).await?;
         Ok(chunk.into_inner().freeze())
     }
 
-    /// Reads what follows a row that was forwarded.
+    /// Reads the part of an answer that follows a forwarded row.
     pub async fn read_remainder(&mut self, exchange: &mut Exchange) -> ConnectionStatus {
         loop {
-            if let Some(status) = self.dialect.read_answer(&mut self.read, exchange) {
+            if let Some(status) = self.dialect.read_answer(&mut self.read_buffer, exchange) {
                 return status;
             }
-            if !matches!(self.stream.read_buf(&mut self.read).await, Ok(1..)) {
+            if !matches!(self.stream.read_buf(&mut self.read_buffer).await, Ok(1..)) {
                 return ConnectionStatus::Unusable;
             }
         }
@@ -154,28 +157,29 @@
         exchange: &mut Exchange,
         on_written: impl FnOnce(),
     ) -> ConnectionStatus {
-        let mut out = BytesMut::new();
-        self.dialect.write_query(query, &mut out);
+        let mut output = BytesMut::new();
+        self.dialect.write_query(query, &mut output);
         exchange.write_started_at = Some(Instant::now());
-        // One write for the message: a part of it alone would be a query that never ends.
-        if self.stream.write_all(&out).await.is_err() {
+        // The whole message is written at once: a part of it would leave the host waiting for the rest of the
+        // query.
+        if self.stream.write_all(&output).await.is_err() {
             return ConnectionStatus::Unusable;
         }
         exchange.written_at = Some(Instant::now());
         on_written();
-        drop(out);
+        drop(output);
         self.read_answer(exchange).await
     }
 
     async fn read_answer(&mut self, exchange: &mut Exchange) -> ConnectionStatus {
         let mut complete_by = None;
         loop {
-            if let Some(status) = self.dialect.read_answer(&mut self.read, exchange) {
+            if let Some(status) = self.dialect.read_answer(&mut self.read_buffer, exchange) {
                 return status;
             }
             tokio::select! {
                 biased;
-                read = self.stream.read_buf(&mut self.read) => match read {
+                read = self.stream.read_buf(&mut self.read_buffer) => match read {
                     Ok(0) | Err(_) => return ConnectionStatus::Unusable,
                     Ok(bytes) => {
                         exchange.bytes_read += bytes;
@@ -201,7 +205,7 @@
     }
 }
 
-fn dialect(protocol: Protocol) -> Box<dyn Dialect> {
+fn new_dialect(protocol: Protocol) -> Box<dyn Dialect> {
     match protocol {
         Protocol::Postgres => Box::new(Postgres),
         Protocol::Tds => Box::new(Tds::new()),
--- a/src/net/upstream/dialect.rs
+++ b/src/net/upstream/dialect.rs
@@ -1,4 +1,4 @@
-//! The interface of a protocol towards hosts: bytes in, bytes out, no sockets.
+//! Interface of the protocols spoken with hosts. Implementations work on byte buffers and do no I/O.
 
 use super::connection::ConnectionStatus;
 use super::exchange::Exchange;
@@ -11,30 +11,30 @@
 /// A query to a host.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Query<'a> {
-    /// A client's statement, with the timeout that the host gets.
+    /// A client's statement, and the timeout to pass to the host.
     Statement(&'a Statement, Duration),
-    /// The host's load report.
+    /// Requests the host's load report.
     LoadReport,
-    /// Any answer.
+    /// Requests any answer, to see that the host responds.
     Ping,
 }
 
-/// The client's side of a protocol on one connection.
+/// Client side of a protocol on one connection.
 pub(super) trait Dialect: Debug + Send {
     /// Writes the first message of the login.
-    fn start_login(&mut self, out: &mut BytesMut);
+    fn start_login(&mut self, output: &mut BytesMut);
 
-    /// Consumes what has been read in answer to the login, and writes the next message of it. Returns whether the login is
-    /// complete.
+    /// Consumes input that answers the login, and writes the login's next message, if any. Returns whether
+    /// the login is complete.
     ///
     /// # Errors
-    /// The attempt's outcome, when the host does not accept the login.
-    fn continue_login(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<bool, Outcome>;
+    /// Returns the attempt's outcome if the host does not accept the login.
+    fn continue_login(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, Outcome>;
 
     /// Writes a query.
-    fn write_query(&mut self, query: &Query<'_>, out: &mut BytesMut);
+    fn write_query(&mut self, query: &Query<'_>, output: &mut BytesMut);
 
-    /// Consumes what has been read of an answer. Returns none until the answer has ended, then whether the connection can
-    /// be reused.
-    fn read_answer(&mut self, read: &mut BytesMut, exchange: &mut Exchange) -> Option<ConnectionStatus>;
+    /// Consumes input of an answer and records it in `exchange`. Returns `None` until the answer has ended,
+    /// then whether the connection can be reused.
+    fn read_answer(&mut self, input: &mut BytesMut, exchange: &mut Exchange) -> Option<ConnectionStatus>;
 }
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One query on a connection and its answer, whatever the protocol.
+//! One query on a connection and its answer, for any protocol.
 
 use super::load_report;
 use crate::interface::{LoadReport, Outcome, Role};
@@ -7,22 +7,22 @@
 use std::ops::Range;
 use tokio::time::Instant;
 
-/// One query and what has been read of its answer.
+/// State of one query and the part of its answer that has been read.
 ///
-/// Invariant: the stages of an answer are passed once each and in order; otherwise the answer is invalid.
+/// Invariant: an answer passes through each stage at most once and in order; otherwise it is invalid.
 #[derive(Debug, Default)]
 pub(super) struct Exchange {
-    /// When writing the query began: the host answers later.
+    /// When writing the query began, which is before the host answers.
     pub write_started_at: Option<Instant>,
-    /// When the query's last byte was written; none if it was not.
+    /// When the query's last byte was written; `None` if it has not been.
     pub written_at: Option<Instant>,
-    /// Bytes that have been read of the answer.
+    /// Number of bytes of the answer that have been read.
     pub bytes_read: usize,
     pub position: Option<ReportedPosition>,
     pub role: Option<Role>,
-    /// Length of the row's message, if the row is to be forwarded before the answer is complete.
+    /// Length in bytes of the row's message, if the row is forwarded before the answer is complete.
     pub large_row_bytes: Option<usize>,
-    /// The messages that brought the value, unchanged.
+    /// Messages that carry the value, unchanged.
     messages: BytesMut,
     content: Content,
     /// Whether a large row may be forwarded before the answer is complete.
@@ -31,17 +31,18 @@
     error: Option<Outcome>,
 }
 
-/// Where the value is.
+/// Location of the row's value.
 #[derive(Debug, Default)]
 enum Content {
     #[default]
     None,
-    /// In this range of the messages.
+    /// In this range of the kept messages.
     InMessages(Range<usize>),
+    /// Not in the kept messages.
     Separate(Bytes),
 }
 
-/// How far an answer has come.
+/// Stage that the reading of an answer has reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Stage {
     #[default]
@@ -49,36 +50,37 @@
     RowDescribed,
     Row,
     Complete,
-    /// An error in place of what was still to come.
+    /// An error came instead of the remaining stages.
     Failed,
-    /// Nothing more follows.
+    /// The answer has ended.
     Finished,
-    /// It breaks the protocol, or is not this query's answer. The query has run.
+    /// The answer violates the protocol, or belongs to another query. The query has run.
     Invalid,
 }
 
 impl Exchange {
-    /// Returns an exchange whose large row may, or may not, be forwarded before the answer is complete.
+    /// Returns an exchange. `may_stream` says whether a large row may be forwarded before the answer is
+    /// complete.
     pub fn new(may_stream: bool) -> Self {
         Self { may_stream, ..Self::default() }
     }
 
-    /// Returns an exchange for what follows a row that was forwarded.
+    /// Returns an exchange for the part of an answer that follows a forwarded row.
     pub fn after_row() -> Self {
         Self { stage: Stage::Row, ..Self::default() }
     }
 
-    /// Returns whether the host has said that the query succeeded or failed.
+    /// Returns whether the host has reported that the query succeeded or failed.
     pub fn has_result(&self) -> bool {
         matches!(self.stage, Stage::Complete | Stage::Failed | Stage::Finished)
     }
 
-    /// Returns whether the answer has ended as the protocol says.
+    /// Returns whether the answer has ended in accordance with the protocol.
     pub fn is_finished(&self) -> bool {
         self.stage == Stage::Finished
     }
 
-    /// Returns whether the query was written, and its answer neither told the host's role nor came to its end.
+    /// Returns whether the query was written, but its answer ended early without reporting the host's role.
     pub fn is_role_missing(&self) -> bool {
         self.written_at.is_some() && self.role.is_none() && !self.is_finished()
     }
@@ -88,13 +90,15 @@
         self.stage == Stage::Invalid
     }
 
-    /// Returns whether the next message, if it is a large row, is forwarded before the answer is complete.
+    /// Returns whether the next message is to be forwarded before the answer is complete if it is a large
+    /// row.
     pub fn may_stream_row(&self) -> bool {
         self.may_stream && self.stage == Stage::RowDescribed
     }
 
-    /// Discards what the answer says, its position above all. The query has run. The outcome does not count against the
-    /// host's connections: if all hosts send invalid answers, ejecting each leaves none.
+    /// Marks the answer as invalid and discards its position and role. The outcome is [`Outcome::Error`],
+    /// since the query has run. It does not count as a connection failure of the host: if all hosts sent
+    /// invalid answers, ejecting each would leave none.
     pub fn invalidate(&mut self) {
         self.stage = Stage::Invalid;
         self.position = None;
@@ -102,40 +106,42 @@
         self.error = Some(Outcome::Error);
     }
 
-    /// Takes the description of rows with this many columns. Only rows of one column are valid.
-    pub fn row_described(&mut self, columns: usize) {
+    /// Records the description of rows with this many columns. Only rows of one column are valid.
+    pub fn record_row_description(&mut self, columns: usize) {
         self.advance(columns == 1 && self.stage == Stage::Empty, Stage::RowDescribed);
     }
 
-    /// Takes the row, whose value is in this range of the kept messages.
-    pub fn row_in_messages(&mut self, range: Range<usize>) {
+    /// Records a row whose value is in this range of the kept messages.
+    pub fn record_row_in_messages(&mut self, range: Range<usize>) {
         self.advance(self.stage == Stage::RowDescribed, Stage::Row);
         self.content = Content::InMessages(range);
     }
 
-    /// Takes the row with its value.
-    pub fn row(&mut self, value: Bytes) {
+    /// Records a row with this value.
+    pub fn record_row(&mut self, value: Bytes) {
         self.advance(self.stage == Stage::RowDescribed, Stage::Row);
         self.content = Content::Separate(value);
     }
 
-    /// Takes the end of the statement.
-    pub fn complete(&mut self) {
+    /// Records that the statement completed.
+    pub fn record_completion(&mut self) {
         self.advance(self.stage == Stage::Row, Stage::Complete);
     }
 
-    /// Takes an error. `outcome` holds if the host sent nothing before it; otherwise the query has run.
-    pub fn fail(&mut self, outcome: Outcome) {
+    /// Records an error. The attempt ends with `outcome` if nothing came before the error; otherwise the
+    /// query has run and the outcome is [`Outcome::Error`].
+    pub fn record_error(&mut self, outcome: Outcome) {
         self.error = Some(if self.stage == Stage::Empty { outcome } else { Outcome::Error });
         let has_no_result = matches!(self.stage, Stage::Empty | Stage::RowDescribed | Stage::Row);
         self.advance(has_no_result, Stage::Failed);
     }
 
-    /// Takes the end of the answer.
-    pub fn finish(&mut self) {
+    /// Records the end of the answer.
+    pub fn record_end(&mut self) {
         self.advance(matches!(self.stage, Stage::Complete | Stage::Failed), Stage::Finished);
     }
 
+    /// Moves to the next stage, or invalidates the answer if that is not in order.
     fn advance(&mut self, is_in_order: bool, next: Stage) {
         if is_in_order {
             self.stage = next;
@@ -144,8 +150,8 @@
         }
     }
 
-    /// Takes a position in Unix milliseconds: up to which the host has applied the log, or at which it committed. Zero
-    /// stands for none.
+    /// Parses and sets a position in Unix milliseconds: up to which the host has applied the log, or at which
+    /// it committed. Zero means that there is no position.
     pub fn set_position(&mut self, text: &str) {
         let milliseconds = text.parse::<f64>().ok();
         match milliseconds.filter(|milliseconds| milliseconds.is_finite() && *milliseconds >= 0.0) {
@@ -156,7 +162,7 @@
         }
     }
 
-    /// Takes the host's role.
+    /// Parses and sets the host's role.
     pub fn set_role(&mut self, text: &str) {
         match text {
             "primary" => self.role = Some(Role::Primary),
@@ -165,14 +171,14 @@
         }
     }
 
-    /// Keeps a message that brings a part of the value. Returns where it begins in the kept messages.
+    /// Keeps a message that carries a part of the value. Returns its offset in the kept messages.
     pub fn keep_message(&mut self, message: &[u8]) -> usize {
         let start = self.messages.len();
         self.messages.extend_from_slice(message);
         start
     }
 
-    /// Returns the attempt's outcome once nothing more is read.
+    /// Returns the attempt's outcome. Meaningful once nothing more is read.
     pub fn outcome(&self) -> Outcome {
         match self.error {
             Some(outcome) => outcome,
@@ -182,7 +188,7 @@
         }
     }
 
-    /// Returns the value of an answer whose outcome is [`Outcome::Ok`].
+    /// Converts an answer whose outcome is [`Outcome::Ok`] to its value.
     pub fn into_value(self) -> Value {
         match self.content {
             Content::None => Value::default(),
@@ -195,12 +201,12 @@
         }
     }
 
-    /// Returns the kept messages of an answer that is not complete, or of what follows a row that was forwarded.
+    /// Returns the kept messages of an incomplete answer, or of the part that follows a forwarded row.
     pub fn into_messages(self) -> Bytes {
         self.messages.freeze()
     }
 
-    /// Returns the load report in the row; none if the row cannot be read as one.
+    /// Parses the row as a load report; `None` if it is not one.
     pub fn load_report(&self) -> Option<LoadReport> {
         let row = match &self.content {
             Content::None => return None,
--- a/src/net/upstream/health_check.rs
+++ b/src/net/upstream/health_check.rs
@@ -1,21 +1,21 @@
-//! One health check.
+//! One health check of a host.
 
 use super::connection::{Connection, ConnectionStatus};
 use super::connector::Connector;
 use super::dialect::Query;
 use super::exchange::Exchange;
-use super::host_actor::Finished;
+use super::host_actor::TaskResult;
 use crate::interface::{HostId, Outcome, TimeDelta};
 use crate::net::messages::{CoreEvent, HealthCheckResult};
 use tokio::time::{timeout_at, Instant};
 
-/// Asks the host for its load report, or for any answer where the settings have no load reports.
-pub(super) async fn run(host: HostId, sent_at: Instant, mut connector: Connector) -> Finished {
+/// Runs a health check: queries the host's load report, or sends a ping if the settings have no load reports.
+pub(super) async fn run(host: HostId, sent_at: Instant, mut connector: Connector) -> TaskResult {
     let mut connection = None;
     let mut exchange = Exchange::default();
     let deadline = sent_at + connector.context.connect_timeout;
     let query = if connector.context.load_reports { Query::LoadReport } else { Query::Ping };
-    let work = ask(&mut connector, deadline, &mut connection, &query, &mut exchange);
+    let work = send_query(&mut connector, deadline, &mut connection, &query, &mut exchange);
     let (outcome, status) = match timeout_at(deadline, work).await {
         Ok(Ok(status)) => (exchange.outcome(), status),
         Ok(Err(outcome)) => (outcome, ConnectionStatus::Unusable),
@@ -23,13 +23,14 @@
     };
     let report = exchange.load_report().filter(|_| outcome == Outcome::Ok);
     let latency = TimeDelta::from(sent_at.elapsed());
-    Finished {
+    TaskResult {
         connection: connection.filter(|_| status == ConnectionStatus::Reusable),
         event: CoreEvent::HealthChecked(HealthCheckResult { host, outcome, latency, report }),
     }
 }
 
-async fn ask(
+/// Connects and sends the query, leaving the connection in `connection`.
+async fn send_query(
     connector: &mut Connector,
     deadline: Instant,
     connection: &mut Option<Connection>,
--- a/src/net/upstream/host_actor.rs
+++ b/src/net/upstream/host_actor.rs
@@ -1,7 +1,7 @@
 //! The actor of one host.
 //!
-//! It never waits for the core actor: events that the core's mailbox has no capacity for stay in the outbox. The core may
-//! therefore wait for this actor's mailbox without a deadlock.
+//! The actor never waits for the core actor: events for which the core's mailbox has no capacity stay in the
+//! outbox. The core actor can therefore wait for capacity in this actor's mailbox without a deadlock.
 
 use super::attempt::{self, StopHandle};
 use super::connection::Connection;
@@ -17,15 +17,15 @@
 use tokio::task::{self, JoinError, JoinSet};
 use tokio::time::{sleep_until, Instant};
 
-/// Commands that may wait for a host's actor.
+/// Number of commands that can be queued for a host's actor.
 const MAILBOX_CAPACITY: usize = 256;
 
-/// Sends commands to a host's actor, which ends once this is dropped.
+/// Handle to a host's actor, for sending it commands. The actor ends once the handle is dropped.
 #[derive(Debug)]
 pub(crate) struct HostActor(mpsc::Sender<Command>);
 
 impl HostActor {
-    /// Starts the actor of a host. It reports to `events`.
+    /// Starts the actor of a host. The actor reports to `events`.
     pub fn start(
         host: HostId,
         address: HostAddress,
@@ -33,11 +33,11 @@
         events: mpsc::Sender<CoreEvent>,
     ) -> Self {
         let (commands, mailbox) = mpsc::channel(MAILBOX_CAPACITY);
-        tokio::spawn(Host::new(host, address, context).run(mailbox, events));
+        tokio::spawn(ActorState::new(host, address, context).run(mailbox, events));
         Self(commands)
     }
 
-    /// Sends a command once the mailbox has capacity.
+    /// Sends a command, waiting until the mailbox has capacity.
     pub async fn send(&self, command: Command) {
         if self.0.send(command).await.is_err() {
             tracing::error!("actor of a host has ended");
@@ -45,16 +45,17 @@
     }
 }
 
-/// What a task of the actor brings back.
+/// Result of a task of the actor.
 #[derive(Debug)]
-pub(super) struct Finished {
-    /// Its connection, if that can be reused.
+pub(super) struct TaskResult {
+    /// The task's connection, if it can be reused.
     pub connection: Option<Connection>,
-    /// The event for the core actor.
+    /// Event for the core actor.
     pub event: CoreEvent,
 }
 
-/// What a task has to bring back. Reported in its place if the task panics: the core actor would wait forever.
+/// Work of a running task. If the task panics its work is reported as failed, since the core actor would
+/// otherwise wait forever.
 #[derive(Clone, Copy, Debug)]
 enum PendingWork {
     Attempt { id: RequestId, attempt: u32, sent_at: Instant },
@@ -62,8 +63,8 @@
 }
 
 impl PendingWork {
-    /// Returns the end of a task that panicked. An attempt may have run.
-    fn into_failed(self, host: HostId) -> Finished {
+    /// Returns the result of a task that panicked. Its query may have run.
+    fn into_failed(self, host: HostId) -> TaskResult {
         let since = |sent_at: Instant| TimeDelta::from(sent_at.elapsed());
         let event = match self {
             Self::Attempt { id, attempt, sent_at } => CoreEvent::AttemptEnded(Box::new(AttemptEnd {
@@ -87,26 +88,27 @@
                 report: None,
             }),
         };
-        Finished { connection: None, event }
+        TaskResult { connection: None, event }
     }
 }
 
-struct Host {
+/// State of a host's actor.
+struct ActorState {
     host: HostId,
     address: HostAddress,
     context: UpstreamContext,
-    /// Whether the endpoint list says that the host runs. Nothing new is written to one that does not.
+    /// Whether the host is listed as running. No query is started at a host that is not.
     running: watch::Sender<bool>,
     idle: IdleConnections,
-    /// The attempts that have not ended, by request and index.
+    /// Attempts that have not ended, by request and index.
     attempts: HashMap<(RequestId, u32), StopHandle>,
-    tasks: JoinSet<Finished>,
+    tasks: JoinSet<TaskResult>,
     pending_work: HashMap<task::Id, PendingWork>,
-    /// Events that the core actor's mailbox has had no capacity for yet.
+    /// Events that wait for capacity in the core actor's mailbox.
     outbox: VecDeque<CoreEvent>,
 }
 
-impl Host {
+impl ActorState {
     fn new(host: HostId, address: HostAddress, context: UpstreamContext) -> Self {
         Self {
             host,
@@ -145,35 +147,35 @@
         }
     }
 
-    fn task_ended(&mut self, result: Result<(task::Id, Finished), JoinError>) {
+    fn task_ended(&mut self, result: Result<(task::Id, TaskResult), JoinError>) {
         match result {
-            Ok((task, finished)) => {
+            Ok((task, result)) => {
                 self.pending_work.remove(&task);
-                self.work_finished(finished);
+                self.work_ended(result);
             }
             Err(error) => {
                 tracing::error!(host = self.host.0, %error, "task of a host's actor failed");
                 if let Some(work) = self.pending_work.remove(&error.id()) {
-                    self.work_finished(work.into_failed(self.host));
+                    self.work_ended(work.into_failed(self.host));
                 }
             }
         }
     }
 
-    fn work_finished(&mut self, finished: Finished) {
-        if let CoreEvent::AttemptEnded(end) = &finished.event {
+    fn work_ended(&mut self, result: TaskResult) {
+        if let CoreEvent::AttemptEnded(end) = &result.event {
             self.attempts.remove(&(end.id, end.attempt));
         }
-        let connection = finished.connection;
+        let connection = result.connection;
         if let Some(connection) = connection.filter(|connection| connection.address() == self.address) {
             self.idle.add(connection);
         }
-        self.outbox.push_back(finished.event);
+        self.outbox.push_back(result.event);
     }
 
     fn handle(&mut self, command: Command) {
         match command {
-            Command::Listed { address, state } => self.listed(address, state),
+            Command::Listed { address, state } => self.apply_listing(address, state),
             Command::Unlisted => {
                 self.running.send_replace(false);
                 self.idle.close_all();
@@ -197,7 +199,7 @@
         }
     }
 
-    fn listed(&mut self, address: HostAddress, state: HostState) {
+    fn apply_listing(&mut self, address: HostAddress, state: HostState) {
         if address != self.address {
             self.address = address;
             self.idle.close_all();
@@ -216,7 +218,7 @@
         self.spawn(PendingWork::Attempt { id, attempt: index, sent_at }, work);
     }
 
-    fn spawn(&mut self, pending: PendingWork, work: impl Future<Output = Finished> + Send + 'static) {
+    fn spawn(&mut self, pending: PendingWork, work: impl Future<Output = TaskResult> + Send + 'static) {
         let task = self.tasks.spawn(work).id();
         self.pending_work.insert(task, pending);
     }
--- a/src/net/upstream/host_actor/tests.rs
+++ b/src/net/upstream/host_actor/tests.rs
@@ -1,3 +1,5 @@
+//! Reports of tasks that panic.
+
 use super::*;
 use crate::counters::Counters;
 use crate::net::clock::Clock;
@@ -8,7 +10,7 @@
 use std::time::Duration;
 use tokio::sync::Semaphore;
 
-fn host() -> Host {
+fn actor_state() -> ActorState {
     let context = UpstreamContext {
         permits: Arc::new(Semaphore::new(4)),
         release_idle: Arc::new(watch::channel(()).0),
@@ -17,17 +19,18 @@
         load_reports: true,
         counters: Arc::new(Counters::default()),
         rejections: Rejections::new(Arc::default(), Clock::start()),
-        large_answers: large::tests::slots(1).0,
+        large_answers: large::tests::large_answers(1).0,
         may_stream: true,
     };
     let address = HostAddress { address: "127.0.0.1:9".parse().unwrap(), protocol: Protocol::Postgres };
-    Host::new(HostId(3), address, context)
+    ActorState::new(HostId(3), address, context)
 }
 
-/// Its attempt is reported all the same, as one that may have run, and so is a health check.
+/// Guards against a core actor that waits forever for the end of an attempt or a health check whose task
+/// panicked. Both are reported as work whose query may have run.
 #[tokio::test]
 async fn a_task_that_panics_is_reported() {
-    let mut host = host();
+    let mut host = actor_state();
     let sent_at = Instant::now();
     let (stop, _signals) = StopHandle::new();
     host.attempts.insert((RequestId(5), 1), stop);
--- a/src/net/upstream/idle.rs
+++ b/src/net/upstream/idle.rs
@@ -5,8 +5,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a connection stays idle after an answer before it is used again. Whatever a host wrote beyond that answer has
-/// arrived by then and shows that the connection is unusable; it would be read as the next query's answer otherwise.
+/// Time for which a connection stays idle after an answer before it is reused. Bytes that a host wrote beyond
+/// that answer have arrived by then and show that the connection is unusable; otherwise they would be read as
+/// the next query's answer.
 const REUSE_DELAY: Duration = Duration::from_millis(3);
 
 #[derive(Debug)]
@@ -15,7 +16,8 @@
     since: Instant,
 }
 
-/// Idle connections, the longest idle first. The most recently used are taken first, so that those beyond the need retire.
+/// Idle connections, the longest idle first. The most recently used one is reused first, so that surplus
+/// connections reach the idle timeout.
 #[derive(Debug, Default)]
 pub(super) struct IdleConnections {
     connections: VecDeque<IdleConnection>,
@@ -27,8 +29,8 @@
         self.connections.push_back(IdleConnection { connection, since: Instant::now() });
     }
 
-    /// Takes a connection that is still open; none if there is none that has been idle for [`REUSE_DELAY`]. Closes those that
-    /// are found unusable.
+    /// Removes and returns a connection that is still open and has been idle for [`REUSE_DELAY`]; `None` if
+    /// there is none. Closes connections that it finds unusable.
     pub fn take(&mut self) -> Option<Connection> {
         let idle_since = Instant::now() - REUSE_DELAY;
         let reusable = self.connections.partition_point(|idle| idle.since <= idle_since);
@@ -41,7 +43,8 @@
         None
     }
 
-    /// Returns when the longest idle connection has been idle for `idle_timeout`; none if there is none.
+    /// Returns the time at which the longest idle connection reaches `idle_timeout`; `None` if no connection
+    /// is idle.
     pub fn next_expiry(&self, idle_timeout: Duration) -> Option<Instant> {
         self.connections.front().map(|idle| idle.since + idle_timeout)
     }
@@ -51,7 +54,7 @@
         self.connections.pop_front();
     }
 
-    /// Closes all.
+    /// Closes all idle connections.
     pub fn close_all(&mut self) {
         self.connections.clear();
     }
--- a/src/net/upstream/large.rs
+++ b/src/net/upstream/large.rs
@@ -1,5 +1,5 @@
-//! Forwards large rows: an answer that is too long to be held in memory goes from its host to its client chunk by chunk, on
-//! a connection that is closed behind it.
+//! Forwards large rows: an answer that is too long to be held in memory is passed from its host to its client
+//! chunk by chunk. The host's connection is closed afterwards.
 
 use super::connection::Connection;
 use super::exchange::Exchange;
@@ -12,17 +12,18 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
-/// How long a host may send nothing before the rest of its answer is given up.
+/// Time without bytes from the host after which the rest of its answer is given up.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Limits how many large answers are forwarded at once, and accounts for their memory. Copies share the limit.
+/// Limits the number of large answers that are forwarded at once, and accounts for their memory. Clones share
+/// the limit.
 #[derive(Clone, Debug)]
 pub(crate) struct LargeAnswers {
     memory: Memory,
     slots: Arc<Semaphore>,
 }
 
-/// The right to forward one large answer, and its memory.
+/// Permit to forward one large answer, with the memory reserved for it.
 #[derive(Debug)]
 pub(super) struct Slot {
     _permit: OwnedSemaphorePermit,
@@ -30,14 +31,15 @@
 }
 
 impl LargeAnswers {
-    /// Provides as many slots as the memory planned for large answers allows, at least one.
+    /// Returns a limit of as many slots as the memory planned for large answers allows, but at least one.
     pub fn new(memory: Memory) -> Self {
         let bytes = usize::try_from(memory.large_answers_bytes()).unwrap_or(usize::MAX);
         let slots = (bytes / MAX_BUFFERED_BYTES).clamp(1, Semaphore::MAX_PERMITS);
         Self { memory, slots: Arc::new(Semaphore::new(slots)) }
     }
 
-    /// Waits for a slot, first come first served. Returns none where memory is used up otherwise.
+    /// Waits for a slot, in first-come, first-served order. Returns `None` if there is no memory for the
+    /// answer.
     pub(super) async fn acquire(&self) -> Option<Slot> {
         let permit = Arc::clone(&self.slots).acquire_owned().await.ok()?;
         let memory_reservation = self.memory.large_answer(MAX_BUFFERED_BYTES).ok()?;
@@ -45,18 +47,18 @@
     }
 }
 
-/// A row that has begun on a connection and is too long to be held in memory.
+/// A row of which a part has been read from a connection, and which is too long to be held in memory.
 #[derive(Debug)]
 pub(super) struct LargeRow {
     pub connection: Connection,
-    /// Length of the row's message.
+    /// Length in bytes of the row's message.
     pub bytes: usize,
     pub slot: Slot,
 }
 
 impl LargeRow {
-    /// Starts to forward the row in a task of its own. Returns what has been read of the answer, with the stream of what is
-    /// to come.
+    /// Starts a task that forwards the row. Returns the part of the answer that has been read, with the
+    /// stream of the remainder.
     pub fn forward(self, mut exchange: Exchange) -> Value {
         let Self { mut connection, bytes, slot } = self;
         let buffered = connection.take_buffered(bytes);
@@ -69,12 +71,13 @@
             }
             drop(slot);
         });
-        let begun = Some(exchange.into_messages());
-        Value { postgres_messages: begun, remainder: Some(remainder), ..Value::default() }
+        let messages = Some(exchange.into_messages());
+        Value { postgres_messages: messages, remainder: Some(remainder), ..Value::default() }
     }
 }
 
-/// Forwards the remaining bytes of the row and what follows it. Returns none if the host or the client disconnects before.
+/// Forwards the remaining bytes of the row and the end of the answer. Returns `None` if the host or the
+/// client disconnects, or the host stops sending, before that is done.
 async fn forward_remainder(
     mut connection: Connection,
     mut remaining: usize,
@@ -90,7 +93,7 @@
     }
     let mut exchange = Exchange::after_row();
     timeout(READ_TIMEOUT, connection.read_remainder(&mut exchange)).await.ok()?;
-    // An error behind the row brings no messages that could end the answer.
+    // An error after the row keeps no messages that could end the answer.
     let end = exchange.has_result().then(|| exchange.into_messages()).filter(|end| !end.is_empty())?;
     sender.send(end).await.then_some(())
 }
--- a/src/net/upstream/load_report.rs
+++ b/src/net/upstream/load_report.rs
@@ -1,17 +1,17 @@
-//! A host's load report as it is written in a row: `name=number` pairs separated by commas.
+//! Parses a host's load report: the text of a row, with `name=number` pairs separated by commas.
 
 use crate::interface::{LoadReport, LogPosition, Role};
 
-/// The applied position in Unix seconds.
+/// Name of the applied position, in Unix seconds.
 const APPLIED_POSITION: &str = "x0";
-/// The role: [`PRIMARY`] or [`REPLICA`].
+/// Name of the role, which is [`PRIMARY`] or [`REPLICA`].
 const ROLE: &str = "x1";
 const PRIMARY: f64 = 1.0;
 const REPLICA: f64 = 0.0;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// Parses a load report. Other names are ignored. Returns none if any pair cannot be read, or the role is unknown: the rest
-/// of such a report cannot be trusted either.
+/// Parses a load report, ignoring pairs with other names. Returns `None` if any pair is malformed or the role
+/// is unknown: the rest of such a report cannot be trusted either.
 pub(super) fn parse(text: &str) -> Option<LoadReport> {
     let pairs: Vec<(&str, f64)> = text.split(',').map(parse_pair).collect::<Option<_>>()?;
     let number = |wanted: &str| pairs.iter().find(|(name, _)| *name == wanted).map(|(_, number)| *number);
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,13 +1,13 @@
-//! Hosts: one actor each, which owns its connections, its attempts and its health checks.
+//! Actors of the hosts. Each owns the connections, attempts and health checks of one host.
 //!
 //! - `host_actor`: the actor, its mailbox and its tasks
-//! - `attempt`, `health_check`: one task's work
+//! - `attempt`, `health_check`: the work of the tasks
 //! - `connector`: an idle connection or a new one
 //! - `idle`: idle connections
-//! - `connection`: one connection, whatever its protocol
+//! - `connection`: one connection, for any protocol
 //! - `exchange`: one query and its answer
 //! - `dialect`, `postgres`, `tds`: the protocols
-//! - `load_report`: a host's load report
+//! - `load_report`: parsing of a host's load report
 //! - `large`: answers that are too long to be held in memory
 
 mod attempt;
@@ -38,7 +38,7 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::time::Instant;
 
-/// Where a host listens, and the protocol that it speaks there.
+/// The address that a host listens on, and the protocol that it speaks there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HostAddress {
     pub address: SocketAddr,
@@ -50,21 +50,22 @@
 pub(crate) enum Command {
     /// The endpoint list names the host.
     Listed { address: HostAddress, state: HostState },
-    /// The endpoint list does not name the host any more.
+    /// The endpoint list no longer names the host.
     Unlisted,
     /// Forwards a request.
     Attempt(Attempt),
-    /// Cancels an attempt, whatever it has come to. Ignored if it has ended.
+    /// Cancels an attempt, even if its query is running. Ignored if the attempt has ended.
     Cancel { id: RequestId, attempt: u32 },
-    /// Ends an attempt unless its query is written completely, so that the query never runs. Ignored if it has ended.
+    /// Ends an attempt unless its query is completely written, so that the query never runs. Ignored if the
+    /// attempt has ended.
     Withdraw { id: RequestId, attempt: u32 },
-    /// Checks the host's health.
+    /// Starts a health check.
     HealthCheck { sent_at: Instant },
     /// Closes the idle connections.
     CloseIdleConnections,
 }
 
-/// An attempt to be made.
+/// An attempt to make.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub id: RequestId,
@@ -76,27 +77,27 @@
     /// When the core actor sent it.
     pub sent_at: Instant,
     pub deadline: Instant,
-    /// After this time the query is not written any more.
+    /// Time after which the query must not be written.
     pub write_by: Option<Instant>,
 }
 
-/// What the actors of all hosts share: the limit of connections, settings and counters.
+/// State that the actors of all hosts share: the limit of connections, settings and counters.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamContext {
-    /// One permit for each connection.
+    /// Permits for connections, one each.
     permits: Arc<Semaphore>,
-    /// Asks all hosts to close their idle connections, since permits are used up.
+    /// Signals all hosts to close their idle connections when permits are used up.
     release_idle: Arc<watch::Sender<()>>,
     connect_timeout: Duration,
-    /// How long a connection may be idle.
+    /// Time for which a connection may be idle.
     idle_timeout: Duration,
     /// Whether a health check asks for the load report.
     load_reports: bool,
     counters: Arc<Counters>,
     rejections: Rejections,
     large_answers: LargeAnswers,
-    /// Whether an answer may reach its client before it is complete. Not so where the position behind it decides whether it
-    /// is stale.
+    /// Whether an answer may be forwarded to its client before it is complete. False if the proxy checks
+    /// answers for staleness, since the position that decides comes after the row.
     may_stream: bool,
 }
 
--- a/src/net/upstream/postgres.rs
+++ b/src/net/upstream/postgres.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL's protocol 3 towards hosts.
+//! The client side of PostgreSQL's protocol 3, spoken with hosts.
 
 use super::connection::ConnectionStatus;
 use super::dialect::{Dialect, Query};
@@ -10,29 +10,33 @@
 /// The user and the database of the login.
 const USER: &str = "backend";
 const DATABASE: &str = "store";
-/// Bytes before the value in a row of one column: the message's type and length, the number of columns, the value's length.
+/// Number of bytes before the value in a row of one column: the message's type and length, the number of
+/// columns and the value's length.
 const BYTES_BEFORE_VALUE: usize = 5 + 2 + 4;
 
 /// SQLSTATE codes that hosts answer with.
 mod sqlstate {
     pub const READ_ONLY_TRANSACTION: &str = "25006";
+    /// The host has not applied the log far enough for the read.
     pub const BEHIND: &str = "72000";
     pub const TOO_MANY_CONNECTIONS: &str = "53300";
     pub const CANNOT_CONNECT_NOW: &str = "57P03";
     pub const INTERNAL_ERROR: &str = "XX000";
 }
 
-/// The protocol on one connection. Has no state beyond the bytes.
+/// The protocol on one connection. Stateless.
 #[derive(Debug, Default)]
 pub(super) struct Postgres;
 
 impl Dialect for Postgres {
-    fn start_login(&mut self, out: &mut BytesMut) {
-        pgwire::startup(out, USER, DATABASE);
+    fn start_login(&mut self, output: &mut BytesMut) {
+        pgwire::startup(output, USER, DATABASE);
     }
 
-    fn continue_login(&mut self, read: &mut BytesMut, _out: &mut BytesMut) -> Result<bool, Outcome> {
-        while let Some((message, length)) = BackendMessage::parse(read).map_err(|_| Outcome::ConnectFailed)? {
+    fn continue_login(&mut self, input: &mut BytesMut, _output: &mut BytesMut) -> Result<bool, Outcome> {
+        while let Some((message, length)) =
+            BackendMessage::parse(input).map_err(|_| Outcome::ConnectFailed)?
+        {
             match message {
                 BackendMessage::Error(fields) if fields.code == sqlstate::TOO_MANY_CONNECTIONS => {
                     return Err(Outcome::Overloaded)
@@ -43,7 +47,7 @@
                 _ => {}
             }
             let ready = message == BackendMessage::Ready;
-            let _ = read.split_to(length);
+            let _ = input.split_to(length);
             if ready {
                 return Ok(true);
             }
@@ -51,40 +55,40 @@
         Ok(false)
     }
 
-    fn write_query(&mut self, query: &Query<'_>, out: &mut BytesMut) {
+    fn write_query(&mut self, query: &Query<'_>, output: &mut BytesMut) {
         match query {
-            Query::Statement(statement, timeout) => pgwire::query(out, &statement.with_timeout(*timeout)),
-            Query::LoadReport => pgwire::query(out, b"SHOW load"),
-            Query::Ping => pgwire::query(out, b"SELECT 1"),
+            Query::Statement(statement, timeout) => pgwire::query(output, &statement.with_timeout(*timeout)),
+            Query::LoadReport => pgwire::query(output, b"SHOW load"),
+            Query::Ping => pgwire::query(output, b"SELECT 1"),
         }
     }
 
-    fn read_answer(&mut self, read: &mut BytesMut, exchange: &mut Exchange) -> Option<ConnectionStatus> {
+    fn read_answer(&mut self, input: &mut BytesMut, exchange: &mut Exchange) -> Option<ConnectionStatus> {
         loop {
             if exchange.may_stream_row() {
-                if BackendMessage::may_be_large_row(read) {
+                if BackendMessage::may_be_large_row(input) {
                     return None;
                 }
-                if let Some(length) = BackendMessage::large_row(read) {
+                if let Some(length) = BackendMessage::large_row(input) {
                     exchange.large_row_bytes = Some(length);
                     return Some(ConnectionStatus::Reusable);
                 }
             }
-            let Ok(parsed) = BackendMessage::parse(read) else {
+            let Ok(parsed) = BackendMessage::parse(input) else {
                 exchange.invalidate();
                 return Some(ConnectionStatus::Unusable);
             };
             let (message, length) = parsed?;
             let is_fatal = matches!(&message, BackendMessage::Error(fields) if fields.fatal);
-            apply_message(exchange, &read[..length], message);
-            let _ = read.split_to(length);
+            apply_message(exchange, &input[..length], message);
+            let _ = input.split_to(length);
             if is_fatal {
-                // Nothing follows a fatal error.
-                exchange.finish();
+                // A fatal error ends the answer.
+                exchange.record_end();
                 return Some(ConnectionStatus::Unusable);
             }
             if exchange.is_finished() {
-                let has_more = !read.is_empty();
+                let has_more = !input.is_empty();
                 return Some(if has_more { ConnectionStatus::Unusable } else { ConnectionStatus::Reusable });
             }
             if exchange.is_invalid() {
@@ -98,25 +102,25 @@
     match message {
         BackendMessage::Parameter("applied_ms", position) => exchange.set_position(position),
         BackendMessage::Parameter("role", role) => exchange.set_role(role),
-        // Other parameters, and notices.
+        // Other parameters and notices are ignored.
         BackendMessage::Parameter(..) | BackendMessage::Other(b'N') => {}
         BackendMessage::RowDescription(columns) => {
-            exchange.row_described(columns.into());
+            exchange.record_row_description(columns.into());
             exchange.keep_message(raw);
         }
         BackendMessage::DataRow(columns) => match columns[..] {
             [Some(value)] => {
                 let start = exchange.keep_message(raw) + BYTES_BEFORE_VALUE;
-                exchange.row_in_messages(start..start + value.len());
+                exchange.record_row_in_messages(start..start + value.len());
             }
             _ => exchange.invalidate(),
         },
         BackendMessage::CommandComplete => {
-            exchange.complete();
+            exchange.record_completion();
             exchange.keep_message(raw);
         }
-        BackendMessage::Error(fields) => exchange.fail(error_outcome(fields.code, fields.message)),
-        BackendMessage::Ready => exchange.finish(),
+        BackendMessage::Error(fields) => exchange.record_error(error_outcome(fields.code, fields.message)),
+        BackendMessage::Ready => exchange.record_end(),
         _ => exchange.invalidate(),
     }
 }
--- a/src/net/upstream/tds.rs
+++ b/src/net/upstream/tds.rs
@@ -1,7 +1,7 @@
-//! TDS towards hosts.
+//! The client side of TDS, spoken with hosts.
 //!
-//! A query is cancelled by closing its connection, never by ATTENTION: the acknowledgement would not say whether the query
-//! ran, and would occupy the connection until it came.
+//! A query is cancelled by closing its connection, never by ATTENTION: the acknowledgement would not say
+//! whether the query ran, and the connection would be occupied until it arrived.
 
 use super::connection::ConnectionStatus;
 use super::dialect::{Dialect, Query};
@@ -22,16 +22,16 @@
 /// The user and the database of the login.
 const USER: &str = "backend";
 const DATABASE: &str = "store";
-/// Packet size in bytes that the login asks for, so that the longest answer takes few packets.
+/// Packet size in bytes that the login requests: large, so that the longest answer takes few packets.
 const REQUESTED_PACKET_BYTES: usize = 16_384;
-/// Bytes that an answer may have beside its value: descriptions, notices, headers of chunks.
+/// Bytes that an answer may contain besides its value: descriptions, notices and headers of chunks.
 const MAX_OVERHEAD_BYTES: usize = 16 * 1024;
 
 /// The protocol on one connection.
 #[derive(Debug)]
 pub(super) struct Tds {
     assembler: Assembler,
-    /// The packet size in force.
+    /// Current packet size.
     packet_bytes: usize,
     /// Whether LOGIN7 has been sent.
     login_sent: bool,
@@ -43,7 +43,7 @@
         Self { assembler, packet_bytes: PACKET_SIZE, login_sent: false }
     }
 
-    fn write_login(&mut self, out: &mut BytesMut) {
+    fn write_login(&mut self, output: &mut BytesMut) {
         let login = Login {
             version: version::V7_4,
             packet_size: REQUESTED_PACKET_BYTES as u32,
@@ -55,11 +55,11 @@
         };
         let mut payload = BytesMut::new();
         login.put(&mut payload);
-        put_message(out, PacketType::Login, Status::default(), &payload, self.packet_bytes);
+        put_message(output, PacketType::Login, Status::default(), &payload, self.packet_bytes);
         self.login_sent = true;
     }
 
-    /// Reads the answer to LOGIN7.
+    /// Checks the answer to LOGIN7, and applies the packet size that it sets.
     fn check_login(&mut self, payload: &[u8]) -> Result<(), Outcome> {
         let mut acknowledged = false;
         for token in Tokens::new(payload) {
@@ -79,31 +79,32 @@
         acknowledged.then_some(()).ok_or(Outcome::ConnectFailed)
     }
 
-    fn write_batch(&self, text: &str, out: &mut BytesMut) {
+    fn write_batch(&self, text: &str, output: &mut BytesMut) {
         let mut payload = BytesMut::with_capacity(text.len() * 2 + 22);
         put_all_headers(&mut payload);
         put_text(&mut payload, text);
-        put_message(out, PacketType::SqlBatch, Status::default(), &payload, self.packet_bytes);
+        put_message(output, PacketType::SqlBatch, Status::default(), &payload, self.packet_bytes);
     }
 
-    /// Writes a read as a batch, and a write as a procedure call, so that its value goes as bytes and not as digits.
-    fn write_statement(&self, statement: &Statement, timeout: Duration, out: &mut BytesMut) {
+    /// Writes a read as a batch and a write as a procedure call, which carries the value as bytes instead of
+    /// digits.
+    fn write_statement(&self, statement: &Statement, timeout: Duration, output: &mut BytesMut) {
         match statement.with_value_parameter(VALUE_PARAMETER, timeout) {
             None => {
                 let text = statement.with_timeout(timeout);
-                self.write_batch(&String::from_utf8_lossy(&text), out);
+                self.write_batch(&String::from_utf8_lossy(&text), output);
             }
             Some((text, value)) => {
                 let text = String::from_utf8_lossy(&text).into_owned();
                 let mut payload = BytesMut::new();
                 execute_sql(text, value).put(&mut payload);
-                put_message(out, PacketType::Rpc, Status::default(), &payload, self.packet_bytes);
+                put_message(output, PacketType::Rpc, Status::default(), &payload, self.packet_bytes);
             }
         }
     }
 }
 
-/// Returns the call of sp_executesql with this text and the value as its parameter.
+/// Returns a call of `sp_executesql` with this statement text, and the value as its parameter.
 fn execute_sql(text: String, value: Vec<u8>) -> Rpc {
     let parameter = |name: &str, kind, value| Parameter { name: name.to_owned(), output: false, kind, value };
     let declaration = format!("{VALUE_PARAMETER} varbinary(max)");
@@ -116,14 +117,14 @@
 }
 
 impl Dialect for Tds {
-    fn start_login(&mut self, out: &mut BytesMut) {
+    fn start_login(&mut self, output: &mut BytesMut) {
         let mut payload = BytesMut::new();
         Prelogin { version: (15, 0, 0), ..Prelogin::default() }.put(&mut payload);
-        put_message(out, PacketType::Prelogin, Status::default(), &payload, self.packet_bytes);
+        put_message(output, PacketType::Prelogin, Status::default(), &payload, self.packet_bytes);
     }
 
-    fn continue_login(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<bool, Outcome> {
-        while let Some(message) = self.assembler.next(read).map_err(|_| Outcome::ConnectFailed)? {
+    fn continue_login(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, Outcome> {
+        while let Some(message) = self.assembler.next(input).map_err(|_| Outcome::ConnectFailed)? {
             if message.kind != PacketType::Result {
                 return Err(Outcome::ConnectFailed);
             }
@@ -133,7 +134,7 @@
             match Prelogin::parse(&message.payload) {
                 // The proxy does not encrypt: a host that requires it cannot be used.
                 Ok(host) if matches!(host.encryption, Encryption::NotSupported | Encryption::Off) => {
-                    self.write_login(out);
+                    self.write_login(output);
                 }
                 _ => return Err(Outcome::ConnectFailed),
             }
@@ -141,23 +142,23 @@
         Ok(false)
     }
 
-    fn write_query(&mut self, query: &Query<'_>, out: &mut BytesMut) {
+    fn write_query(&mut self, query: &Query<'_>, output: &mut BytesMut) {
         match query {
-            Query::Statement(statement, timeout) => self.write_statement(statement, *timeout, out),
-            Query::LoadReport => self.write_batch("SHOW load", out),
-            Query::Ping => self.write_batch("SELECT 1", out),
+            Query::Statement(statement, timeout) => self.write_statement(statement, *timeout, output),
+            Query::LoadReport => self.write_batch("SHOW load", output),
+            Query::Ping => self.write_batch("SELECT 1", output),
         }
     }
 
-    fn read_answer(&mut self, read: &mut BytesMut, exchange: &mut Exchange) -> Option<ConnectionStatus> {
-        match self.assembler.next(read) {
+    fn read_answer(&mut self, input: &mut BytesMut, exchange: &mut Exchange) -> Option<ConnectionStatus> {
+        match self.assembler.next(input) {
             Ok(None) => return None,
             Ok(Some(message)) if message.kind == PacketType::Result => {
                 apply_result(exchange, &message.payload);
             }
             _ => exchange.invalidate(),
         }
-        let is_reusable = exchange.is_finished() && read.is_empty() && !self.assembler.begun();
+        let is_reusable = exchange.is_finished() && input.is_empty() && !self.assembler.begun();
         Some(if is_reusable { ConnectionStatus::Reusable } else { ConnectionStatus::Unusable })
     }
 }
@@ -172,35 +173,37 @@
             return;
         }
     }
-    exchange.finish();
+    exchange.record_end();
 }
 
 fn apply_token(exchange: &mut Exchange, token: Token) {
     match token {
-        Token::Columns(columns) => exchange.row_described(columns.len()),
+        Token::Columns(columns) => exchange.record_row_description(columns.len()),
         Token::Row(mut values) => match (values.pop(), values.is_empty()) {
-            (Some(Value::Binary(value)), true) => exchange.row(value),
-            (Some(Value::Text(text)), true) => exchange.row(text.into()),
+            (Some(Value::Binary(value)), true) => exchange.record_row(value),
+            (Some(Value::Text(text)), true) => exchange.record_row(text.into()),
             _ => exchange.invalidate(),
         },
-        Token::Info(notice) if notice.number == numbers::STAMP => apply_stamp(exchange, &notice.message),
-        Token::Error(notice) => exchange.fail(error_outcome(&notice)),
-        // The end of a statement that failed says no more than the error did.
+        Token::Info(notice) if notice.number == numbers::STAMP => {
+            apply_position_notice(exchange, &notice.message)
+        }
+        Token::Error(notice) => exchange.record_error(error_outcome(&notice)),
+        // After an error or a completed statement, DONE adds nothing, but must not contradict it.
         Token::Done(kind, done) if done.error || exchange.has_result() => {
             if done.attention || (kind == DoneKind::Batch && !done.error && done.counted) {
                 exchange.invalidate();
             }
         }
-        Token::Done(..) => exchange.complete(),
+        Token::Done(..) => exchange.record_completion(),
         Token::Info(_) | Token::Environment(_) | Token::Order(_) | Token::ReturnStatus(_) => {}
         Token::LoginAck(_) | Token::ReturnValue(_) | Token::Features => exchange.invalidate(),
     }
 }
 
-/// Reads a notice like `role=replica applied_ms=1767225600123`: see the design note on TDS.
-fn apply_stamp(exchange: &mut Exchange, text: &str) {
-    for word in text.split(' ') {
-        match word.split_once('=') {
+/// Records the role and the position in a notice such as `role=replica applied_ms=1767225600123`.
+fn apply_position_notice(exchange: &mut Exchange, text: &str) {
+    for pair in text.split(' ') {
+        match pair.split_once('=') {
             Some(("role", role)) => exchange.set_role(role),
             Some(("applied_ms", position)) => exchange.set_position(position),
             _ => exchange.invalidate(),
