--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -1,9 +1,9 @@
-//! Why discovery cannot be read.
+//! Errors of the connection to discovery.
 
 use crate::net::json_stream::JsonStreamError;
 use std::io;
 
-/// Why a call to discovery or its watch has failed.
+/// An error of a call to discovery or of a watch.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum DiscoveryError {
     /// The connection could not be established.
@@ -18,16 +18,16 @@
     /// Discovery rejected the call.
     #[error("discovery answered with status {0}")]
     Status(hyper::StatusCode),
-    /// Discovery sent something else than JSON objects.
+    /// Discovery sent data that is not a stream of JSON objects.
     #[error("watch of discovery is not a stream of JSON objects: {0}")]
     Stream(#[from] JsonStreamError),
-    /// Discovery sent an object that is no endpoint list.
-    #[error("discovery sent an object that is no endpoint list: {0}")]
+    /// Discovery sent an object that is not an endpoint list.
+    #[error("discovery sent an object that is not an endpoint list: {0}")]
     List(#[from] serde_json::Error),
-    /// Discovery sent nothing for too long, or did not answer a call in time.
+    /// Discovery sent nothing within the silence timeout, or did not answer a call in time.
     #[error("discovery is silent")]
     Silent,
-    /// Discovery has ended the watch.
+    /// Discovery ended the watch.
     #[error("discovery has ended the watch")]
     Ended,
 }
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! One call to discovery and the watch that it opens.
+//! A call to discovery and the watch that it opens.
 
 use super::error::DiscoveryError;
 use super::SILENCE_TIMEOUT;
@@ -15,21 +15,21 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout_at, Instant};
 
-/// A watch that is open. Closes its connection when dropped.
+/// An open watch. Closes its connection when dropped.
 #[derive(Debug)]
 pub(super) struct Watch {
     body: Incoming,
     stream: JsonStream,
-    /// When the last complete object or empty line came.
-    last_sign_of_life: Instant,
+    /// When the last complete object or empty line was received.
+    last_received_at: Instant,
     _connection: AbortOnDrop,
 }
 
 impl Watch {
-    /// Opens a watch for what follows a version, or from the present list on.
+    /// Opens a watch for changes since `version`; if that is `None` the watch starts with the complete list.
     ///
     /// # Errors
-    /// When the call fails or discovery rejects it.
+    /// Returns an error if the call fails or discovery rejects it.
     pub async fn open(address: SocketAddr, version: Option<u64>) -> Result<Self, DiscoveryError> {
         let stream = Socket::connect(address).await?;
         let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
@@ -46,16 +46,16 @@
         Ok(Self {
             body: response.into_body(),
             stream: JsonStream::default(),
-            last_sign_of_life: Instant::now(),
+            last_received_at: Instant::now(),
             _connection: connection,
         })
     }
 
-    /// Sends each endpoint list to the core actor, and keeps `version` at the latest that was sent. Returns without an error
-    /// only when the core actor has ended.
+    /// Sends each endpoint list to the core actor, and sets `version` to the latest that was sent. Returns
+    /// `Ok` only once the core actor has ended.
     ///
     /// # Errors
-    /// When the watch ends, falls silent or cannot be read.
+    /// Returns an error when the watch ends, falls silent or cannot be read.
     pub async fn forward_lists(
         mut self,
         zones: &[String],
@@ -63,27 +63,30 @@
         events: &mpsc::Sender<CoreEvent>,
     ) -> Result<(), DiscoveryError> {
         loop {
-            let frame = timeout_at(self.last_sign_of_life + SILENCE_TIMEOUT, self.body.frame()).await;
+            let frame = timeout_at(self.last_received_at + SILENCE_TIMEOUT, self.body.frame()).await;
             let frame = frame.map_err(|_| DiscoveryError::Silent)?.ok_or(DiscoveryError::Ended)??;
             self.stream.push(frame.data_ref().map_or(&[], |data| &data[..]));
             while let Some(item) = self.stream.next()? {
                 if let StreamItem::Object(text) = item {
                     let (list, problems) = serde_json::from_slice::<RawListing>(&text)?.into_list(zones);
-                    // An invalid entry must not end the watch, which would be reopened before that entry again and again.
+                    // An invalid entry must not end the watch: the next watch would fail at the same entry
+                    // again.
                     for problem in problems {
                         tracing::warn!(%problem, "entry of the endpoint list ignored");
                     }
-                    // Reserved first: if this is dropped while it waits, the version stays behind.
+                    // The version is set only once the mailbox has capacity: this future may be dropped while
+                    // it waits, and the list must then be requested again.
                     let Ok(permit) = events.reserve().await else { return Ok(()) };
                     *version = Some(list.index);
                     permit.send(CoreEvent::EndpointList(list));
                 }
-                self.last_sign_of_life = Instant::now();
+                self.last_received_at = Instant::now();
             }
         }
     }
 }
 
+/// Aborts a task when dropped.
 #[derive(Debug)]
 struct AbortOnDrop(AbortHandle);
 
