--- a/src/counters/mod.rs
+++ b/src/counters/mod.rs
@@ -1,6 +1,7 @@
-//! Counters of clients, requests, attempts and hosts since the start.
+//! Counters of clients, requests, attempts and hosts since the start of the process.
 //!
-//! Their names in the output are fixed by `docs/operate/console.md`; the methods name what is counted.
+//! The names in the output are part of the interface (`docs/operate/console.md`). The methods are named after
+//! the events that they count.
 
 use crate::interface::Outcome;
 use crate::peer_metrics::PeerMetrics;
@@ -16,25 +17,26 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// With a host's answer.
+    /// A host's answer was sent.
     Served,
-    /// Rejected: nothing was done, and a retry is harmless.
+    /// The request was rejected: a retry is harmless.
     Rejected,
-    /// Without an answer of a host.
+    /// The request failed without an answer of a host.
     Failed,
     /// The client disconnected before the answer.
     Disconnected,
 }
 
-/// Names of the ends in the line of totals, in the order of [`RequestEnd`].
+/// Names of request ends in the line of totals, in the order of [`RequestEnd`].
 const END_NAMES: [&str; 4] = ["served", "refused", "failed", "left"];
-/// Names of the ends that are counted by class, in the order of [`RequestEnd`]; disconnects are not.
+/// Names of request ends in the counters by class, in the order of [`RequestEnd`]. Disconnects are not
+/// counted by class.
 const CLASS_END_NAMES: [&str; 3] = ["succeeded", "declined", "aborted"];
-/// Names of the outcomes in the line of totals, in the order of [`Outcome`].
+/// Names of attempt outcomes in the line of totals, in the order of [`Outcome`].
 const OUTCOME_NAMES: [&str; 10] =
     ["ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss", "stale"];
 
-/// Counts the ends of the requests of one class.
+/// Counters of the requests of one class, by how they ended.
 #[derive(Debug)]
 struct ClassCounters {
     name: String,
@@ -42,7 +44,7 @@
     ends: [u64; CLASS_END_NAMES.len()],
 }
 
-/// Totals since the start of the process. Shared by all actors.
+/// Counters since the start of the process, shared by all actors.
 #[derive(Debug, Default)]
 pub struct Counters {
     clients: AtomicU64,
@@ -57,7 +59,8 @@
     endpoint_lists: AtomicU64,
     written_attempts: AtomicU64,
     pipelined_requests: AtomicU64,
-    /// By the index of the class. Indices are stable over a reload; new classes are appended.
+    /// Counters by class index. Indices stay the same when the configuration is reloaded; new classes are
+    /// appended.
     classes: Mutex<Vec<ClassCounters>>,
     listed_hosts: AtomicU64,
     ejected_hosts: AtomicU64,
@@ -76,7 +79,7 @@
 }
 
 impl Counters {
-    /// Counts a client that connected.
+    /// Counts a client connection.
     pub fn client_connected(&self) {
         increment(&self.clients);
     }
@@ -86,12 +89,12 @@
         increment(&self.accepted_requests);
     }
 
-    /// Counts a statement that was answered with an error because it is no request.
+    /// Counts a statement that was answered with an error because it is not a valid request.
     pub fn malformed_statement(&self) {
         increment(&self.malformed_statements);
     }
 
-    /// Counts a request that was started while requests before it on its connection had no answer yet.
+    /// Counts a request that was started before earlier requests of its connection were answered.
     pub fn request_pipelined(&self) {
         increment(&self.pipelined_requests);
     }
@@ -101,7 +104,8 @@
         increment(&self.rejections[reason as usize]);
     }
 
-    /// Counts the end of a request of the class with this index. A class without a name counts in the totals alone.
+    /// Counts the end of a request of the class with this index. If the class has no name, only the totals
+    /// count it.
     pub fn request_ended(&self, end: RequestEnd, class: usize) {
         let end_index = end as usize;
         increment(&self.request_ends[end_index]);
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Sets the names of the classes by index. Known classes keep their counts.
+    /// Sets the names of the classes by index. Classes that exist keep their counts.
     pub fn set_classes<'a>(&self, names: impl IntoIterator<Item = &'a str>) {
         let mut classes = self.classes();
         for (index, name) in names.into_iter().enumerate() {
@@ -127,7 +131,7 @@
         self.classes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts an attempt whose last byte was written to a host.
+    /// Counts an attempt whose query was completely written to a host.
     pub fn attempt_written(&self) {
         increment(&self.written_attempts);
     }
@@ -142,12 +146,12 @@
         self.ejected_hosts.store(hosts as u64, Relaxed);
     }
 
-    /// Counts a configuration file that came into force at SIGHUP.
+    /// Counts a configuration that was applied at SIGHUP.
     pub fn configuration_reloaded(&self) {
         increment(&self.reloaded_configurations);
     }
 
-    /// Counts a configuration file that was rejected at SIGHUP.
+    /// Counts a configuration that was rejected at SIGHUP.
     pub fn configuration_rejected(&self) {
         increment(&self.rejected_configurations);
     }
@@ -177,7 +181,7 @@
         increment(&self.health_checks);
     }
 
-    /// Counts an endpoint list or an update of it.
+    /// Counts an endpoint list, or an update of one, that was applied.
     pub fn endpoint_list_applied(&self) {
         increment(&self.endpoint_lists);
     }
@@ -188,11 +192,11 @@
         load(&self.accepted_requests).saturating_sub(ended)
     }
 
-    /// Returns the figures for the console: a line `gw.NAME=VALUE` each (see `docs/operate/console.md`).
+    /// Formats the metrics for the console: one line `gw.NAME=VALUE` each (see `docs/operate/console.md`).
     pub fn figures(&self) -> String {
         let mut lines = String::new();
-        self.write_class_figures(&mut lines);
-        let figures = [
+        self.write_class_metrics(&mut lines);
+        let metrics = [
             ("forwards", load(&self.written_attempts)),
             ("pipelined", load(&self.pipelined_requests)),
             ("outstanding", self.outstanding()),
@@ -201,7 +205,7 @@
             ("sighup_applied", load(&self.reloaded_configurations)),
             ("sighup_rejected", load(&self.rejected_configurations)),
         ];
-        for (name, value) in figures {
+        for (name, value) in metrics {
             let _ = writeln!(lines, "gw.{name}={value}");
         }
         for (reason, counter) in REJECTION_REASONS.iter().zip(&self.rejections) {
@@ -213,7 +217,7 @@
         lines
     }
 
-    fn write_class_figures(&self, lines: &mut String) {
+    fn write_class_metrics(&self, lines: &mut String) {
         for ClassCounters { name: class, ends } in self.classes().iter() {
             for (name, count) in CLASS_END_NAMES.iter().zip(ends) {
                 let _ = writeln!(lines, "gw.results.{class}.{name}={count}");
@@ -222,7 +226,7 @@
     }
 }
 
-/// The line of totals that is logged: `NAME=VALUE`, separated by blanks.
+/// Formats the line of totals for the log: `NAME=VALUE` pairs separated by spaces.
 impl fmt::Display for Counters {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
