--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -1,6 +1,6 @@
-//! The endpoint list in the JSON form that discovery and the configuration file write.
+//! The endpoint list, and its JSON format in discovery and in the configuration file.
 //!
-//! This is the one place that maps the words of that form to the terms of the code.
+//! Only this module maps the names of the JSON format to the terms of the code.
 
 use crate::interface::{HostState, Timestamp};
 use serde::Deserialize;
@@ -8,52 +8,52 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A version of the list, or the changes since an earlier one.
+/// A version of the endpoint list, or the changes since an earlier version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list.
     pub index: u64,
-    /// Whether it is the complete list.
+    /// Whether this is the complete list and not only changes.
     pub is_complete: bool,
-    /// The hosts.
+    /// Entries of the hosts.
     pub entries: Vec<ListedEndpoint>,
     /// Names of hosts whose entries are invalid; their previous entries stay in force.
     pub invalid_hosts: Vec<String>,
 }
 
-/// One host of the list.
+/// A host in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// Its name, the same at every proxy.
+    /// Name of the host, the same at every proxy.
     pub name: String,
-    /// The address that it listens on for this proxy.
+    /// Address at which this proxy reaches the host.
     pub address: SocketAddr,
-    /// Index of its zone; the number of configured zones if its zone is not configured.
+    /// Index of the host's zone; the number of configured zones if the zone is not configured.
     pub zone: u32,
-    /// The type that discovery gives it.
+    /// Type that discovery assigns to the host.
     pub host_type: String,
-    /// The replication group that it belongs to.
+    /// Replication group of the host.
     pub group: u32,
-    /// The state of its process.
+    /// State of the host's process.
     pub state: HostState,
-    /// Its size relative to other hosts, without a unit.
+    /// Capacity relative to other hosts, without a unit.
     pub weight: f64,
-    /// When it last started; `None` if that is long ago.
+    /// When the host last started; `None` if that is long ago.
     pub started_at: Option<Timestamp>,
 }
 
-/// The list as it is written. The name of this type stands in the messages of configuration errors.
+/// The list in its JSON format. Configuration errors print the name of this type.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RawListing {
     index: u64,
     #[serde(rename = "snapshot", default)]
     is_complete: bool,
-    /// Each is parsed by itself, so that a malformed one does not affect the others.
+    /// Entries are parsed one by one, so that a malformed one does not affect the others.
     #[serde(rename = "endpoints", default)]
     entries: Vec<Box<RawValue>>,
 }
 
-/// The part of an entry that is read if the rest cannot be used.
+/// The part of an entry that is read if the entry is malformed.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct RawName {
@@ -81,33 +81,33 @@
     1.0
 }
 
-/// An entry that cannot be used.
+/// Error of an invalid entry.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("host `{name}`: {problem}")]
 pub struct EntryError {
-    /// The host's name; empty if the entry has none.
+    /// Name of the host; empty if the entry has none.
     pub name: String,
-    /// What is wrong with the entry.
+    /// Problem of the entry.
     pub problem: EntryProblem,
 }
 
-/// What is wrong with an entry.
+/// Problem of an invalid entry.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EntryProblem {
-    /// It is no entry: a key is missing or has a value of the wrong type.
+    /// A key is missing or has a value of the wrong type.
     #[error("{0}")]
     Malformed(String),
-    /// Its status is unknown.
-    #[error("`{0}` is no known status")]
+    /// The status is unknown.
+    #[error("unknown status `{0}`")]
     UnknownStatus(String),
-    /// Its address cannot be parsed.
-    #[error("`{0}` is no address")]
+    /// The address cannot be parsed.
+    #[error("invalid address `{0}`")]
     InvalidAddress(String),
 }
 
 impl RawListing {
-    /// Converts the list, with zones replaced by their indices. Entries that cannot be used are left out and returned as
-    /// errors.
+    /// Converts the list; `zones` are the names of the configured zones by index. Invalid entries are left
+    /// out and returned as errors.
     pub fn into_list(self, zones: &[String]) -> (EndpointList, Vec<EntryError>) {
         let mut entries = Vec::with_capacity(self.entries.len());
         let mut errors = Vec::new();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,13 @@
-//! wheelpier is a proxy that spreads reads over the replicas of a database.
+//! wheelpier is a proxy that spreads reads over the replicas of a database and lets each session see its own
+//! writes.
 //!
-//! [`cli::main`] runs it as its arguments and its environment say; [`net::Proxy`] takes a [`config::Config`]
-//! that a program has made by itself.
+//! [`cli::main`] runs the proxy according to the command line and the environment. To embed it, build a
+//! [`config::Config`] and pass it to [`net::Proxy`].
 //!
-//! All decisions stand apart from the sockets. A [`Router`] is a state machine without I/O: it is told what
-//! happened and when, and answers with the [`Action`]s to carry out. Its ordinary path is the session token
-//! of BEE-19044: a read goes to a replica whose applied position has reached the session's last write, else
-//! to the primary.
+//! Decisions are separated from I/O. A [`Router`] is a state machine without I/O: it takes [`Event`]s with
+//! their times and returns the [`Action`]s to carry out. In the common case it implements the session token
+//! of BEE-19044: a read goes to a replica whose applied position has reached the session's last write, or
+//! else to the primary.
 //!
 //! ```
 //! use wheelpier::{Action, EndpointEntry, EndpointUpdate, Event, HostId, HostState};
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The proxy of wheelpier: see the library.
+//! The `wheelpier` program. The library contains its implementation.
 
 use std::process::ExitCode;
 
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -1,4 +1,4 @@
-//! The protocols that the proxy speaks with clients and hosts.
+//! Protocols that the proxy speaks with clients and hosts.
 
 use serde::Deserialize;
 use std::fmt;
@@ -7,18 +7,19 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Protocol {
-    /// PostgreSQL's wire protocol, version 3.
+    /// PostgreSQL's frontend/backend protocol, version 3.
     #[default]
     Postgres,
     /// TDS, versions 7.2 to 7.4.
     Tds,
 }
 
-/// Bytes that the headers and the call's frame add to a statement in TDS.
+/// Bytes that headers and the framing of the procedure call add to a statement in TDS.
 const TDS_STATEMENT_OVERHEAD_BYTES: usize = 1024;
 
 impl Protocol {
-    /// Returns the largest size of a statement that is accepted from a client, in bytes of this protocol.
+    /// Returns the largest size of a statement that is accepted from a client, in bytes of this protocol's
+    /// encoding.
     pub fn max_statement_bytes(self) -> usize {
         match self {
             Self::Postgres => wheelpier_pgwire::MOST_STATEMENT,
--- a/src/rejection_reason.rs
+++ b/src/rejection_reason.rs
@@ -1,52 +1,52 @@
-//! Why a request or a connection is rejected, with the names that figures and log lines use.
+//! Reasons for rejecting requests and connections, with their names in metrics and log lines.
 
 use std::fmt;
 
 #[cfg(test)]
 mod tests;
 
-/// Why a request or a connection is rejected.
+/// Reason for rejecting a request or a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
     /// The statement is not UTF-8.
     InvalidEncoding,
-    /// The statement is of no form that is served.
+    /// The statement has a form that is not supported.
     UnsupportedStatement,
-    /// The comment lacks a field that every statement must have here.
+    /// The comment lacks a required field.
     MissingField,
     /// The comment has a field twice.
     DuplicateField,
     /// The value of a field in the comment cannot be read.
     InvalidValue,
-    /// The settings have no such class, or accept no more requests of it.
+    /// The class is not configured, or was removed by a reload.
     UnknownClass,
-    /// The statement writes although its class reads, or the other way round.
+    /// The statement writes although its class only reads, or reads although its class writes.
     ReadWriteMismatch,
-    /// Discovery lists no such replication group.
+    /// Discovery does not list the replication group.
     UnknownGroup,
     /// A request with the same id is in flight.
     DuplicateId,
-    /// The client uses a part of the protocol that is not served, or another protocol.
+    /// The client uses an unsupported part of the protocol, or another protocol.
     UnsupportedFeature,
-    /// A message is longer than the largest accepted.
+    /// A message exceeds the largest accepted length.
     MessageTooLong,
     /// The client's bytes violate the protocol.
     ProtocolViolation,
     /// The login is invalid.
     InvalidLogin,
-    /// No endpoint list has arrived yet, or the proxy is draining.
+    /// No endpoint list has been received yet, or the proxy is draining.
     NotReady,
-    /// As many requests are pending as the settings allow.
+    /// The limit of pending requests is reached.
     TooManyRequests,
     /// The memory budget is exceeded.
     MemoryExceeded,
     /// All client connection slots are in use.
     NoConnectionSlot,
-    /// The router rejects it.
+    /// The router decided to reject the request.
     RouterDecision,
-    /// The answer to a later request on its connection was due.
+    /// The answer to a later request of the same connection was due.
     PipelineOrder,
-    /// This machine lacks a port, a descriptor or a buffer at the moment.
+    /// This machine is temporarily out of ports, descriptors or buffers.
     LocalResources,
 }
 
@@ -74,7 +74,7 @@
     RejectionReason::LocalResources,
 ];
 
-/// The name in figures (`gw.turned.NAME`, `turned_NAME`) and log lines.
+/// Formats the name in metrics (`gw.turned.NAME`, `turned_NAME`) and log lines.
 impl fmt::Display for RejectionReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
