--- a/src/config/descriptors.rs
+++ b/src/config/descriptors.rs
@@ -1,79 +1,82 @@
-//! How many descriptors each part of the process may hold.
+//! Divides the process's file descriptors between its parts.
 //!
-//! Invariant: all parts at their limits together never hold more than `limits.sockets`.
+//! Invariant: with every part at its limit the process holds at most `limits.sockets` descriptors.
 
 use crate::membership::DiscoveryRetry;
 use crate::pgwire;
 
-/// Standard input, output and error.
+/// Descriptors of standard input, output and error.
 const STANDARD_STREAMS: usize = 3;
-/// The runtime's poller, its copy, its waker, and three sockets by which signals reach it.
-const RUNTIME: usize = 6;
-/// The first client listener and the console's.
+/// Descriptors of the runtime: its poller, the poller's duplicate, its waker, and three sockets for signals.
+const RUNTIME_DESCRIPTORS: usize = 6;
+/// The first listener for clients, and the console's listener.
 const LISTENERS: usize = 2;
-/// What is open within one turn only: a connection that is accepted and closed at once, or the file read at SIGHUP.
-const TRANSIENT: usize = 1;
-/// Calls to discovery, and the watch before them that is about to close.
-const DISCOVERY: usize = DiscoveryRetry::MAX_CONCURRENT_CALLS + 1;
-/// Client connections above their limit that are answered instead of being closed unread.
+/// Descriptors that are open only within one poll of a task: a connection that is closed as soon as it is
+/// accepted, or the file that is read at SIGHUP.
+const TRANSIENT_DESCRIPTORS: usize = 1;
+/// Connections to discovery: concurrent calls, and the previous watch while it closes.
+const DISCOVERY_CONNECTIONS: usize = DiscoveryRetry::MAX_CONCURRENT_CALLS + 1;
+/// Client connections beyond the limit that get an answer with the reason instead of being closed unread.
 pub const MAX_OVERFLOW_CONNECTIONS: usize = 8;
-/// A descriptor that was inherited from the parent process.
-const INHERITED: usize = 1;
-/// Descriptors that neither serve a client within its limit nor a host.
-const RESERVED: usize = STANDARD_STREAMS
-    + RUNTIME
+/// Descriptors inherited from the parent process.
+const INHERITED_DESCRIPTORS: usize = 1;
+/// Descriptors that are not available for connections of clients, within their limit, and of hosts.
+const RESERVED_DESCRIPTORS: usize = STANDARD_STREAMS
+    + RUNTIME_DESCRIPTORS
     + LISTENERS
-    + TRANSIENT
-    + DISCOVERY
+    + TRANSIENT_DESCRIPTORS
+    + DISCOVERY_CONNECTIONS
     + MAX_OVERFLOW_CONNECTIONS
     + MIN_CONSOLE_CALLERS
-    + INHERITED;
+    + INHERITED_DESCRIPTORS;
 
-/// Callers that the console serves at once where descriptors are few.
+/// Concurrent callers that the console serves even if descriptors are few.
 const MIN_CONSOLE_CALLERS: usize = 6;
-/// Descriptors above which the console serves further callers.
-const SOCKETS_FOR_MORE_CONSOLE_CALLERS: usize = 256;
-/// Descriptors for each further caller of the console.
+/// Number of descriptors above which the console serves further callers.
+const MIN_SOCKETS_FOR_FURTHER_CONSOLE_CALLERS: usize = 256;
+/// Number of descriptors, above that threshold, for each further caller of the console.
 const SOCKETS_PER_CONSOLE_CALLER: usize = 32;
+/// Largest number of further callers of the console.
 const MAX_FURTHER_CONSOLE_CALLERS: usize = 58;
 
-/// Descriptors for each stream to a peer.
+/// Number of descriptors of the process for each stream to a peer.
 const SOCKETS_PER_PEER_STREAM: usize = 64;
 const MIN_PEER_STREAMS: usize = 2;
 const MAX_PEER_STREAMS: usize = 16;
 /// The datagram socket and the stream listener for peers.
 const PEER_LISTENERS: usize = 2;
 
-/// Fraction of the connections that goes to hosts; each of these serves many clients in turn.
+/// Fraction of the connections that is used for hosts. Each of these connections serves many clients in turn.
 const UPSTREAM_FRACTION: f64 = 0.3;
-/// Fraction of the memory for messages that client connections may use; each may hold a statement of the largest size.
+/// Fraction of the memory for messages that client connections may use. Each may hold a statement of the
+/// largest size.
 const CLIENT_MEMORY_FRACTION: f64 = 0.8;
-/// Fewest connections on either side that the proxy works with.
+/// Smallest limit of connections, to clients or to hosts, with which the proxy works.
 pub(super) const MIN_CONNECTIONS: usize = 8;
-/// Fewest descriptors that the proxy works with.
+/// Smallest number of descriptors with which the proxy works.
 pub(super) const MIN_SOCKETS: usize = 64;
-/// Descriptors where the file gives no number.
+/// Number of descriptors if the file does not set it.
 pub(super) const DEFAULT_SOCKETS: usize = 1024;
 
-/// Largest number of connections of each kind at once.
+/// Largest number of concurrent connections of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// Client connections, without the [`MAX_OVERFLOW_CONNECTIONS`].
+    /// Client connections, not counting up to [`MAX_OVERFLOW_CONNECTIONS`] more that are only rejected.
     pub clients: usize,
     /// Connections to hosts.
     pub upstream: usize,
     /// Callers of the console.
     pub console_callers: usize,
-    /// Streams to peers; as many come from them.
+    /// Streams to peers. The same number is allowed from peers.
     pub peer_streams: usize,
 }
 
 impl ConnectionLimits {
     /// Divides the descriptors of a process without peers and with one client listener.
     pub(super) fn divide(sockets: usize) -> Self {
-        let connections = sockets.saturating_sub(RESERVED) as f64;
+        let connections = sockets.saturating_sub(RESERVED_DESCRIPTORS) as f64;
         let further_callers =
-            sockets.saturating_sub(SOCKETS_FOR_MORE_CONSOLE_CALLERS) / SOCKETS_PER_CONSOLE_CALLER;
+            sockets.saturating_sub(MIN_SOCKETS_FOR_FURTHER_CONSOLE_CALLERS) / SOCKETS_PER_CONSOLE_CALLER;
         let further_callers = further_callers.min(MAX_FURTHER_CONSOLE_CALLERS);
         let clients = (connections * (1.0 - UPSTREAM_FRACTION)) as usize;
         Self {
@@ -91,13 +94,14 @@
             return Self { clients: limits.clients.saturating_sub(further_listeners), ..limits };
         }
         let peer_streams = (sockets / SOCKETS_PER_PEER_STREAM).clamp(MIN_PEER_STREAMS, MAX_PEER_STREAMS);
-        let for_peers = PEER_LISTENERS + 2 * peer_streams;
-        let clients = limits.clients.saturating_sub(further_listeners + for_peers);
+        let peer_descriptors = PEER_LISTENERS + 2 * peer_streams;
+        let clients = limits.clients.saturating_sub(further_listeners + peer_descriptors);
         Self { clients, peer_streams, ..limits }
     }
 
-    /// Returns the limits lowered to what the memory for messages allows, if it is bounded: each client connection may
-    /// hold a statement of `max_statement_bytes`, each connection to a host an answer of the largest size.
+    /// Lowers the limits to fit the memory for messages; `None` means that it is not bounded. Each client
+    /// connection may hold a statement of `max_statement_bytes`, and each connection to a host an answer of
+    /// the largest size.
     pub(super) fn within_memory(self, memory_bytes: Option<f64>, max_statement_bytes: usize) -> Self {
         let Some(memory_bytes) = memory_bytes else { return self };
         let connections = |fraction: f64, message_bytes: usize| {
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,19 +1,19 @@
-//! Errors of the configuration.
+//! Configuration errors.
 
 use thiserror::Error;
 
-/// A configuration that the proxy cannot start with.
+/// Error of a configuration with which the proxy cannot start.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("configuration key `{key}`: {problem}")]
 pub struct ConfigError {
-    /// The key or environment variable at fault.
+    /// The invalid key or environment variable.
     pub key: String,
-    /// What is wrong with its value.
+    /// Problem of its value.
     pub problem: String,
 }
 
 impl ConfigError {
-    /// Returns the error of a key.
+    /// Returns an error of this key.
     pub(super) fn new(key: &str, problem: impl ToString) -> Self {
         Self { key: key.to_owned(), problem: problem.to_string() }
     }
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -1,7 +1,8 @@
-//! The platform's configuration file, in JSON: the one place that maps its keys to the terms of the code.
+//! The platform's configuration file, in JSON. Only this module maps its keys to the terms of the code.
 //!
-//! The structures keep the names that messages about a malformed file show. The settings within it are read by
-//! [`crate::settings`], except for the keys that only the proxy needs.
+//! Messages about a malformed file show the names of these structures, which are therefore part of the
+//! interface. The settings in the file are parsed by [`crate::settings`], except for the keys that only the
+//! proxy needs.
 
 use super::error::ConfigError;
 use crate::endpoint_list::RawListing;
@@ -16,7 +17,7 @@
     pub(super) seed: Option<serde_json::Value>,
     #[serde(default)]
     pub(super) limits: FileLimits,
-    /// The endpoint list as it was last cached.
+    /// The last cached endpoint list.
     #[serde(rename = "known")]
     pub(super) cached_endpoints: Option<RawListing>,
     pub(super) settings: serde_json::Value,
@@ -42,7 +43,7 @@
     pub(super) share: f64,
 }
 
-/// The keys of the settings that only the proxy needs.
+/// Keys of the settings that only the proxy needs.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(super) struct SettingsNames {
@@ -88,7 +89,7 @@
     }
 }
 
-/// Returns the key that a message of serde names in backquotes, if any.
+/// Returns the key that an error message of serde quotes with backticks, or `GW_CONFIG` if there is none.
 fn key_at_fault(message: &str) -> String {
     let quoted = message.split('`').nth(1).filter(|key| !key.contains(' '));
     quoted.unwrap_or("GW_CONFIG").to_owned()
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,8 @@
-//! Configuration: the only place that reads the configuration's variables, the platform's file and the operator's file. The
-//! command line reads `GW_OPERATOR`, `GW_LOG` and `GW_TRACE`.
+//! Configuration of the proxy. Only this module reads the configuration's environment variables, the
+//! platform's file and the operator's file. The command line reads `GW_OPERATOR`, `GW_LOG` and `GW_TRACE`.
 //!
-//! [`Config::from_env`] reads all of them at the start; [`Config::reload`] reads the platform's file again at SIGHUP.
+//! [`Config::from_env`] reads the configuration at startup; [`Config::reload`] rereads the platform's file at
+//! SIGHUP.
 
 mod descriptors;
 mod error;
@@ -30,66 +31,67 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The environment variables of the configuration.
+/// Environment variables of the configuration.
 const VARIABLES: [&str; 5] = ["GW_CONFIG", "GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_CONSOLE"];
 
-/// Least size of a connection's pipeline, in bytes: a few short statements.
+/// Smallest size of a connection's pipeline, in bytes: a few short statements.
 const MIN_PIPELINE_BYTES: usize = 16 * 1024;
-/// Largest size of a connection's pipeline, in bytes: little more than one statement of the largest size.
+/// Largest size of a connection's pipeline, in bytes: slightly more than a statement of the largest size.
 const MAX_PIPELINE_BYTES: usize = 256 * 1024;
 
 /// The configuration of a proxy.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The file that it was read from, for [`Config::reload`]; `None` if a program made it.
+    /// Path of the file that it was read from, for [`Config::reload`]; `None` if it was not read from a file.
     pub file: Option<PathBuf>,
-    /// The proxy's name.
+    /// Name of the proxy.
     pub name: String,
-    /// Where clients connect with PostgreSQL's protocol.
+    /// Address of the listener for clients that use PostgreSQL's protocol.
     pub listen: SocketAddr,
-    /// What the operator's file adds.
+    /// Settings of the operator's file.
     pub operator: OperatorSettings,
-    /// The address of discovery.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where the operators' console listens (`$GW_CONSOLE`, else the key `console`); `None` switches it off.
+    /// Address of the operators' console (`$GW_CONSOLE`, or else the key `console`); `None` disables it.
     pub console: Option<SocketAddr>,
-    /// Seed of the router's random numbers.
+    /// Seed of the router's random number generator.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Number of descriptors that the process may hold.
     sockets: usize,
     /// Largest number of connections of each kind.
     pub limits: ConnectionLimits,
     /// Memory that messages may take, in bytes; `None` if it is not bounded.
     message_memory_bytes: Option<f64>,
-    /// What the division of memory is made from.
+    /// Inputs of [`Self::plan`].
     plan_inputs: PlanInputs,
-    /// The division of memory by purpose.
+    /// Division of memory by purpose.
     pub plan: Plan,
-    /// The endpoint list as it was last cached.
+    /// The last cached endpoint list.
     pub cached_endpoints: Option<EndpointList>,
-    /// The router's settings.
+    /// Settings of the router.
     pub settings: Settings,
-    /// How hosts write load reports and positions.
+    /// Format of the load reports and positions that hosts send.
     pub report_format: ReportFormat,
     /// Names of classes, tenants and zones.
     pub names: Names,
-    /// Time after which a connection to a host that is not established has failed.
+    /// Timeout for connecting to a host.
     pub connect_timeout: Duration,
     /// Time after which an idle connection to a host is closed.
     pub upstream_idle_timeout: Duration,
-    /// Whether the platform lets proxies send messages to each other.
+    /// Whether the platform allows messages between proxies.
     peers_allowed: bool,
-    /// Most requests that are in flight or queued at once.
+    /// Largest number of requests that are in flight or queued at once.
     pub max_pending_requests: usize,
-    /// Most attempts of one request; the same key as the settings' `max_attempts`, checked again by the core actor.
+    /// Largest number of attempts of one request. Read from the same key as the settings' `max_attempts`; the
+    /// core actor enforces it independently of the router.
     pub max_attempts: u32,
 }
 
 impl Config {
-    /// Reads the environment and the file that it names, and adds what the operator's file sets.
+    /// Reads the environment and the file that it names, and adds the settings of the operator's file.
     ///
     /// # Errors
-    /// Returns the first key that is missing or has an invalid value.
+    /// Returns an error for the first key that is missing or has an invalid value.
     pub fn from_env(operator: OperatorSettings) -> Result<Self, ConfigError> {
         let variable = |name: &'static str| Some((name, std::env::var(name).ok()?));
         let env: HashMap<&str, String> = VARIABLES.into_iter().filter_map(variable).collect();
@@ -99,16 +101,16 @@
         Self { file: Some(path.into()), ..config }.with_operator(operator)
     }
 
-    /// Adds what the operator's file sets.
+    /// Adds the settings of the operator's file.
     ///
     /// # Errors
-    /// Returns an error if that does not fit the rest.
+    /// Returns an error if they conflict with the platform's configuration.
     pub fn with_operator(mut self, operator: OperatorSettings) -> Result<Self, ConfigError> {
         self.limits = self.limits_with(&operator)?;
         if operator.peers.is_some() && !self.peers_allowed {
             let problem =
-                "the platform forbids proxies to speak with each other (settings.limits.mayTell is false); \
-                           take `peers` out of the operator's file";
+                "the platform does not allow messages between proxies (settings.limits.mayTell is false); \
+                 remove `peers` from the operator's file";
             return Err(ConfigError::new("peers", problem));
         }
         self.plan_inputs.total = operator.memory.total.unwrap_or(self.plan_inputs.total);
@@ -123,7 +125,7 @@
         let limits = ConnectionLimits::divide_with(self.sockets, further_listeners, operator.peers.is_some());
         if limits.clients < MIN_CONNECTIONS {
             let problem = format!(
-                "{} leave too few for clients beside what the operator's file asks for",
+                "{} sockets leave too few for clients besides the listeners and peers of the operator's file",
                 self.sockets
             );
             return Err(ConfigError::new("limits.sockets", problem));
@@ -133,7 +135,7 @@
         Ok(limits.within_memory(self.message_memory_bytes, max_statement_bytes))
     }
 
-    /// Returns the limits of one client connection's pipeline.
+    /// Returns the pipeline limits of one client connection.
     pub fn pipeline(&self) -> PipelineLimits {
         let buffers = self.plan.limits[Purpose::ClientBuffers as usize].cap;
         let bytes = usize::try_from(buffers).unwrap_or(usize::MAX) / self.limits.clients.max(1);
@@ -141,7 +143,7 @@
         PipelineLimits::per_connection(self.max_pending_requests, self.limits.clients, bytes)
     }
 
-    /// Returns where clients connect, with the protocol spoken there.
+    /// Returns the protocol and the address of each listener for clients.
     pub fn listeners(&self) -> Vec<(Protocol, SocketAddr)> {
         let further = self.operator.listeners.iter().map(|listener| (listener.protocol, listener.address));
         std::iter::once((Protocol::Postgres, self.listen)).chain(further).collect()
--- a/src/config/names.rs
+++ b/src/config/names.rs
@@ -1,34 +1,34 @@
-//! Names of request classes, tenants and zones.
+//! Names of the request classes, tenants and zones.
 
 use crate::interface::{Freshness, Idempotency, RequestClass};
 
-/// The names that clients use, with the indices that the router knows them by.
+/// Names that clients use. Their positions are the indices that the router uses.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// The request classes, in the order of [`Settings::classes`](crate::interface::Settings::classes).
+    /// Request classes, in the order of [`Settings::classes`](crate::interface::Settings::classes).
     pub classes: Vec<ClassName>,
-    /// The tenants, in the order of [`Settings::tenant_quotas`](crate::interface::Settings::tenant_quotas).
+    /// Tenants, in the order of [`Settings::tenant_quotas`](crate::interface::Settings::tenant_quotas).
     pub tenants: Vec<TenantName>,
-    /// The zones, by index.
+    /// Zones, by index.
     pub zones: Vec<String>,
 }
 
-/// The name of a request class, and what a statement of the class must look like.
+/// Name of a request class, and the requirements on statements of the class.
 #[derive(Clone, Debug, Default)]
 pub struct ClassName {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Whether its statements write.
+    /// Whether statements of the class write.
     pub is_write: bool,
-    /// Whether its statements must carry an idempotency key.
+    /// Whether statements of the class must carry an idempotency key.
     pub needs_key: bool,
-    /// Whether new requests may name it. A class that a reloaded configuration leaves out keeps its index for the
-    /// requests in flight.
+    /// Whether new requests may use the class. A class that a reload removes keeps its index for the requests
+    /// in flight.
     pub is_configured: bool,
 }
 
 impl ClassName {
-    /// Returns the name of a class of the settings.
+    /// Returns the entry for a class of the settings.
     pub(super) fn new(name: String, class: &RequestClass) -> Self {
         Self {
             name,
@@ -39,22 +39,22 @@
     }
 }
 
-/// The name of a tenant.
+/// Name of a tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TenantName {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Whether requests may name it. A tenant that a reloaded configuration leaves out keeps its index.
+    /// Whether requests may use the tenant. A tenant that a reload removes keeps its index.
     pub is_configured: bool,
 }
 
 impl Names {
-    /// Returns the index of a configured tenant.
+    /// Returns the index of a configured tenant; `None` if there is none with this name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.iter().position(|tenant| tenant.is_configured && tenant.name == name)
     }
 
-    /// Returns whether any tenant is configured: each statement must name one then.
+    /// Returns whether any tenant is configured. If so, every statement must name one.
     pub fn has_tenants(&self) -> bool {
         self.tenants.iter().any(|tenant| tenant.is_configured)
     }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,6 +1,6 @@
-//! The operator's file, in YAML: what the platform's file does not set. It is optional.
+//! The operator's file, in YAML: settings that are not part of the platform's file. The file is optional.
 //!
-//! The structures `File` and `Raw...` are the file's format; errors name file, line and key.
+//! The structures `File` and `Raw...` define the format of the file. Errors name the file, line and key.
 
 use crate::budget::plan::LimitOverride;
 use crate::budget::{Purpose, PURPOSES};
@@ -14,40 +14,40 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What the operator's file sets.
+/// Settings of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OperatorSettings {
-    /// Further listeners for clients.
+    /// Additional listeners for clients.
     pub listeners: Vec<Listener>,
-    /// The protocols of the hosts.
+    /// Protocols of the hosts.
     pub hosts: HostProtocols,
-    /// The division of memory.
+    /// Limits on the division of memory.
     pub memory: MemorySettings,
-    /// The fleet that this proxy belongs to; `None` if it has no peers.
+    /// Settings of the fleet that this proxy belongs to; `None` if it has no peers.
     pub peers: Option<PeerSettings>,
 }
 
-/// The fleet that a proxy belongs to (`docs/operate/fleet.md`).
+/// Settings of the fleet that a proxy belongs to (`docs/operate/fleet.md`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// The fleet's name, the same at each member.
+    /// Name of the fleet, the same at each member.
     pub fleet: String,
-    /// Where this proxy receives datagrams and streams of its peers.
+    /// Address at which this proxy receives datagrams and streams of its peers.
     pub listen: SocketAddr,
-    /// The members that found the fleet together, with their addresses; the same in each member's file.
+    /// Members that found the fleet together, with their addresses. The same in each member's file.
     pub founders: BTreeMap<Name, SocketAddr>,
-    /// Other members with addresses known in advance; those of the rest are discovered.
+    /// Other members whose addresses are known in advance. The addresses of all others are discovered.
     pub members: BTreeMap<Name, SocketAddr>,
-    /// The key that messages are authenticated with.
+    /// Key with which messages are authenticated.
     pub key: Key,
-    /// A second key that is accepted while keys are rotated.
+    /// Second key that is accepted during key rotation.
     pub second_key: Option<Key>,
 }
 
-/// What the operator sets about memory; defaults apply to the rest.
+/// Limits on memory that the operator sets; defaults apply to the rest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemorySettings {
-    /// Bytes of all accounted memory.
+    /// Size of all accounted memory, in bytes.
     pub total: Option<u64>,
     /// Caps and reserves by purpose.
     pub purposes: BTreeMap<Purpose, LimitOverride>,
@@ -56,13 +56,13 @@
 /// A listener for clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listener {
-    /// The protocol spoken there.
+    /// Protocol of the listener.
     pub protocol: Protocol,
-    /// The address that it listens on.
+    /// Address that it listens on.
     pub address: SocketAddr,
 }
 
-/// The protocols of the hosts, by the type that discovery gives them.
+/// Protocols of the hosts, by the type that discovery assigns to them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HostProtocols {
     default: Protocol,
@@ -70,28 +70,28 @@
 }
 
 impl HostProtocols {
-    /// Returns the protocol of hosts of a type.
+    /// Returns the protocol of hosts of this type.
     pub fn protocol(&self, host_type: &str) -> Protocol {
         self.types.get(host_type).copied().unwrap_or(self.default)
     }
 
-    /// Returns the protocols that some host may speak.
-    fn spoken(&self) -> impl Iterator<Item = Protocol> + '_ {
+    /// Returns every protocol that hosts may speak.
+    fn all(&self) -> impl Iterator<Item = Protocol> + '_ {
         std::iter::once(self.default).chain(self.types.values().copied())
     }
 }
 
-/// An operator's file that the proxy cannot start with.
+/// Error of an operator's file with which the proxy cannot start.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}{}: {key}: {problem}", line.map(|line| format!(":{line}")).unwrap_or_default())]
 pub struct OperatorError {
     /// Path of the file.
     pub file: String,
-    /// The line at fault, from 1; `None` if the file as a whole is.
+    /// Number of the invalid line, from 1; `None` if the problem concerns the whole file.
     pub line: Option<u64>,
-    /// The key at fault; `file` if the file as a whole is.
+    /// The invalid key; `file` if the problem concerns the whole file.
     pub key: String,
-    /// What is wrong with it, and what is allowed.
+    /// Problem of the value, and the allowed values.
     pub problem: String,
 }
 
@@ -143,10 +143,10 @@
     types: BTreeMap<String, Spanned<String>>,
 }
 
-/// The protocols that the file may name.
+/// Protocols that the file may name.
 const PROTOCOLS: [Protocol; 2] = [Protocol::Postgres, Protocol::Tds];
 
-/// Reads values of a file, with errors that name it.
+/// Parses values of a file. Its errors name the file.
 struct ValueReader<'a> {
     file: &'a str,
 }
@@ -160,14 +160,18 @@
     fn bytes(&self, text: &Spanned<String>, key: &str) -> Result<u64, OperatorError> {
         let size: Result<ByteSize, _> = text.value.parse();
         size.map(|size| size.as_u64()).map_err(|_| {
-            let problem = format!("`{}` is no size; allowed are numbers with a unit, like 64MiB", text.value);
+            let problem =
+                format!("invalid size `{}`: expected a number with a unit, such as 64MiB", text.value);
             self.error(text.referenced, key, problem)
         })
     }
 
     fn address(&self, text: &Spanned<String>, key: &str) -> Result<SocketAddr, OperatorError> {
         text.value.parse().map_err(|_| {
-            let problem = format!("`{}` is no address with a port, like 127.0.0.1:1433", text.value);
+            let problem = format!(
+                "invalid address `{}`: expected an IP address with a port, such as 127.0.0.1:1433",
+                text.value
+            );
             self.error(text.referenced, key, problem)
         })
     }
@@ -175,7 +179,7 @@
     fn protocol(&self, name: &Spanned<String>, key: &str) -> Result<Protocol, OperatorError> {
         let found = PROTOCOLS.into_iter().find(|protocol| protocol.to_string() == name.value);
         found.ok_or_else(|| {
-            let problem = format!("`{}` is no protocol; allowed are postgres and tds", name.value);
+            let problem = format!("unknown protocol `{}`: expected postgres or tds", name.value);
             self.error(name.referenced, key, problem)
         })
     }
@@ -185,7 +189,8 @@
     /// Reads the file at `path`.
     ///
     /// # Errors
-    /// Returns the first line and key with an invalid value, or why the file cannot be read.
+    /// Returns an error that names the first line and key with an invalid value, or says why the file cannot
+    /// be read.
     pub fn from_file(path: &Path) -> Result<Self, OperatorError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -197,21 +202,21 @@
         }
     }
 
-    /// Reads the text of a file; `file` is its name in errors.
+    /// Parses the text of a file; `file` is its name in errors.
     ///
     /// # Errors
-    /// Returns the first line and key with an invalid value.
+    /// Returns an error that names the first line and key with an invalid value.
     pub fn read(text: &str, file: &str) -> Result<Self, OperatorError> {
         let reader = ValueReader { file };
         let raw = parse(text, &reader)?;
-        let hosts = hosts(raw.hosts, &reader)?;
-        let listeners = listeners(&raw.listeners, &hosts, &reader)?;
-        let peers = raw.peers.as_ref().map(|raw| peers(raw, &reader)).transpose()?;
-        Ok(Self { listeners, hosts, memory: memory(&raw.memory, &reader)?, peers })
+        let hosts = read_hosts(raw.hosts, &reader)?;
+        let listeners = read_listeners(&raw.listeners, &hosts, &reader)?;
+        let peers = raw.peers.as_ref().map(|raw| read_peers(raw, &reader)).transpose()?;
+        Ok(Self { listeners, hosts, memory: read_memory(&raw.memory, &reader)?, peers })
     }
 }
 
-/// Parses the file; one of blank lines and comments alone sets nothing.
+/// Parses the file. A file of only blank lines and comments is allowed and sets nothing.
 fn parse(text: &str, reader: &ValueReader<'_>) -> Result<File, OperatorError> {
     if text.lines().all(|line| line.trim_start().starts_with('#') || line.trim().is_empty()) {
         return Ok(File::default());
@@ -223,12 +228,12 @@
     })
 }
 
-fn listeners(
+fn read_listeners(
     raw: &[RawListener],
     hosts: &HostProtocols,
     reader: &ValueReader<'_>,
 ) -> Result<Vec<Listener>, OperatorError> {
-    let host_protocols: Vec<Protocol> = hosts.spoken().collect();
+    let host_protocols: Vec<Protocol> = hosts.all().collect();
     let mut listeners = Vec::with_capacity(raw.len());
     let mut addresses = BTreeSet::new();
     for (index, raw) in raw.iter().enumerate() {
@@ -236,13 +241,13 @@
         let protocol = reader.protocol(&raw.protocol, &key("protocol"))?;
         if !host_protocols.contains(&protocol) {
             let problem = format!(
-                "no ledger host speaks {protocol}; set hosts.default or a type under hosts.types to it"
+                "no ledger host speaks {protocol}; set hosts.default or a type in hosts.types to {protocol}"
             );
             return Err(reader.error(raw.protocol.referenced, &key("protocol"), problem));
         }
         let address = reader.address(&raw.address, &key("address"))?;
         if address.port() != 0 && !addresses.insert(address) {
-            let problem = format!("{address} stands twice; each listener has an address of its own");
+            let problem = format!("duplicate address {address}: each listener needs its own");
             return Err(reader.error(raw.address.referenced, &key("address"), problem));
         }
         listeners.push(Listener { protocol, address });
@@ -250,25 +255,25 @@
     Ok(listeners)
 }
 
-/// Longest name of a fleet or member, in bytes: each message carries them.
+/// Largest length of the name of a fleet or member, in bytes. Each message carries these names.
 const MAX_NAME_BYTES: usize = 64;
-/// Most founders of a fleet: all of them have to be present at its foundation.
+/// Largest number of founders of a fleet. All of them must be present when it is founded.
 const MAX_FOUNDERS: usize = 32;
 
-fn peers(raw: &Spanned<RawPeers>, reader: &ValueReader<'_>) -> Result<PeerSettings, OperatorError> {
+fn read_peers(raw: &Spanned<RawPeers>, reader: &ValueReader<'_>) -> Result<PeerSettings, OperatorError> {
     let RawPeers { fleet, listen, founders, members, key_files } = &raw.value;
     if fleet.value.is_empty() || fleet.value.len() > MAX_NAME_BYTES {
-        let problem = format!("a fleet's name has 1 to {MAX_NAME_BYTES} bytes");
+        let problem = format!("the fleet's name must have 1 to {MAX_NAME_BYTES} bytes");
         return Err(reader.error(fleet.referenced, "peers.fleet", problem));
     }
     let founder_addresses = member_addresses(&founders.value, "peers.founders", reader)?;
     if founder_addresses.is_empty() || founder_addresses.len() > MAX_FOUNDERS {
         let problem = format!(
-            "1 to {MAX_FOUNDERS} proxies found a fleet, all of them together; give NAME: ADDRESS of each"
+            "expected 1 to {MAX_FOUNDERS} founders, each as NAME: ADDRESS; all found the fleet together"
         );
         return Err(reader.error(founders.referenced, "peers.founders", problem));
     }
-    let (key, second_key) = keys(key_files, reader)?;
+    let (key, second_key) = read_keys(key_files, reader)?;
     Ok(PeerSettings {
         fleet: fleet.value.clone(),
         listen: reader.address(listen, "peers.listen")?,
@@ -290,7 +295,7 @@
             return Err(reader.error(
                 address.referenced,
                 &key,
-                format!("a name has 1 to {MAX_NAME_BYTES} bytes"),
+                format!("a member's name must have 1 to {MAX_NAME_BYTES} bytes"),
             ));
         }
         Ok((name.as_str().into(), reader.address(address, &key)?))
@@ -298,7 +303,7 @@
     raw.iter().map(member).collect()
 }
 
-fn keys(
+fn read_keys(
     files: &Spanned<Vec<Spanned<String>>>,
     reader: &ValueReader<'_>,
 ) -> Result<(Key, Option<Key>), OperatorError> {
@@ -313,20 +318,22 @@
         [first] => Ok((read(first)?, None)),
         [first, second] => Ok((read(first)?, Some(read(second)?))),
         _ => {
-            let problem = "one file, or two while keys are changed: the first seals, both open".to_owned();
+            let problem =
+                "expected one file, or two during key rotation: the first authenticates, both are accepted"
+                    .to_owned();
             Err(reader.error(files.referenced, "peers.key_files", problem))
         }
     }
 }
 
-fn memory(raw: &RawMemory, reader: &ValueReader<'_>) -> Result<MemorySettings, OperatorError> {
+fn read_memory(raw: &RawMemory, reader: &ValueReader<'_>) -> Result<MemorySettings, OperatorError> {
     let total = raw.total.as_ref().map(|text| reader.bytes(text, "memory.total")).transpose()?;
     let mut purposes = BTreeMap::new();
     for (name, limits) in &raw.purposes {
         let key = |part: &str| format!("memory.purposes.{name}{part}");
         let purpose = PURPOSES.into_iter().find(|purpose| purpose.to_string() == *name).ok_or_else(|| {
             let known: Vec<String> = PURPOSES.iter().map(ToString::to_string).collect();
-            let problem = format!("`{name}` is no purpose; allowed are {}", known.join(", "));
+            let problem = format!("unknown purpose `{name}`: expected one of {}", known.join(", "));
             reader.error(limits.referenced, &key(""), problem)
         })?;
         let bytes = |text: &Option<Spanned<String>>, part| {
@@ -334,7 +341,7 @@
         };
         let (cap, reserve) = (bytes(&limits.value.cap, ".cap")?, bytes(&limits.value.reserve, ".reserve")?);
         if cap.zip(reserve).is_some_and(|(cap, reserve)| reserve > cap) {
-            let problem = "a reserve is at most as large as the cap".to_owned();
+            let problem = "the reserve must not exceed the cap".to_owned();
             return Err(reader.error(limits.referenced, &key(".reserve"), problem));
         }
         purposes.insert(purpose, LimitOverride { cap, reserve });
@@ -342,7 +349,7 @@
     Ok(MemorySettings { total, purposes })
 }
 
-fn hosts(raw: RawHosts, reader: &ValueReader<'_>) -> Result<HostProtocols, OperatorError> {
+fn read_hosts(raw: RawHosts, reader: &ValueReader<'_>) -> Result<HostProtocols, OperatorError> {
     let default = match &raw.default {
         Some(name) => reader.protocol(name, "hosts.default")?,
         None => Protocol::default(),
--- a/src/config/read.rs
+++ b/src/config/read.rs
@@ -1,4 +1,4 @@
-//! Reading a configuration from the text of the platform's file and the environment.
+//! Reads a configuration from the text of the platform's file and from the environment.
 
 use super::descriptors::{ConnectionLimits, DEFAULT_SOCKETS, MIN_SOCKETS};
 use super::file::{Customer, File, FileLimits, SettingsNames};
@@ -14,16 +14,17 @@
 const BYTES_PER_MEBIBYTE: u32 = 1 << 20;
 /// Fraction of the memory that messages may take.
 const MESSAGE_MEMORY_FRACTION: f64 = 0.95;
-/// Fraction of the memory that is accounted for by purpose: the program itself and the allocator need the rest.
+/// Fraction of the memory that is accounted for by purpose. The program itself and the allocator need the
+/// rest.
 const ACCOUNTED_MEMORY_FRACTION: f64 = 0.8;
-/// Bytes that are accounted for where the file does not bound the memory.
+/// Bytes that are accounted for if the file does not limit the memory.
 const DEFAULT_ACCOUNTED_BYTES: u64 = 4 << 30;
 
 impl Config {
-    /// Reads the text of a configuration file. Variables of the environment, given by `env`, take precedence.
+    /// Reads the text of a configuration file. Environment variables, which `env` looks up, take precedence.
     ///
     /// # Errors
-    /// Returns the first key that is missing or has an invalid value.
+    /// Returns an error for the first key that is missing or has an invalid value.
     pub fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let file = File::parse(text)?;
         let (name, _) = required("name", env("GW_NAME"), "GW_NAME", file.name)?;
@@ -32,22 +33,22 @@
         let console = console_address(env("GW_CONSOLE"), file.console)?;
         let seed = read_seed(file.seed.as_ref())?;
         let (settings, report_format) = read_settings(&file.settings)?;
-        let more: SettingsNames =
+        let extra: SettingsNames =
             serde_json::from_value(file.settings).map_err(|error| ConfigError::new("settings", error))?;
-        let keepalive = positive_seconds("settings.limits.keepalive", more.limits.keepalive_seconds)?;
-        if more.limits.max_pending_requests == 0 {
+        let keepalive = positive_seconds("settings.limits.keepalive", extra.limits.keepalive_seconds)?;
+        if extra.limits.max_pending_requests == 0 {
             return Err(ConfigError::new("settings.limits.mostHeld", "must be at least 1"));
         }
         let sockets = check_limits(&file.limits)?;
-        let memory_bytes = file.limits.memory_mb.map(MemoryBytes::of);
+        let memory_bytes = file.limits.memory_mb.map(MemoryBytes::from_mebibytes);
         let message_memory_bytes = memory_bytes.map(|memory| memory.messages);
-        let plan_inputs = plan_inputs(memory_bytes, &settings, &more.tenants);
+        let plan_inputs = plan_inputs(memory_bytes, &settings, &extra.tenants);
         let plan = Plan::new(&plan_inputs).map_err(|error| ConfigError::new("limits.memory_mb", error))?;
         let names =
-            names(more.zones, more.classes.into_iter().map(|class| class.name), more.tenants, &settings);
+            names(extra.zones, extra.classes.into_iter().map(|class| class.name), extra.tenants, &settings);
         let cached_endpoints = read_endpoints(file.cached_endpoints, &names.zones)?;
         let connect_timeout =
-            positive_seconds("settings.limits.connectTimeout", more.limits.connect_timeout_seconds)?;
+            positive_seconds("settings.limits.connectTimeout", extra.limits.connect_timeout_seconds)?;
         Ok(Self {
             file: None,
             name,
@@ -67,16 +68,16 @@
             report_format,
             names,
             connect_timeout,
-            // Well before the host closes it: a request written at that moment would end as a reset.
+            // Well before the host closes the connection: a request written at that moment would be reset.
             upstream_idle_timeout: keepalive * 2 / 3,
-            peers_allowed: more.limits.peers_allowed,
-            max_pending_requests: more.limits.max_pending_requests,
-            max_attempts: more.limits.max_attempts,
+            peers_allowed: extra.limits.peers_allowed,
+            max_pending_requests: extra.limits.max_pending_requests,
+            max_attempts: extra.limits.max_attempts,
         })
     }
 }
 
-/// Returns a value that is required, and the key that it has: the environment's, else the file's.
+/// Returns a required value and the key that it comes from: the environment's, or else the file's.
 fn required(
     key: &'static str,
     env: Option<String>,
@@ -85,7 +86,7 @@
 ) -> Result<(String, &'static str), ConfigError> {
     let value = env.map(|value| (value, env_key)).or(file.map(|value| (value, key)));
     let (value, key) =
-        value.ok_or_else(|| ConfigError::new(key, format!("is missing, and so is {env_key}")))?;
+        value.ok_or_else(|| ConfigError::new(key, format!("is missing, and {env_key} is not set")))?;
     if value.is_empty() {
         return Err(ConfigError::new(key, "is empty"));
     }
@@ -102,7 +103,7 @@
     address(&text, key)
 }
 
-/// Returns the console's address; an empty one switches it off.
+/// Returns the console's address; an empty value disables the console.
 fn console_address(env: Option<String>, file: Option<String>) -> Result<Option<SocketAddr>, ConfigError> {
     let value = env.map(|text| (text, "GW_CONSOLE")).or(file.map(|text| (text, "console")));
     let value = value.filter(|(text, _)| !text.is_empty());
@@ -110,10 +111,12 @@
 }
 
 fn address(text: &str, key: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| ConfigError::new(key, format!("`{text}` is no address with a port")))
+    text.parse().map_err(|_| {
+        ConfigError::new(key, format!("invalid address `{text}`: expected an IP address with a port"))
+    })
 }
 
-/// Reads a seed of up to sixteen hexadecimal digits, or a number.
+/// Reads the seed: a string of up to 16 hexadecimal digits, or a number.
 fn read_seed(value: Option<&serde_json::Value>) -> Result<u64, ConfigError> {
     let seed = match value {
         Some(serde_json::Value::String(text)) => u64::from_str_radix(text, 16).ok(),
@@ -141,7 +144,7 @@
     }
 }
 
-/// Checks the limits of the process; returns the number of descriptors.
+/// Checks the limits of the process. Returns the number of descriptors.
 fn check_limits(limits: &FileLimits) -> Result<usize, ConfigError> {
     for (key, value) in [("limits.cores", limits.cores), ("limits.memory_mb", limits.memory_mb)] {
         if value.is_some_and(|value| value.is_nan() || value <= 0.0) {
@@ -155,15 +158,17 @@
     Ok(sockets)
 }
 
-/// What the memory of the process may be used for, in bytes.
+/// Parts of the process's memory, in bytes.
 #[derive(Clone, Copy)]
 struct MemoryBytes {
+    /// Memory that messages may take.
     messages: f64,
+    /// Memory that is accounted for by purpose.
     accounted: u64,
 }
 
 impl MemoryBytes {
-    fn of(mebibytes: f64) -> Self {
+    fn from_mebibytes(mebibytes: f64) -> Self {
         Self {
             messages: mebibytes * MESSAGE_MEMORY_FRACTION * f64::from(BYTES_PER_MEBIBYTE),
             accounted: (mebibytes * ACCOUNTED_MEMORY_FRACTION * f64::from(BYTES_PER_MEBIBYTE)) as u64,
@@ -195,7 +200,7 @@
     Names { classes: classes.collect(), tenants: tenants.collect(), zones }
 }
 
-/// Reads the cached endpoint list; one without a host in use is as good as none.
+/// Reads the cached endpoint list. Returns `None` also if all of its hosts are removed.
 fn read_endpoints(raw: Option<RawListing>, zones: &[String]) -> Result<Option<EndpointList>, ConfigError> {
     let Some(raw) = raw else { return Ok(None) };
     let (list, problems) = raw.into_list(zones);
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,17 +1,17 @@
-//! Reloading the configuration while the proxy runs.
+//! Reloads the configuration while the proxy runs.
 //!
-//! What may change: the address of discovery, the request classes, the tenants with their quotas, and the number of
-//! attempts. Everything else holds until a restart. Classes and tenants keep their indices, so that requests in flight keep
-//! theirs; a class that is left out takes no new requests, a tenant that is left out has no quota, and new ones are
-//! appended.
+//! A reload applies changes of the address of discovery, the request classes, the router's other settings,
+//! the tenants with their quotas, and the number of attempts. Everything else is kept until a restart.
+//! Classes and tenants keep their indices, which requests in flight refer to: a class that is removed accepts
+//! no new requests, a tenant that is removed has no quota, and new ones are appended.
 
 use super::file::File;
 use super::{ClassName, Config, ConfigError, TenantName};
 use crate::interface::Settings;
 
 impl Config {
-    /// Reads the file again and returns this configuration with what may change of it. A configuration that was not read
-    /// from a file is returned as it is.
+    /// Rereads the file and returns this configuration with the changes that a reload may apply. A
+    /// configuration that was not read from a file is returned unchanged.
     ///
     /// # Errors
     /// Returns an error if the proxy could not start with the file.
@@ -21,16 +21,16 @@
         self.reload_from(&text)
     }
 
-    /// Does what [`Config::reload`] does with the text of a file.
+    /// Like [`Config::reload`], with `text` in place of the file's content.
     ///
     /// # Errors
-    /// Returns an error if the proxy could not start with it.
+    /// Returns an error if the proxy could not start with the text.
     pub fn reload_from(&self, text: &str) -> Result<Self, ConfigError> {
-        Ok(self.merge(self.read_again(text)?))
+        Ok(self.merge(self.read_for_reload(text)?))
     }
 
-    /// Reads the text as at a start, with the name and the addresses that this process has.
-    fn read_again(&self, text: &str) -> Result<Self, ConfigError> {
+    /// Reads the text as at startup, but with the name and the listening address of this process.
+    fn read_for_reload(&self, text: &str) -> Result<Self, ConfigError> {
         let file = File::parse(text)?;
         let discovery = file.discovery.is_none().then(|| self.discovery.to_string());
         Self::read(text, |variable| match variable {
@@ -41,6 +41,7 @@
         })
     }
 
+    /// Returns this configuration with the changes in `new` that a reload may apply.
     fn merge(&self, new: Self) -> Self {
         let old_names = self.names.classes.iter();
         let old_names = old_names.map(|class| ClassName { is_configured: false, ..class.clone() });
@@ -64,7 +65,7 @@
     }
 }
 
-/// Replaces old entries by new ones of the same name, and appends the other new ones.
+/// Replaces old entries with new ones of the same name, and appends the remaining new ones.
 fn merge_by_name<N, V>(
     old: impl Iterator<Item = (N, V)>,
     new: impl Iterator<Item = (N, V)>,
