--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `wheelpier check`: prints what the configuration amounts to.
+//! `wheelpier check`: prints a summary of the configuration.
 
 use crate::budget::PURPOSES;
 use crate::config::{ClassName, Config, Names, PeerSettings};
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Prints the configuration to standard output.
+/// Prints a summary of the configuration to standard output.
 pub(super) fn print(config: &Config) {
     print_addresses(config);
     print_limits(config);
@@ -33,9 +33,12 @@
 }
 
 fn print_limits(config: &Config) {
-    println!("connections  {} of clients, {} to ledger hosts", config.limits.clients, config.limits.upstream);
     println!(
-        "requests     {} held at most, {} attempts each",
+        "connections  {} for clients, {} for ledger hosts",
+        config.limits.clients, config.limits.upstream
+    );
+    println!(
+        "requests     at most {} pending, at most {} attempts each",
         config.max_pending_requests, config.max_attempts
     );
     println!("memory       {} accounted for", ByteSize(config.plan.total));
@@ -47,26 +50,33 @@
     }
 }
 
-/// Returns the lines about the fleet and the losses that it survives.
+/// Returns the lines about the fleet and the number of lost voters that it tolerates.
 fn fleet_lines(peers: &PeerSettings) -> Vec<String> {
-    let keys = if peers.second_key.is_some() { "two keys, of which the first seals" } else { "one key" };
+    let keys =
+        if peers.second_key.is_some() { "two keys, the first authenticates messages" } else { "one key" };
     let founders: Vec<&str> = peers.founders.keys().map(AsRef::as_ref).collect();
     let voters = founders.len().min(MAX_VOTERS);
     let tolerated_losses = match voters {
-        1 => "one founder: votes alone until others join".to_owned(),
-        2 => "two voters lose none: when either is lost the other is fenced until it is back, since neither can tell \
-              whether it is the other that died or the link; a third proxy mends that, a leave at SIGTERM always works"
+        1 => "one founder: the only voter until others join".to_owned(),
+        2 => "two voters tolerate no loss: if one is lost the other is fenced until it is back, since it \
+              cannot tell a failed peer from a broken link; a third proxy avoids this, and leaving at \
+              SIGTERM always works"
             .to_owned(),
-        _ => format!("{voters} voters lose {} at once, and as many again after each new view", (voters - 1) / 2),
+        _ => {
+            let losses = (voters - 1) / 2;
+            format!(
+                "{voters} voters tolerate the loss of {losses} at once, and as many again after each new view"
+            )
+        }
     };
     vec![
         format!("fleet        {} on {}, {keys}", peers.fleet, peers.listen),
-        format!("founders     {}, all of them together", founders.join(", ")),
+        format!("founders     {}; all of them found the fleet together", founders.join(", ")),
         format!("  {tolerated_losses}"),
     ]
 }
 
-/// Returns the lines about the comment that statements must have, by class.
+/// Returns the lines about the tenants and about the comment that statements of each class must have.
 fn accepted_comments(names: &Names) -> Vec<String> {
     let tenant_names: Vec<&str> = names.tenants.iter().map(|tenant| tenant.name.as_str()).collect();
     let tenants = match tenant_names[..] {
--- a/src/cli/event_loop.rs
+++ b/src/cli/event_loop.rs
@@ -1,25 +1,27 @@
-//! Watches the thread that serves clients: the log says when it did not wait for long, and what that time was spent on.
+//! Monitors the event loop that serves clients: logs when it was busy for a long time without waiting for
+//! events, and how much of that time the thread was running or waiting for a processor.
 
 use std::fs;
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A busy period from this length on is logged.
+/// Length from which a busy period is logged.
 const LONG_BUSY_PERIOD: Duration = Duration::from_secs(1);
-/// How often the times of the thread are read, which takes system calls.
+/// Smallest interval between two readings of the thread's times, which take system calls.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Times of a thread since its start.
+/// Scheduling times of a thread since its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ThreadTimes {
-    /// On a processor.
+    /// Time on a processor.
     processor: Duration,
-    /// Ready to run, while other threads had the processors.
+    /// Time in the run queue: ready to run while other threads had the processors.
     run_queue: Duration,
 }
 
 impl ThreadTimes {
-    /// Reads those of the calling thread (proc(5), `schedstat`); none where the system does not tell them.
+    /// Reads the times of the calling thread (proc(5), `schedstat`); `None` if the system does not provide
+    /// them.
     fn of_this_thread() -> Option<Self> {
         Self::parse(&fs::read_to_string("/proc/thread-self/schedstat").ok()?)
     }
@@ -38,11 +40,12 @@
     }
 }
 
-/// A period without a wait, from a wake-up to the next wait.
+/// A period from a wake-up of the event loop to its next wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct BusyPeriod {
     length: Duration,
-    /// The times of the thread in this period, and up to [`SAMPLE_INTERVAL`] before it.
+    /// Times of the thread during the period and up to [`SAMPLE_INTERVAL`] before it; `None` if they are
+    /// unknown.
     times: Option<ThreadTimes>,
 }
 
@@ -60,14 +63,14 @@
 }
 
 impl EventLoopMonitor {
-    /// Returns the monitor of an event loop that starts now, on this thread.
+    /// Returns a monitor for an event loop that starts now, on this thread.
     pub fn new() -> Self {
         let now = Instant::now();
         let state = MonitorState { woken_at: now, sampled_at: now, sample: ThreadTimes::of_this_thread() };
         Self { state: Mutex::new(state) }
     }
 
-    /// Has to be called before each wait.
+    /// Must be called before each wait. Logs the busy period that ends if it was long.
     pub fn before_wait(&self) {
         let busy = self.busy_period(Instant::now(), ThreadTimes::of_this_thread);
         if let Some(BusyPeriod { length, times }) = busy {
@@ -75,19 +78,19 @@
                 busy_ms = length.as_millis(),
                 processor_ms = times.map(|times| times.processor.as_millis()),
                 run_queue_ms = times.map(|times| times.run_queue.as_millis()),
-                "event loop did not wait for long"
+                "event loop was busy for a long time"
             );
         }
         tracing::trace!("event loop waits");
     }
 
-    /// Has to be called after each wait.
+    /// Must be called after each wait.
     pub fn after_wait(&self) {
         tracing::trace!("event loop woken");
-        self.woken(Instant::now(), ThreadTimes::of_this_thread);
+        self.record_wake_up(Instant::now(), ThreadTimes::of_this_thread);
     }
 
-    /// Returns the busy period that ends at `now`, if it was long.
+    /// Returns the busy period that ends at `now` if it was long. Calls `read_times` only then.
     fn busy_period(
         &self,
         now: Instant,
@@ -100,7 +103,8 @@
         is_long.then(|| BusyPeriod { length, times: times() })
     }
 
-    fn woken(&self, now: Instant, read_times: impl FnOnce() -> Option<ThreadTimes>) {
+    /// Starts a busy period at `now`. Calls `read_times` if the last reading is [`SAMPLE_INTERVAL`] old.
+    fn record_wake_up(&self, now: Instant, read_times: impl FnOnce() -> Option<ThreadTimes>) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.woken_at = now;
         if now.saturating_duration_since(state.sampled_at) >= SAMPLE_INTERVAL {
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -1,4 +1,4 @@
-//! `wheelpier fleet status`: the fleet as one of its proxies knows it, asked of that proxy's console.
+//! `wheelpier fleet status`: gets the status of a fleet from the console of one of its proxies and prints it.
 
 use crate::membership::membership_log::{ChangeStatus, MemberStatus, VoterLinks};
 use crate::membership::{Cause, FleetStatus, Suspicion};
@@ -14,38 +14,39 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Time within which a console has to answer.
+/// Time within which a console must answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two requests with `--watch`.
+/// Pause between two requests if `--watch` is given.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
-/// Changes that are printed.
+/// Largest number of changes that are printed.
 const MAX_CHANGES_PRINTED: usize = 10;
 
-/// What is asked of a fleet.
+/// Commands about a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Subcommand)]
 pub(super) enum FleetCommand {
-    /// Who is in the fleet, who says so, and what changed lately. Exit status 0 if the proxy asked is a member and
-    /// holds its lease, 2 if it does not, 1 if it does not answer.
+    /// Prints the members of the fleet, broken links and recent changes, as one proxy sees them. Exit status
+    /// 0 if that proxy is a member and holds its lease, 2 if not, 1 if it does not answer.
     Status(Status),
 }
 
+/// Options of `wheelpier fleet status`.
 #[derive(Args, Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Status {
-    /// The console of the proxy that is asked.
+    /// Address of the proxy's console.
     #[arg(long, env = "GW_CONSOLE", value_name = "ADDRESS")]
     console: SocketAddr,
-    /// The answer as it came, in JSON.
+    /// Prints the console's answer unchanged, in JSON.
     #[arg(long)]
     json: bool,
-    /// Asks each second until it is stopped.
+    /// Prints the status every second until interrupted.
     #[arg(long)]
     watch: bool,
 }
 
-/// Prints the status of a fleet; returns whether the proxy is a member that may act.
+/// Prints the status of a fleet. Returns whether the proxy is a member that may act.
 ///
 /// # Errors
-/// When the console does not answer, or with something else.
+/// Returns an error if the console does not answer, or its answer is not the status of a fleet.
 pub(super) async fn status(options: Status) -> io::Result<bool> {
     loop {
         let text = get(options.console, "/admin/fleet").await?;
@@ -62,10 +63,11 @@
     }
 }
 
-/// Returns what a proxy's console answers to `GET` of a path.
+/// Returns the body of a proxy console's answer to `GET` of a path.
 ///
 /// # Errors
-/// When it does not answer within two seconds, or with another status than 200.
+/// Returns an error if the console does not answer within two seconds, or answers with another status than
+/// 200.
 pub async fn get(console: SocketAddr, path: &str) -> io::Result<String> {
     let answer = timeout(REQUEST_TIMEOUT, request(console, path)).await;
     let answer = answer.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
@@ -90,31 +92,31 @@
     }
 }
 
-/// Formats the status for people, within 100 columns.
+/// Formats the status as text within 100 columns.
 fn format_status(fleet: &FleetStatus) -> String {
-    let mut out = String::new();
+    let mut page = String::new();
     let standing = match (fleet.member, fleet.fenced) {
         (true, false) => format!("a member, lease left {} ms", fleet.lease_left_ms),
         (true, true) => "a member without a lease: fenced".to_owned(),
-        (false, _) => "no member: fenced".to_owned(),
+        (false, _) => "not a member: fenced".to_owned(),
     };
     let _ =
-        writeln!(out, "fleet {}, view {}, as {} knows it ({standing})", fleet.fleet, fleet.epoch, fleet.me);
-    let _ = writeln!(out, "  {:<32} {:<6} {:<8} {:>10}  address", "member", "votes", "advice", "heard");
-    fleet.members.iter().for_each(|row| write_member(&mut out, row));
+        writeln!(page, "fleet {}, view {}, as {} knows it ({standing})", fleet.fleet, fleet.epoch, fleet.me);
+    let _ = writeln!(page, "  {:<32} {:<6} {:<8} {:>10}  address", "member", "votes", "advice", "heard");
+    fleet.members.iter().for_each(|row| write_member(&mut page, row));
     fleet
         .links
         .iter()
         .filter(|links| links.fenced || !links.unheard.is_empty())
-        .for_each(|links| write_links(&mut out, links));
+        .for_each(|links| write_links(&mut page, links));
     if !fleet.changes.is_empty() {
-        let _ = writeln!(out, "  last changes");
+        let _ = writeln!(page, "  last changes");
     }
-    fleet.changes.iter().take(MAX_CHANGES_PRINTED).for_each(|change| write_change(&mut out, change));
-    out
+    fleet.changes.iter().take(MAX_CHANGES_PRINTED).for_each(|change| write_change(&mut page, change));
+    page
 }
 
-fn write_member(out: &mut String, row: &MemberStatus) {
+fn write_member(page: &mut String, row: &MemberStatus) {
     let votes = if row.votes { "yes" } else { "no" };
     let advice = match row.suspicion {
         Some(Suspicion::Alive) => "alive",
@@ -125,33 +127,33 @@
     };
     let heard = row.heard_ms_ago.map_or("-".to_owned(), |ms| format!("{ms} ms"));
     let address = row.address.as_deref().unwrap_or("-");
-    let _ = writeln!(out, "  {:<32} {votes:<6} {advice:<8} {heard:>10}  {address}", row.member);
+    let _ = writeln!(page, "  {:<32} {votes:<6} {advice:<8} {heard:>10}  {address}", row.member);
 }
 
-fn write_links(out: &mut String, links: &VoterLinks) {
+fn write_links(page: &mut String, links: &VoterLinks) {
     if links.fenced {
-        let _ = writeln!(out, "  {} has no lease", links.voter);
+        let _ = writeln!(page, "  {} has no lease", links.voter);
     }
     if !links.unheard.is_empty() {
-        let _ = writeln!(out, "  {} does not hear {}", links.voter, links.unheard.join(", "));
+        let _ = writeln!(page, "  {} does not hear {}", links.voter, links.unheard.join(", "));
     }
 }
 
-fn write_change(out: &mut String, change: &ChangeStatus) {
+fn write_change(page: &mut String, change: &ChangeStatus) {
     let cause = match change.cause {
         Cause::Founded => "founded the fleet",
         Cause::Joined => "joined",
         Cause::Left => "left",
-        Cause::Gone => "out: answered nobody",
-        Cause::Replaced => "out: another process of its name took its place",
-        Cause::CutOff => "out: most voters did not hear it, or it could not renew its lease",
+        Cause::Gone => "evicted: answered no member",
+        Cause::Replaced => "evicted: replaced by another process of its name",
+        Cause::CutOff => "evicted: not heard by most voters, or could not renew its lease",
         Cause::LeaseHeld => "holds its lease",
-        Cause::Fenced => "fenced: lost its lease, or is out",
-        Cause::Stood => "stood still and distrusts what it knew",
-        Cause::Free => "out, and knows it by now: may be replaced",
+        Cause::Fenced => "fenced: lost its lease, or was evicted",
+        Cause::Stood => "was suspended and no longer trusts its state",
+        Cause::Free => "has noticed its eviction: may be replaced",
     };
     let _ =
-        writeln!(out, "    {:>8} ms ago  view {:<4} {} {cause}", change.ms_ago, change.epoch, change.member);
+        writeln!(page, "    {:>8} ms ago  view {:<4} {} {cause}", change.ms_ago, change.epoch, change.member);
 }
 
 #[cfg(test)]
--- a/src/cli/fleet/tests.rs
+++ b/src/cli/fleet/tests.rs
@@ -1,7 +1,9 @@
+//! The text of a fleet's status.
+
 use super::*;
 
 #[test]
-fn the_page_says_who_is_in_which_links_are_broken_and_what_changed() {
+fn the_page_lists_members_broken_links_and_changes() {
     let row = |name: &str, suspicion| MemberStatus {
         member: name.to_owned(),
         votes: true,
@@ -9,9 +11,9 @@
         heard_ms_ago: Some(12),
         address: Some("127.0.0.1:7946".to_owned()),
     };
-    let links = |voter: &str, deaf: &[&str]| VoterLinks {
+    let links = |voter: &str, unheard: &[&str]| VoterLinks {
         voter: voter.into(),
-        unheard: deaf.iter().map(ToString::to_string).collect(),
+        unheard: unheard.iter().map(ToString::to_string).collect(),
         fenced: false,
     };
     let fleet = FleetStatus {
@@ -27,13 +29,13 @@
         changes: vec![ChangeStatus { ms_ago: 900, epoch: 3, member: "c#1".to_owned(), cause: Cause::Gone }],
     };
     let page = format_status(&fleet);
-    for words in [
+    for text in [
         "view 3, as a#1 knows it (a member, lease left 2400 ms)",
         "b#2                              yes    suspect       12 ms  127.0.0.1:7946",
         "a#1 does not hear b#2",
-        "900 ms ago  view 3    c#1 out: answered nobody",
+        "900 ms ago  view 3    c#1 evicted: answered no member",
     ] {
-        assert!(page.contains(words), "{words} in\n{page}");
+        assert!(page.contains(text), "{text} in\n{page}");
     }
     assert!(!page.contains("b#2 does not hear"));
     assert!(page.lines().all(|line| line.len() <= 100));
--- a/src/cli/log_writer.rs
+++ b/src/cli/log_writer.rs
@@ -1,9 +1,9 @@
-//! Writes the log to standard error, whose reader may stall: a write to a full pipe blocks (pipe(7)), and with it the
-//! only thread that serves clients.
+//! Writes the log to standard error without blocking the only thread that serves clients: a write to a full
+//! pipe whose reader has stalled would block (pipe(7)).
 //!
-//! A thread of its own writes the lines, which wait for it in a bounded buffer. While the buffer is full further lines
-//! are dropped, and their number is logged once there is room. A regular file has no reader to wait for and is written
-//! directly, so that a process that is killed loses no line.
+//! A separate thread writes the lines from a bounded buffer. While the buffer is full further lines are
+//! dropped, and their number is logged once there is room. If standard error is a regular file, which has no
+//! reader, lines are written directly, so that none is lost if the process is killed.
 
 use std::io::{self, Write};
 use std::mem;
@@ -13,27 +13,27 @@
 use std::time::Duration;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Bytes of lines that may wait for the thread.
+/// Capacity of the buffer, in bytes.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
-/// A buffer that has grown beyond this is released once it is written, in bytes.
+/// Capacity in bytes to which the buffer is shrunk once it is written.
 const MAX_RETAINED_BYTES: usize = 64 * 1024;
-/// How long the end of the process waits for lines to be written.
+/// Time that the process waits at exit for lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Where log lines go.
+/// Destination of log lines.
 #[derive(Clone, Debug)]
 pub(super) enum LogWriter {
-    /// Written by the caller.
+    /// Lines are written by the thread that logs them.
     Direct,
-    /// Written by the thread.
+    /// Lines are buffered and written by the writer thread.
     Buffered(Arc<LineBuffer>),
 }
 
 impl LogWriter {
-    /// Returns a writer to standard error. Starts its thread if standard error is not a regular file.
+    /// Returns a writer to standard error. Starts the writer thread if standard error is not a regular file.
     ///
     /// # Errors
-    /// When the thread cannot be started.
+    /// Returns an error if the thread cannot be started.
     pub fn start() -> io::Result<Self> {
         if is_regular_file(&io::stderr()) {
             return Ok(Self::Direct);
@@ -44,7 +44,7 @@
         Ok(Self::Buffered(lines))
     }
 
-    /// Waits until all lines are written, but not for a reader that has stalled.
+    /// Waits until all lines are written, for at most [`FLUSH_TIMEOUT`] in case the reader has stalled.
     pub fn flush_at_exit(&self) {
         if let Self::Buffered(lines) = self {
             lines.wait_until_written(FLUSH_TIMEOUT);
@@ -66,7 +66,7 @@
 }
 
 impl Write for LogWriter {
-    /// Takes one complete line.
+    /// Writes one complete line.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         match self {
             Self::Direct => io::stderr().write(line),
@@ -82,12 +82,12 @@
     }
 }
 
-/// Lines that wait for the thread.
+/// Bounded buffer of lines for the writer thread.
 #[derive(Debug)]
 pub(super) struct LineBuffer {
     max_bytes: usize,
     state: Mutex<BufferState>,
-    /// Notified when the thread has to write.
+    /// Notified when there are lines to write.
     has_lines: Condvar,
     /// Notified when all lines are written.
     is_written: Condvar,
@@ -96,9 +96,9 @@
 #[derive(Debug, Default)]
 struct BufferState {
     lines: Vec<u8>,
-    /// Lines that were dropped and not reported yet.
+    /// Number of lines that were dropped and not reported yet.
     dropped: u64,
-    /// Whether the thread waits for lines: all earlier ones are written.
+    /// Whether the thread waits for lines, having written all earlier ones.
     is_waiting: bool,
 }
 
@@ -112,7 +112,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a line, or drops it if there is no room. Never waits for the thread's writes.
+    /// Adds a line, or drops it if there is no room. Never waits for a write.
     fn push(&self, line: &[u8]) {
         let mut state = self.lock();
         if state.lines.len() + line.len() > self.max_bytes {
@@ -125,12 +125,12 @@
         }
     }
 
-    /// Writes lines for as long as the process runs.
+    /// Writes lines to `output`. Never returns.
     fn write_all_to(&self, mut output: impl Write) {
         let mut lines = Vec::new();
         loop {
             let dropped = self.take_lines(&mut lines);
-            // There is nobody left to be told of a failed write.
+            // A failed write to the log cannot be reported anywhere.
             let _ = output.write_all(&lines);
             lines.clear();
             lines.shrink_to(MAX_RETAINED_BYTES);
@@ -140,7 +140,8 @@
         }
     }
 
-    /// Waits for lines and exchanges them for an empty buffer. Returns how many lines were dropped behind them.
+    /// Waits for lines and swaps them with an empty buffer. Returns the number of lines that were dropped
+    /// after them.
     fn take_lines(&self, empty: &mut Vec<u8>) -> u64 {
         let mut state = self.lock();
         while state.lines.is_empty() {
@@ -152,10 +153,10 @@
         mem::take(&mut state.dropped)
     }
 
-    /// Waits until all lines are written. Returns whether they are; not if that takes longer than `timeout`.
+    /// Waits until all lines are written, for at most `timeout`. Returns whether they are.
     fn wait_until_written(&self, timeout: Duration) -> bool {
-        let is_open = |state: &mut BufferState| !(state.is_waiting && state.lines.is_empty());
-        let waited = self.is_written.wait_timeout_while(self.lock(), timeout, is_open);
+        let is_pending = |state: &mut BufferState| !(state.is_waiting && state.lines.is_empty());
+        let waited = self.is_written.wait_timeout_while(self.lock(), timeout, is_pending);
         !waited.unwrap_or_else(PoisonError::into_inner).1.timed_out()
     }
 }
--- a/src/cli/log_writer/tests.rs
+++ b/src/cli/log_writer/tests.rs
@@ -1,18 +1,18 @@
-//! The buffer of log lines before writers that write, stall and fail.
+//! The buffer of log lines with outputs that accept writes, stall and fail.
 
 use super::*;
 use std::sync::mpsc::{channel, Receiver, Sender};
 
-/// Writes once it is told to, and passes on what was written.
-struct Gate {
-    open: Receiver<()>,
+/// Output that blocks each write until it is released, and sends what was written to a channel.
+struct BlockingOutput {
+    release: Receiver<()>,
     written: Sender<Vec<u8>>,
 }
 
-impl Write for Gate {
+impl Write for BlockingOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // Once the other end is dropped it stays open.
-        let _ = self.open.recv();
+        // Does not block any more once the sender is dropped.
+        let _ = self.release.recv();
         let _ = self.written.send(bytes.to_vec());
         Ok(bytes.len())
     }
@@ -22,29 +22,30 @@
     }
 }
 
-/// A buffer of so many bytes before a gate: the buffer, what opens the gate, and what is written.
-fn buffer_before_gate(max_bytes: usize) -> (Arc<LineBuffer>, Sender<()>, Receiver<Vec<u8>>) {
+/// Starts writing a buffer of `max_bytes` to a blocking output. Returns the buffer, the sender that releases
+/// writes, and the receiver of what is written.
+fn buffer_with_blocking_output(max_bytes: usize) -> (Arc<LineBuffer>, Sender<()>, Receiver<Vec<u8>>) {
     let lines = Arc::new(LineBuffer::new(max_bytes));
-    let (opener, open) = channel();
-    let (written, heard) = channel();
+    let (releaser, release) = channel();
+    let (written, received) = channel();
     let source = Arc::clone(&lines);
-    thread::spawn(move || source.write_all_to(Gate { open, written }));
-    (lines, opener, heard)
+    thread::spawn(move || source.write_all_to(BlockingOutput { release, written }));
+    (lines, releaser, received)
 }
 
-/// Guards against lines that are lost or change their order while the writer is slow.
+/// Guards against lines that are lost or reordered while the output is slow.
 #[test]
-fn lines_are_written_in_order_and_nothing_waits_for_the_writer() {
-    let (lines, opener, heard) = buffer_before_gate(1_000);
+fn lines_are_written_in_order_and_pushing_does_not_wait_for_the_output() {
+    let (lines, releaser, received) = buffer_with_blocking_output(1_000);
     (0..50).for_each(|n| lines.push(format!("line {n}\n").as_bytes()));
     assert!(!lines.wait_until_written(Duration::from_millis(20)), "nothing is written yet");
-    drop(opener);
+    drop(releaser);
     assert!(lines.wait_until_written(Duration::from_secs(5)));
     let expected: String = (0..50).map(|n| format!("line {n}\n")).collect();
-    assert_eq!(String::from_utf8(heard.try_iter().flatten().collect()).unwrap(), expected);
+    assert_eq!(String::from_utf8(received.try_iter().flatten().collect()).unwrap(), expected);
 }
 
-/// Guards against a buffer that grows without bound before a stalled writer, and against parts of lines.
+/// Guards against a buffer that grows without bound while the output stalls, and against partial lines.
 #[test]
 fn a_full_buffer_drops_complete_lines_and_counts_them() {
     let lines = LineBuffer::new(25);
@@ -57,7 +58,7 @@
     assert_eq!((lines.take_lines(&mut taken), &taken[..]), (0, &b"again\n"[..]));
 }
 
-/// Guards against a thread that ends with the first failed write: later lines would fill the buffer unwritten.
+/// Guards against a thread that ends at the first failed write: later lines would never be written.
 #[test]
 fn a_failed_write_does_not_end_the_thread() {
     struct Closed;
@@ -79,7 +80,7 @@
     }
 }
 
-/// Guards against a file's lines that a killed process would take with it.
+/// Guards against buffered lines that are lost when a process that logs to a file is killed.
 #[test]
 fn only_a_regular_file_is_written_directly() {
     let file = std::fs::File::open(std::env::current_exe().unwrap()).unwrap();
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: sub-commands, and the exit status.
+//! The command line: arguments, sub-commands and exit status.
 
 mod check;
 mod event_loop;
@@ -19,10 +19,10 @@
 use tokio::runtime::{Builder, Runtime};
 use tracing_subscriber::filter::LevelFilter;
 
-/// Exit status of `fleet status` if the proxy is no member that may act.
+/// Exit status of `fleet status` if the proxy is not a member that may act.
 const EXIT_CANNOT_ACT: u8 = 2;
 
-// The doc comments of the arguments and sub-commands are the program's help.
+// The doc comments of the arguments and sub-commands are the text of `--help`.
 
 /// A proxy that spreads reads over database replicas and lets each session see its own writes.
 #[derive(Debug, Parser)]
@@ -30,24 +30,25 @@
 struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
-    /// The operator's own file (YAML): further listeners, and what ledger hosts speak.
+    /// Operator's file (YAML): further listeners, protocols of the ledger hosts, memory limits and peers.
     #[arg(long, env = "GW_OPERATOR", value_name = "FILE", global = true)]
     operator: Option<PathBuf>,
-    /// The form of the log, which goes to standard error.
+    /// Format of the log, which is written to standard error.
     #[arg(long, env = "GW_LOG", value_enum, default_value = "text", global = true)]
     log: LogFormat,
-    /// Logs each event that the decisions are told and each action they answer with, a line each.
+    /// Logs each event that the router handles and each action that it returns, one per line.
     #[arg(long, env = "GW_TRACE", global = true)]
     trace: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Subcommand)]
 enum Command {
-    /// Serves until SIGTERM, as without a word. Exit status 1 when the configuration is at fault.
+    /// Serves clients until SIGTERM. This is the default command. Exit status 1 if the configuration is
+    /// invalid.
     Serve,
-    /// Reads the configuration and says what it comes to. Exit status 0 if the proxy would start, else 1.
+    /// Checks the configuration and prints a summary. Exit status 0 if it is valid, else 1.
     Check,
-    /// Asks a proxy for its fleet.
+    /// Queries a proxy about its fleet.
     Fleet {
         #[command(subcommand)]
         command: FleetCommand,
@@ -56,13 +57,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum LogFormat {
-    /// Lines for people.
+    /// Plain text.
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Why the program ends with an error.
+/// Error with which the program ends.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// The platform's configuration is invalid.
@@ -81,13 +82,13 @@
     main_with(std::env::args_os())
 }
 
-/// Runs the program with these arguments, of which the first is its name.
+/// Runs the program with these arguments. The first one is the program's name.
 pub fn main_with(arguments: impl Iterator<Item = std::ffi::OsString>) -> ExitCode {
     let arguments = Arguments::parse_from(arguments);
     let mut log = match start_log(arguments.log, arguments.trace) {
         Ok(log) => log,
         Err(error) => {
-            eprintln!("wheelpier: the log cannot be started: {error}");
+            eprintln!("wheelpier: cannot start the log: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -130,10 +131,10 @@
 
 fn runtime() -> io::Result<Runtime> {
     let monitor = Arc::new(EventLoopMonitor::new());
-    let woken = Arc::clone(&monitor);
+    let unpark_monitor = Arc::clone(&monitor);
     Builder::new_current_thread()
         .on_thread_park(move || monitor.before_wait())
-        .on_thread_unpark(move || woken.after_wait())
+        .on_thread_unpark(move || unpark_monitor.after_wait())
         .enable_all()
         .build()
 }
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -6,7 +6,7 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::mpsc;
 
-/// Signals that may be queued.
+/// Number of signals that can be queued.
 const MAX_QUEUED_SIGNALS: usize = 4;
 
 /// Serves clients until the proxy has drained.
@@ -14,7 +14,7 @@
 /// # Errors
 /// Returns an error if a signal handler or a socket is not available.
 pub(super) async fn serve(config: Config) -> io::Result<()> {
-    // Before all else: without a handler the signals would end the process.
+    // Handlers are installed first: a signal without a handler would end the process.
     let control = handle_signals()?;
     let name = config.name.clone();
     let proxy = Proxy::bind(config).await?;
@@ -27,7 +27,7 @@
     proxy.serve(control).await
 }
 
-/// Installs handlers that turn the signals into commands.
+/// Installs signal handlers. Returns the receiver of the commands that the signals stand for.
 fn handle_signals() -> io::Result<mpsc::Receiver<Control>> {
     let (sender, control) = mpsc::channel(MAX_QUEUED_SIGNALS);
     let commands = [
--- a/tests/sockets/log.rs
+++ b/tests/sockets/log.rs
@@ -53,6 +53,6 @@
 fn the_log_says_when_the_proxy_was_held_up() {
     let text = "
         c1 start
-        proxy expect log event loop did not wait for long busy_ms=15 processor_ms= run_queue_ms=";
+        proxy expect log event loop was busy for a long time busy_ms=15 processor_ms= run_queue_ms=";
     play_faulty("write:client:hold=1500:1/1", &settings(), 1, text);
 }
