--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,7 +1,7 @@
-//! Puts the decisions on the simulator's line protocol: reads lines from standard input, hands each event to the router of
-//! its instance and writes the actions to standard output.
+//! Connects routers to the simulator through its line protocol: reads lines from standard input, passes each
+//! event to the router that it is for and writes the router's actions to standard output.
 //!
-//! Nothing is decided here: names become numbers, seconds become microseconds, and back.
+//! The adapter only translates: names to ids, seconds to microseconds, and back.
 #![warn(clippy::unwrap_used)]
 
 mod wire;
@@ -9,12 +9,12 @@
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::process::ExitCode;
 use thiserror::Error;
-use wire::{Progress, Wire, WireError};
+use wire::{LineProtocol, Progress, WireError};
 
-/// Bytes that are read or written at once.
+/// Size of the input and output buffers, in bytes.
 const BUFFER_BYTES: usize = 1 << 16;
 
-/// Why the adapter ends before its input does.
+/// Error that ends the adapter before the end of its input.
 #[derive(Debug, Error)]
 enum AdapterError {
     #[error("standard input: {0}")]
@@ -30,24 +30,24 @@
 fn run() -> Result<(), AdapterError> {
     let mut input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
     let mut output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
-    let mut wire = Wire::default();
+    let mut protocol = LineProtocol::default();
     let mut bytes = Vec::new();
     let mut line = 0u64;
     loop {
         bytes.clear();
         let read = input.read_until(b'\n', &mut bytes).map_err(AdapterError::Input)?;
         if read == 0 {
-            return wire.finish().map_err(|error| AdapterError::Protocol { line, error });
+            return protocol.finish().map_err(|error| AdapterError::Protocol { line, error });
         }
         line += 1;
         let text = std::str::from_utf8(&bytes).map_err(|_| AdapterError::Encoding { line })?;
         let text = text.strip_suffix('\n').unwrap_or(text);
         let text = text.strip_suffix('\r').unwrap_or(text);
-        let progress = wire.line(text).map_err(|error| AdapterError::Protocol { line, error })?;
+        let progress = protocol.handle_line(text).map_err(|error| AdapterError::Protocol { line, error })?;
         if progress == Progress::BatchComplete {
-            output.write_all(wire.reply().as_bytes()).map_err(AdapterError::Output)?;
+            output.write_all(protocol.reply().as_bytes()).map_err(AdapterError::Output)?;
             output.flush().map_err(AdapterError::Output)?;
-            wire.reply_sent();
+            protocol.clear_reply();
         }
     }
 }
@@ -55,8 +55,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("wheelpier-simulator-adapter: {problem}");
+        Err(error) => {
+            eprintln!("wheelpier-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/adapter/src/wire/actions.rs
+++ b/adapter/src/wire/actions.rs
@@ -1,13 +1,13 @@
-//! A router's actions, written as the simulator's messages.
+//! Writes a router's actions as messages to the simulator.
 
 use super::instance::Instance;
 use std::fmt::Write;
 use wheelpier_decisions::Action;
 
-/// Microseconds in a second.
+/// Number of microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Appends the message of an action to the reply.
+/// Appends the message of an action to the reply, and updates the instance's requests.
 pub fn write(reply: &mut String, router: &str, instance: &mut Instance, action: Action) {
     // Writing to a string cannot fail.
     let _ = write_message(reply, router, instance, &action);
@@ -21,31 +21,31 @@
     }
 }
 
-fn write_message(out: &mut String, router: &str, instance: &Instance, action: &Action) -> std::fmt::Result {
+fn write_message(reply: &mut String, router: &str, instance: &Instance, action: &Action) -> std::fmt::Result {
     match action {
         Action::Forward { id, host, timeout, .. } => {
             let (name, host) = (instance.request_name(*id), instance.host_name(*host));
             let timeout = timeout.map_or("0".to_owned(), |timeout| seconds(timeout.0).to_string());
-            writeln!(out, "attempt\t{router}\t{name}\t{host}\t{timeout}")
+            writeln!(reply, "attempt\t{router}\t{name}\t{host}\t{timeout}")
         }
         Action::Reject { id, retry_after } => {
             let wait = retry_after.map_or(0.0, |wait| seconds(wait.0));
-            writeln!(out, "say_no\t{router}\t{}\t{wait}", instance.request_name(*id))
+            writeln!(reply, "say_no\t{router}\t{}\t{wait}", instance.request_name(*id))
         }
-        Action::Fail { id } => writeln!(out, "fail\t{router}\t{}", instance.request_name(*id)),
+        Action::Fail { id } => writeln!(reply, "fail\t{router}\t{}", instance.request_name(*id)),
         Action::CancelAttempt { id, attempt } => {
-            writeln!(out, "drop_attempt\t{router}\t{}\t{attempt}", instance.request_name(*id))
+            writeln!(reply, "drop_attempt\t{router}\t{}\t{attempt}", instance.request_name(*id))
         }
-        // This wire has no such command, and an attempt here is with its host at once.
+        // The protocol has no such message: in the simulator an attempt reaches its host at once.
         Action::WithdrawAttempt { .. } => Ok(()),
-        Action::HealthCheck { host } => writeln!(out, "check\t{router}\t{}", instance.host_name(*host)),
+        Action::HealthCheck { host } => writeln!(reply, "check\t{router}\t{}", instance.host_name(*host)),
         Action::CloseIdleConnections { host } => {
-            writeln!(out, "let_go\t{router}\t{}", instance.host_name(*host))
+            writeln!(reply, "let_go\t{router}\t{}", instance.host_name(*host))
         }
-        Action::SetTimer { at, token } => writeln!(out, "wake_at\t{router}\t{}\t{token}", seconds(at.0)),
-        Action::WatchEndpoints(on) => writeln!(out, "listen\t{router}\t{}", u8::from(*on)),
-        Action::FetchEndpoints => writeln!(out, "query_all\t{router}"),
-        Action::Log(line) => writeln!(out, "print\t{router}\t{line}"),
+        Action::SetTimer { at, token } => writeln!(reply, "wake_at\t{router}\t{}\t{token}", seconds(at.0)),
+        Action::WatchEndpoints(on) => writeln!(reply, "listen\t{router}\t{}", u8::from(*on)),
+        Action::FetchEndpoints => writeln!(reply, "query_all\t{router}"),
+        Action::Log(line) => writeln!(reply, "print\t{router}\t{line}"),
     }
 }
 
--- a/adapter/src/wire/error.rs
+++ b/adapter/src/wire/error.rs
@@ -1,41 +1,41 @@
-//! What can be wrong with the simulator's input.
+//! Errors of the simulator's input.
 
 use thiserror::Error;
 
-/// A line that cannot be accepted; the input is at fault.
+/// Error of a line that the protocol does not allow.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// A field of a message is missing, or its value is not allowed.
+    /// A field of a message is missing or invalid.
     #[error("{message}, field `{field}`: {problem}")]
     Field {
-        /// The message's name, as on the wire.
+        /// Name of the message in the protocol.
         message: String,
-        /// The field's name.
+        /// Name of the field.
         field: &'static str,
-        /// What is wrong with it.
+        /// Problem of the field.
         problem: String,
     },
-    /// A message has more fields than its form allows.
-    #[error("{0}: more fields than it has")]
+    /// A message has too many fields.
+    #[error("`{0}`: too many fields")]
     ExcessFields(String),
-    /// Another message came where an endpoint list still lacks entries.
-    #[error("`{message}` where a list still lacks {missing} rows")]
+    /// Another message came before an endpoint list was complete.
+    #[error("`{message}` while a list still lacks {missing} rows")]
     ListIncomplete {
-        /// The message that came.
+        /// Name of the message that came.
         message: String,
-        /// Entries that are still to come.
+        /// Number of entries that the list still lacks.
         missing: u64,
     },
     /// A batch began inside another one.
-    #[error("clock: the batch before it has not ended")]
+    #[error("clock: the previous batch has not ended")]
     NestedBatch,
-    /// A message came between two batches.
+    /// A message came outside of a batch.
     #[error("`{0}` outside a batch")]
     OutsideBatch(String),
-    /// The protocol has no such message.
-    #[error("`{0}` is no known message")]
+    /// The protocol does not define this message.
+    #[error("unknown message `{0}`")]
     UnknownMessage(String),
-    /// The input ended before its last batch did.
+    /// The input ended before its last batch.
     #[error("the input ends inside a batch")]
     UnfinishedBatch,
 }
--- a/adapter/src/wire/events.rs
+++ b/adapter/src/wire/events.rs
@@ -1,4 +1,4 @@
-//! The simulator's messages about one instance, read as events of its router.
+//! Reads the simulator's messages about an instance as events for its router.
 
 use super::error::WireError;
 use super::fields::Fields;
@@ -11,13 +11,14 @@
     AttemptResult, EndpointEntry, EndpointUpdate, Event, Outcome, Request, Role, SessionId, TimeDelta,
 };
 
-/// Microseconds in a millisecond.
+/// Number of microseconds in a millisecond.
 const MICROS_PER_MILLI: f64 = 1e3;
 
-/// Reads the fields of a message; none where it speaks of a request that is no longer known.
+/// Reads the fields of a message as an event. Returns `None` if the message refers to a request that is no
+/// longer known.
 ///
 /// # Errors
-/// When a field is missing or its value is not allowed.
+/// Returns an error if a field is missing or invalid.
 pub fn read(
     fields: &mut Fields,
     instance: &mut Instance,
@@ -45,7 +46,7 @@
         "replace" => EndpointUpdate::Snapshot,
         "restored" => EndpointUpdate::Cached,
         "unavailable" => EndpointUpdate::Unavailable,
-        other => return Err(fields.invalid("form", format!("`{other}` is no known form"))),
+        other => return Err(fields.invalid("form", format!("unknown form `{other}`"))),
     };
     let number = fields.optional_text("buffer")?;
     let _epoch = fields.optional_text("epoch")?;
@@ -53,10 +54,10 @@
         return Ok(Event::EndpointList(kind, Vec::new()));
     }
     let list = number.and_then(|number| number.parse::<u64>().ok()).and_then(|number| lists.get(&number));
-    let list = list.ok_or_else(|| fields.invalid("buffer", "names no list"))?;
-    let numbered =
+    let list = list.ok_or_else(|| fields.invalid("buffer", "there is no list with this number"))?;
+    let with_host_id =
         |listed: &ListEntry| EndpointEntry { host: instance.host_id(&listed.host), ..listed.entry.clone() };
-    Ok(Event::EndpointList(kind, list.iter().map(numbered).collect()))
+    Ok(Event::EndpointList(kind, list.iter().map(with_host_id).collect()))
 }
 
 fn request_arrived(fields: &mut Fields, instance: &mut Instance) -> Result<Event, WireError> {
@@ -93,16 +94,16 @@
     let outcome = outcome(fields)?;
     let latency = latency(fields)?;
     let request_closed = fields.flag("closed")?;
-    let stamp = fields.optional_number("progress")?.unwrap_or(0.0) as i64;
+    let progress = fields.optional_number("progress")?.unwrap_or(0.0) as i64;
     let stats = fields.optional_text("serverStats")?;
     let report = instance.load_report(stats, fields)?;
-    // The two lowest bits of the stamp hold the role, the others the position in milliseconds.
-    let role = match stamp & 3 {
+    // The two lowest bits hold the role, the others the position in milliseconds.
+    let role = match progress & 3 {
         1 => Some(Role::Primary),
         2 => Some(Role::Replica),
         _ => None,
     };
-    let millis = Some(stamp >> 2).filter(|millis| *millis > 0);
+    let millis = Some(progress >> 2).filter(|millis| *millis > 0);
     let position = millis.map(|millis| instance.position_from_millis(millis));
     let Some(id) = instance.request_id(name) else { return Ok(None) };
     let host = instance.host_id(host);
@@ -110,7 +111,7 @@
     if request_closed {
         instance.request_finished(id);
     }
-    // Here a host tells its role by the answers that arrive, and by no others.
+    // In the simulator a host reports its role only in answers that arrive.
     let answer_lost = false;
     let result = AttemptResult {
         id,
@@ -176,6 +177,6 @@
         6 => Outcome::Cancelled,
         7 => Outcome::NotSent,
         8 => Outcome::Misdirected,
-        other => return Err(fields.invalid("outcome", format!("`{other}` is no known outcome"))),
+        other => return Err(fields.invalid("outcome", format!("unknown outcome `{other}`"))),
     })
 }
--- a/adapter/src/wire/fields.rs
+++ b/adapter/src/wire/fields.rs
@@ -1,10 +1,10 @@
-//! The fields of one line: separated by tabs, taken in order, each read as what its place in the message demands.
+//! The fields of a line, which are separated by tabs and read in order.
 
 use super::error::WireError;
 use wheelpier_decisions::settings::micros_from_seconds;
 use wheelpier_decisions::TimeDelta;
 
-/// The fields of one message that are not taken yet.
+/// The fields of a message that have not been read yet.
 pub struct Fields<'a> {
     message: &'a str,
     remaining: Option<&'a str>,
@@ -19,17 +19,17 @@
         }
     }
 
-    /// The message's name, as on the wire.
+    /// Returns the name of the message in the protocol.
     pub fn message(&self) -> &'a str {
         self.message
     }
 
-    /// The error that names a field of this message.
+    /// Returns an error that names a field of this message.
     pub fn invalid(&self, field: &'static str, problem: impl Into<String>) -> WireError {
         WireError::Field { message: self.message.to_owned(), field, problem: problem.into() }
     }
 
-    /// Takes a field as text.
+    /// Reads the next field as text.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, WireError> {
         let remaining = self.remaining.ok_or_else(|| self.invalid(field, "missing"))?;
         match remaining.split_once('\t') {
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Takes a field that may be absent: `-` or nothing.
+    /// Reads the next field as text; `None` if it is `-` or empty.
     pub fn optional_text(&mut self, field: &'static str) -> Result<Option<&'a str>, WireError> {
         self.text(field).map(|text| Some(text).filter(|text| !matches!(*text, "-" | "")))
     }
 
-    /// Takes all that is left as one field, tabs included.
+    /// Reads the rest of the line as one field, including tabs.
     pub fn last(&mut self, field: &'static str) -> Result<&'a str, WireError> {
         self.remaining.take().ok_or_else(|| self.invalid(field, "missing"))
     }
@@ -62,31 +62,31 @@
         }
     }
 
-    /// Takes an integer of up to 64 bits.
+    /// Reads the next field as an unsigned 64-bit integer.
     pub fn u64(&mut self, field: &'static str) -> Result<u64, WireError> {
         let text = self.text(field)?;
         text.parse().map_err(|_| self.invalid(field, format!("`{text}` is not a whole number")))
     }
 
-    /// Takes an integer of up to 32 bits.
+    /// Reads the next field as an unsigned 32-bit integer.
     pub fn u32(&mut self, field: &'static str) -> Result<u32, WireError> {
         let text = self.text(field)?;
-        text.parse().map_err(|_| self.invalid(field, format!("`{text}` is not a small whole number")))
+        text.parse().map_err(|_| self.invalid(field, format!("`{text}` is not a 32-bit whole number")))
     }
 
-    /// Takes a finite number.
+    /// Reads the next field as a finite number.
     pub fn number(&mut self, field: &'static str) -> Result<f64, WireError> {
         self.optional_number(field)?.ok_or_else(|| self.invalid(field, "missing"))
     }
 
-    /// Takes a finite number that may be absent.
+    /// Reads the next field as a finite number; `None` if it is absent.
     pub fn optional_number(&mut self, field: &'static str) -> Result<Option<f64>, WireError> {
         let Some(text) = self.optional_text(field)? else { return Ok(None) };
         let number = text.parse::<f64>().ok().filter(|number| number.is_finite());
         number.map(Some).ok_or_else(|| self.invalid(field, format!("`{text}` is not a number")))
     }
 
-    /// Takes a number that stands for a count; 0 where it is absent.
+    /// Reads the next field as a count; 0 if it is absent.
     pub fn count(&mut self, field: &'static str) -> Result<u32, WireError> {
         match self.optional_number(field)? {
             None => Ok(0),
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Takes a time in seconds.
+    /// Reads the next field as a time in seconds.
     pub fn seconds(&mut self, field: &'static str) -> Result<TimeDelta, WireError> {
         self.number(field).map(|seconds| TimeDelta(micros_from_seconds(seconds)))
     }
 
-    /// Takes a truth value; false where it is absent.
+    /// Reads the next field as a flag, `0` or `1`; false if it is absent.
     pub fn flag(&mut self, field: &'static str) -> Result<bool, WireError> {
         match self.optional_text(field)? {
             Some("1") => Ok(true),
--- a/adapter/src/wire/instance.rs
+++ b/adapter/src/wire/instance.rs
@@ -1,4 +1,4 @@
-//! One router with the names that the simulator gives its hosts and requests.
+//! One router, with the names that the simulator gives to its hosts and requests.
 
 use super::error::WireError;
 use super::fields::Fields;
@@ -6,17 +6,17 @@
 use wheelpier_decisions::settings::ReportFormat;
 use wheelpier_decisions::{HostId, LoadReport, LogPosition, RequestId, Role, Router};
 
-/// A request's name, held until its last attempt has ended.
+/// A request's name and state, kept until its last attempt has ended.
 struct RequestName {
     text: String,
-    /// Whether the request has its final answer, or its client has left.
+    /// Whether the request has its final answer, or its client has disconnected.
     is_finished: bool,
     in_flight_attempts: u32,
 }
 
-/// A router, and what its numbers are called on the wire.
+/// A router, and the mapping between its ids and the simulator's names.
 pub struct Instance {
-    /// The decisions.
+    /// The router.
     pub router: Router,
     report_format: ReportFormat,
     host_ids: HashMap<String, HostId>,
@@ -27,7 +27,7 @@
 }
 
 impl Instance {
-    /// An instance that knows no host and no request.
+    /// Returns an instance without hosts and requests.
     pub fn new(router: Router, report_format: ReportFormat) -> Self {
         Self {
             router,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The number of a host; a name that is new gets the next one.
+    /// Returns the id of a host. A new name gets the next id.
     pub fn host_id(&mut self, name: &str) -> HostId {
         if let Some(id) = self.host_ids.get(name) {
             return *id;
@@ -51,12 +51,12 @@
         id
     }
 
-    /// The name of a host.
+    /// Returns the name of a host.
     pub fn host_name(&self, id: HostId) -> &str {
         self.host_names.get(id.0 as usize).map_or("", String::as_str)
     }
 
-    /// Numbers a request that has arrived; none where its name is in use.
+    /// Assigns an id to a request that has arrived; `None` if its name is in use.
     pub fn register_request(&mut self, name: &str) -> Option<RequestId> {
         if self.request_ids.contains_key(name) {
             return None;
@@ -69,12 +69,12 @@
         Some(id)
     }
 
-    /// The number of a request that is still known.
+    /// Returns the id of a request; `None` if it is not known, or no longer.
     pub fn request_id(&self, name: &str) -> Option<RequestId> {
         self.request_ids.get(name).copied()
     }
 
-    /// The name of a request.
+    /// Returns the name of a request.
     pub fn request_name(&self, id: RequestId) -> &str {
         self.request_names.get(&id).map_or("", |name| name.text.as_str())
     }
@@ -93,14 +93,14 @@
         }
     }
 
-    /// Records that a request has its final answer, or that its client has left.
+    /// Records that a request has its final answer, or that its client has disconnected.
     pub fn request_finished(&mut self, id: RequestId) {
         if let Some(name) = self.request_names.get_mut(&id) {
             name.is_finished = true;
         }
     }
 
-    /// Forgets the name of a request that is finished and has no attempt in flight.
+    /// Removes a request that is finished and has no attempt in flight.
     pub fn forget_if_done(&mut self, id: RequestId) {
         let is_done = |name: &RequestName| name.is_finished && name.in_flight_attempts == 0;
         if self.request_names.get(&id).is_some_and(is_done) {
@@ -110,29 +110,31 @@
         }
     }
 
-    /// Reads a host's load report, if the line has one.
+    /// Reads a host's load report, if there is one.
     ///
     /// # Errors
-    /// When one of its values is not a number.
+    /// Returns an error if one of its values is not a number.
     pub fn load_report(&self, text: Option<&str>, fields: &Fields) -> Result<Option<LoadReport>, WireError> {
         let Some(text) = text else { return Ok(None) };
         let mut values = Vec::with_capacity(self.report_format.field_count);
         for value in text.split(',') {
             values.push(report_value(value, fields)?);
         }
-        let value = |place: Option<usize>| place.and_then(|place| values.get(place).copied().flatten());
-        let position = value(self.report_format.position_field).map(|seconds| self.position_floor(seconds));
+        let value = |index: Option<usize>| index.and_then(|index| values.get(index).copied().flatten());
+        let position =
+            value(self.report_format.position_field).map(|seconds| self.position_from_seconds(seconds));
         let role = value(self.report_format.role_field).map(role_of);
         Ok(Some(LoadReport { position, role }))
     }
 
-    /// A position in whole milliseconds, as responses carry it.
+    /// Converts a position in whole milliseconds, as in answers.
     pub fn position_from_millis(&self, millis: i64) -> LogPosition {
         LogPosition(self.report_format.position_origin.0 + millis * 1000)
     }
 
-    /// A position in seconds, rounded down to whole microseconds, as it is a lower bound.
-    fn position_floor(&self, seconds: f64) -> LogPosition {
+    /// Converts a position in seconds. Rounds down to whole microseconds, since the position is a lower
+    /// bound.
+    fn position_from_seconds(&self, seconds: f64) -> LogPosition {
         LogPosition(self.report_format.position_origin.0 + (seconds * 1e6).floor() as i64)
     }
 }
@@ -147,6 +149,7 @@
     }
 }
 
+/// Converts a role, which is 1 for the primary and 0 for a replica.
 fn role_of(value: f64) -> Role {
     if value >= 0.5 {
         Role::Primary
--- a/adapter/src/wire/mod.rs
+++ b/adapter/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! The simulator's line protocol: lines in, one reply for each batch out.
+//! The simulator's line protocol: reads batches of lines and writes one reply per batch.
 //!
-//! This is the one place where the protocol's names stand beside the terms of the decisions: `events` reads messages,
-//! `actions` writes them, `instance` maps names to numbers.
+//! Only this module maps the protocol's names to the terms of the router: `events` reads messages, `actions`
+//! writes them, `instance` maps names to ids.
 
 mod actions;
 mod error;
@@ -18,37 +18,37 @@
 use wheelpier_decisions::settings::{self, micros_from_seconds};
 use wheelpier_decisions::{Action, EndpointEntry, Event, HostId, HostState, RequestId, Router, Timestamp};
 
-/// Endpoint lists are numbered from 0 up to one less than this.
+/// Number of endpoint lists that can be stored. They are numbered from 0.
 const MAX_LISTS: u64 = 16;
 
-/// An entry of an endpoint list, whose host has no number yet.
+/// An entry of an endpoint list, with the host's name instead of an id.
 #[derive(Clone)]
 pub struct ListEntry {
     host: String,
     entry: EndpointEntry,
 }
 
-/// An endpoint list of which entries are still to come.
+/// An endpoint list that still lacks entries.
 #[derive(Clone, Copy)]
 struct PendingList {
     number: u64,
     missing: u64,
 }
 
-/// What a line was.
+/// Effect of a line on the current batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The batch goes on, or none has begun.
+    /// The batch is not complete, or none has begun.
     Incomplete,
-    /// The line ended a batch: its reply is to be sent.
+    /// The line ended a batch, whose reply must be sent.
     BatchComplete,
 }
 
-/// The state of the conversation with the simulator: all routers of this process.
+/// State of the line protocol, with all routers of this process.
 #[derive(Default)]
-pub struct Wire {
+pub struct LineProtocol {
     now: Timestamp,
-    /// The sequence number of the open batch, as it was written.
+    /// Sequence number of the open batch, as it was received.
     batch: Option<String>,
     instances: HashMap<String, Instance>,
     lists: BTreeMap<u64, Vec<ListEntry>>,
@@ -57,21 +57,21 @@
     reply: String,
 }
 
-impl Wire {
-    /// The reply of the batch that has just ended.
+impl LineProtocol {
+    /// Returns the reply to the batch that has just ended.
     pub fn reply(&self) -> &str {
         &self.reply
     }
 
-    /// Clears the reply, once it has been sent.
-    pub fn reply_sent(&mut self) {
+    /// Clears the reply. Must be called once it has been sent.
+    pub fn clear_reply(&mut self) {
         self.reply.clear();
     }
 
     /// Checks that the input may end here.
     ///
     /// # Errors
-    /// When a batch is open.
+    /// Returns an error if a batch is open.
     pub fn finish(&self) -> Result<(), WireError> {
         match self.batch {
             Some(_) => Err(WireError::UnfinishedBatch),
@@ -79,14 +79,15 @@
         }
     }
 
-    /// Takes one line, without its line break.
+    /// Handles a line, without its line break.
     ///
     /// # Errors
-    /// When the protocol does not allow it here; nothing can be read after that.
-    pub fn line(&mut self, line: &str) -> Result<Progress, WireError> {
+    /// Returns an error if the protocol does not allow the line here. No further lines can be handled after
+    /// that.
+    pub fn handle_line(&mut self, line: &str) -> Result<Progress, WireError> {
         let mut fields = Fields::new(line);
         if let Some(pending) = self.pending_list {
-            self.list_entry(pending, &mut fields)?;
+            self.add_list_entry(pending, &mut fields)?;
             return Ok(Progress::Incomplete);
         }
         if line.is_empty() {
@@ -108,7 +109,7 @@
             "init" => self.start_instance(&mut fields)?,
             "killed" => self.stop_instance(&mut fields)?,
             "roster_change" | "arrival" | "reply" | "checked" | "client_left" | "begun" | "ring"
-            | "whisper" => self.event(&mut fields)?,
+            | "whisper" => self.handle_event(&mut fields)?,
             other => return Err(WireError::UnknownMessage(other.to_owned())),
         }
         Ok(Progress::Incomplete)
@@ -140,7 +141,7 @@
     fn begin_list(&mut self, fields: &mut Fields) -> Result<(), WireError> {
         let number = fields.u64("buffer")?;
         if number >= MAX_LISTS {
-            return Err(fields.invalid("buffer", "above 15"));
+            return Err(fields.invalid("buffer", "must be at most 15"));
         }
         let missing = fields.u64("members")?;
         fields.finish()?;
@@ -149,7 +150,7 @@
         Ok(())
     }
 
-    fn list_entry(&mut self, pending: PendingList, fields: &mut Fields) -> Result<(), WireError> {
+    fn add_list_entry(&mut self, pending: PendingList, fields: &mut Fields) -> Result<(), WireError> {
         let PendingList { number, missing } = pending;
         if fields.message() != "row" {
             return Err(WireError::ListIncomplete { message: fields.message().to_owned(), missing });
@@ -178,12 +179,12 @@
         Ok(())
     }
 
-    fn event(&mut self, fields: &mut Fields) -> Result<(), WireError> {
+    fn handle_event(&mut self, fields: &mut Fields) -> Result<(), WireError> {
         let name = fields.text("router")?;
         let instance = self
             .instances
             .get_mut(name)
-            .ok_or_else(|| fields.invalid("router", format!("`{name}` has not begun")))?;
+            .ok_or_else(|| fields.invalid("router", format!("`{name}` is not initialized")))?;
         let event = events::read(fields, instance, &self.lists)?;
         fields.finish()?;
         let Some(event) = event else { return Ok(()) };
@@ -199,7 +200,7 @@
     }
 }
 
-/// The request whose name may be forgotten after this event.
+/// Returns the request that may be removed after this event.
 fn finished_request(event: &Event) -> Option<RequestId> {
     match event {
         Event::AttemptEnded(result) => Some(result.id),
@@ -219,7 +220,7 @@
         "Running" => HostState::Running,
         "Stopping" => HostState::Draining,
         "Deleted" => HostState::Removed,
-        other => return Err(fields.invalid("phase", format!("`{other}` is no known phase"))),
+        other => return Err(fields.invalid("phase", format!("unknown phase `{other}`"))),
     };
     let group = fields.count("db")?;
     let host = fields.text("host")?.to_owned();
@@ -227,7 +228,7 @@
         return Err(fields.invalid("host", "missing"));
     }
     fields.finish()?;
-    // The host gets its number from the instance that the list is given to.
+    // A placeholder: the instance that uses the list assigns the id.
     let host_id = HostId(0);
     let entry = EndpointEntry { host: host_id, group, zone, weight, listed_as_primary, state, started_at };
     Ok(ListEntry { host, entry })
