--- a/tests/pgwire.rs
+++ b/tests/pgwire.rs
@@ -1,4 +1,4 @@
-//! The parsers on whole, cut-off and garbled bytes.
+//! The parsers of messages and statements, on complete, truncated and malformed input.
 
 use bytes::BytesMut;
 use rstest::rstest;
@@ -6,32 +6,32 @@
     self, BackendMessage, FrontendMessage, KvStatement, Startup, StatementError, WireError,
 };
 
-/// Bytes arrive in any portions: cut off anywhere a message is none yet, and never an error.
+/// A message may arrive in parts of any size: every truncated message is incomplete, and none is an error.
 #[test]
-fn a_message_cut_off_anywhere_is_awaited() {
+fn truncated_messages_are_incomplete() {
     let mut query = BytesMut::new();
     pgwire::query(&mut query, b"SELECT 1");
     let mut startup = BytesMut::new();
     pgwire::startup(&mut startup, "backend", "store");
     let mut error = BytesMut::new();
     pgwire::error(&mut error, "ERROR", "53300", "full", Some("250"));
-    for n in 0..query.len() {
-        assert_eq!(FrontendMessage::parse(&query[..n]), Ok(None), "{n}");
+    for length in 0..query.len() {
+        assert_eq!(FrontendMessage::parse(&query[..length]), Ok(None), "{length}");
     }
-    for n in 0..startup.len() {
-        assert_eq!(Startup::parse(&startup[..n]), Ok(None), "{n}");
+    for length in 0..startup.len() {
+        assert_eq!(Startup::parse(&startup[..length]), Ok(None), "{length}");
     }
-    for n in 0..error.len() {
-        assert_eq!(BackendMessage::parse(&error[..n]), Ok(None), "{n}");
+    for length in 0..error.len() {
+        assert_eq!(BackendMessage::parse(&error[..length]), Ok(None), "{length}");
     }
-    let whole = Ok(Some((FrontendMessage::Query(b"SELECT 1"), query.len())));
-    assert_eq!(FrontendMessage::parse(&query), whole);
+    let complete = Ok(Some((FrontendMessage::Query(b"SELECT 1"), query.len())));
+    assert_eq!(FrontendMessage::parse(&query), complete);
     assert_eq!(Startup::parse(&startup), Ok(Some((Startup::Session { minor: 0 }, startup.len()))));
     let Ok(Some((BackendMessage::Error(fields), _))) = BackendMessage::parse(&error) else { panic!() };
     assert_eq!((fields.code, fields.message, fields.fatal), ("53300", "full", false));
 }
 
-/// Lengths that lie, texts without an end and columns beyond the row: an error, and no panic.
+/// Wrong lengths, unterminated strings and columns beyond the end of the row are errors and cause no panic.
 #[rstest]
 #[case(b"D\0\0\0\x0a\0\x01\0\0\0\x09", WireError::Malformed)]
 #[case(b"S\0\0\0\x06ab", WireError::Malformed)]
@@ -43,7 +43,7 @@
 #[case(b"C\0\0\0\x06SE", WireError::Malformed)]
 #[case(b"D\0\0\0\x0c\0\x01\0\0\0\x01ab", WireError::Malformed)]
 #[case(b"D\x7f\xff\xff\xff", WireError::TooLong)]
-fn garbled_answers_are_errors(#[case] bytes: &[u8], #[case] problem: WireError) {
+fn malformed_backend_messages_are_errors(#[case] bytes: &[u8], #[case] problem: WireError) {
     assert_eq!(BackendMessage::parse(bytes), Err(problem));
 }
 
@@ -57,7 +57,7 @@
      /* id=1f,c=basket,t=acme,d=480.5,cluster=2,after=17,r=1 */",
     true
 )]
-fn a_statement_tells_the_request_and_where_its_wait_stands(#[case] text: &str, #[case] write: bool) {
+fn a_statement_yields_its_request_and_the_range_of_its_timeout(#[case] text: &str, #[case] write: bool) {
     let statement = KvStatement::parse(text).unwrap();
     let comment = statement.comment;
     assert_eq!((statement.key, statement.write), ("x", write));
@@ -67,16 +67,16 @@
     assert_eq!((&text[comment.wait_at], comment.wait_ms), ("480.5", 480.5));
 }
 
-/// An installation may have no tenants at all.
+/// Tenants are optional, since an installation may have none.
 #[rstest]
 #[case("id=1,c=a,d=5,cluster=0")]
 #[case("id=1,c=a,t=,d=5,cluster=0")]
-fn a_statement_may_name_no_tenant(#[case] comment: &str) {
+fn a_statement_without_a_tenant_is_valid(#[case] comment: &str) {
     let text = format!("SELECT content FROM kv WHERE name = 'x' /* {comment} */");
     assert_eq!(KvStatement::parse(&text).unwrap().comment.tenant, None);
 }
 
-/// Whatever differs from the two forms would be turned away by a ledger host, or end its connection.
+/// A ledger host would reject a statement of any other form, or close its connection.
 #[rstest]
 #[case("SELECT 1")]
 #[case("SELECT 1 /* id=1,c=a,t=t,d=5,cluster=0 */")]
@@ -93,7 +93,7 @@
     "INSERT INTO kv (name, content) VALUES ('x', 'zz') RETURNING content /* id=1,c=a,t=t,d=5,cluster=0 */"
 )]
 #[case("INSERT INTO kv (name, content) VALUES ('x', '\\x00') /* id=1,c=a,t=t,d=5,cluster=0 */")]
-fn a_statement_of_another_form_is_none(#[case] text: &str) {
+fn statements_of_other_forms_are_rejected(#[case] text: &str) {
     assert_eq!(KvStatement::parse(text), Err(StatementError::Form));
 }
 
@@ -113,37 +113,38 @@
 #[case("id=1;2,c=a,t=t,d=5,cluster=0", StatementError::Value("id"))]
 #[case("id=1,c=a,t=t,d=5,cluster=0,after=x", StatementError::Value("after"))]
 #[case("id=1,c=a,t=t,d=5,cluster=0,d=900", StatementError::Twice("d".to_owned()))]
-fn a_comment_that_is_not_enough_says_what_is_wrong(#[case] comment: &str, #[case] problem: StatementError) {
+fn invalid_comments_are_rejected_with_the_field(#[case] comment: &str, #[case] problem: StatementError) {
     let text = format!("SELECT content FROM kv WHERE name = 'x' /* {comment} */");
     assert_eq!(KvStatement::parse(&text), Err(problem));
 }
 
-/// A text with a second zero, or none, would be read differently by whoever gets it next.
+/// A receiver might read a text differently if it has a second NUL byte, or none.
 #[rstest]
 #[case(b"Q\0\0\0\x08a\0b\0")]
 #[case(b"Q\0\0\0\x06ab")]
 #[case(b"Q\0\0\0\x04")]
-fn a_query_ends_with_its_only_zero(#[case] bytes: &[u8]) {
+fn a_query_must_end_with_its_only_nul_byte(#[case] bytes: &[u8]) {
     assert_eq!(FrontendMessage::parse(bytes), Err(WireError::Malformed));
 }
 
-/// The beginning of a message that says to be a row of one column, with these lengths.
-fn row_of(kind: u8, length: u32, columns: u16, value: u32) -> Vec<u8> {
+/// Returns the beginning of a message of this kind, with these lengths and number of columns.
+fn message_start(kind: u8, length: u32, columns: u16, value: u32) -> Vec<u8> {
     [&[kind][..], &length.to_be_bytes(), &columns.to_be_bytes(), &value.to_be_bytes(), b"value"].concat()
 }
 
-/// Only what can be a row of one column, within the bounds, is passed on part by part: all else is read whole or not at all.
+/// Only a valid row of one column, within the limits, is forwarded in parts. Any other message is read
+/// completely or rejected.
 #[rstest]
-#[case::the_longest_that_is_read_whole(row_of(b'D', 73_728, 1, 73_718), None)]
-#[case::just_longer(row_of(b'D', 73_729, 1, 73_719), Some(73_730))]
-#[case::four_mebibytes(row_of(b'D', 4_194_314, 1, 4_194_304), Some(4_194_315))]
-#[case::longer_than_any(row_of(b'D', 3_000_000_000, 1, 2_999_999_990), None)]
-#[case::no_row(row_of(b'E', 100_000, 1, 99_990), None)]
-#[case::two_columns(row_of(b'D', 100_000, 2, 99_990), None)]
-#[case::lengths_that_do_not_fit(row_of(b'D', 100_000, 1, 99_991), None)]
-#[case::null(row_of(b'D', 100_000, 1, u32::MAX), None)]
-#[case::a_head_cut_off(row_of(b'D', 100_000, 1, 99_990)[..10].to_vec(), None)]
-fn a_long_row_is_known_by_its_head(#[case] bytes: Vec<u8>, #[case] length: Option<usize>) {
+#[case::longest_that_is_read_completely(message_start(b'D', 73_728, 1, 73_718), None)]
+#[case::one_byte_longer(message_start(b'D', 73_729, 1, 73_719), Some(73_730))]
+#[case::four_mebibytes(message_start(b'D', 4_194_314, 1, 4_194_304), Some(4_194_315))]
+#[case::beyond_the_limit(message_start(b'D', 3_000_000_000, 1, 2_999_999_990), None)]
+#[case::not_a_row(message_start(b'E', 100_000, 1, 99_990), None)]
+#[case::two_columns(message_start(b'D', 100_000, 2, 99_990), None)]
+#[case::inconsistent_lengths(message_start(b'D', 100_000, 1, 99_991), None)]
+#[case::null_value(message_start(b'D', 100_000, 1, u32::MAX), None)]
+#[case::truncated_header(message_start(b'D', 100_000, 1, 99_990)[..10].to_vec(), None)]
+fn a_large_row_is_recognized_by_its_header(#[case] bytes: Vec<u8>, #[case] length: Option<usize>) {
     assert_eq!(BackendMessage::large_row(&bytes), length);
     assert_eq!(BackendMessage::may_be_large_row(&bytes), bytes.len() < 11);
 }
