--- a/src/net/core/requests.rs
+++ b/src/net/core/requests.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, thiserror::Error)]
 enum AdmissionError {
     /// No endpoint list has been received, so no group is known yet.
-    #[error("no endpoint list has come yet")]
+    #[error("no endpoint list has been received yet")]
     NotReady,
     #[error("the limit of requests in flight is reached")]
     TooManyRequests,
@@ -169,7 +169,7 @@
         if request.is_reply_due_early {
             let attempts = request.attempt_hosts.len();
             let cause = format_args!(
-                "a request without an answer after {attempts} attempts, with others behind it on its connection"
+                "no answer after {attempts} attempts, and the answer to a later request of the connection is due"
             );
             self.rejections.record(RejectionReason::PipelineOrder, cause);
         } else {
