--- a/crates/testbench/src/soak/client.rs
+++ b/crates/testbench/src/soak/client.rs
@@ -3,7 +3,7 @@
 
 use super::ledger::Boot;
 use super::plan::Habit;
-use super::run_queue::Start;
+use super::run_queue::DelayBaseline;
 use super::{add_evidence, Soak};
 use bytes::BytesMut;
 use std::collections::VecDeque;
@@ -37,7 +37,7 @@
 struct Out {
     planned: Planned,
     due: Instant,
-    start: Start,
+    start: DelayBaseline,
 }
 
 struct Session {
@@ -224,7 +224,7 @@
         let _ = self.soak.world.send(WorldMessage::Answered { id: planned.id, value, wrote }).await;
     }
 
-    fn judge(&self, id: &str, due: Instant, start: &Start) {
+    fn judge(&self, id: &str, due: Instant, start: &DelayBaseline) {
         let mut ledger = self.soak.ledger.borrow_mut();
         if ledger.answered(self.number, id, due, Instant::now()) {
             add_evidence(&mut ledger.findings.lost, self.boot, &start.delays(&self.soak.timers));
--- a/crates/testbench/src/soak/mod.rs
+++ b/crates/testbench/src/soak/mod.rs
@@ -12,7 +12,7 @@
 use ledger::{Boot, End, Findings, Ledger};
 use plan::{Fault, Order, Plan, Scenario, FAULTS, PAUSE};
 use process::{Place, Process};
-use run_queue::{Delays, Start, TimerLateness};
+use run_queue::{DelayBaseline, Delays, TimerLateness};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener};
@@ -220,8 +220,8 @@
     }
 
     /// The start of what is judged of a process from now on.
-    fn start_of(&self, process: usize) -> Start {
-        Start::now(self.process_ids.borrow()[process], &self.timers)
+    fn start_of(&self, process: usize) -> DelayBaseline {
+        DelayBaseline::now(self.process_ids.borrow()[process], &self.timers)
     }
 
     fn set(&self, process: usize, state: State) {
@@ -351,9 +351,9 @@
 /// Notes how late timers fire, until it is ended.
 async fn watch_timers(soak: Rc<Soak>) {
     loop {
-        soak.timers.sleeps(TIMER_INTERVAL);
+        soak.timers.timer_set(TIMER_INTERVAL);
         sleep(TIMER_INTERVAL).await;
-        soak.timers.woke();
+        soak.timers.timer_fired();
     }
 }
 
--- a/crates/testbench/src/soak/process.rs
+++ b/crates/testbench/src/soak/process.rs
@@ -1,7 +1,7 @@
 //! A process of the program in a soak: started with its faults, ordered about, and watched until it ends.
 
 use super::ledger::End;
-use super::run_queue::{Delays, Start, TimerLateness};
+use super::run_queue::{DelayBaseline, Delays, TimerLateness};
 use crate::TestbenchError;
 use std::fs::File;
 use std::io::{BufRead, BufReader, Write};
@@ -120,7 +120,7 @@
     pub async fn leaves(
         &mut self,
         until: Instant,
-        start: &Start,
+        start: &DelayBaseline,
         timers: &TimerLateness,
     ) -> (End, Delays, Vec<String>) {
         let end = loop {
--- a/crates/testbench/src/soak/run_queue.rs
+++ b/crates/testbench/src/soak/run_queue.rs
@@ -58,12 +58,12 @@
     const GRANULARITY: Duration = Duration::from_millis(2);
 
     /// Notes that a timer is set that is to fire after this time.
-    pub fn sleeps(&self, asked: Duration) {
+    pub fn timer_set(&self, asked: Duration) {
         self.due.set(Some(Instant::now() + asked));
     }
 
     /// Notes that the timer has fired.
-    pub fn woke(&self) {
+    pub fn timer_fired(&self) {
         self.fired.set(self.total());
         self.due.set(None);
     }
@@ -77,7 +77,7 @@
 
 /// The start of what is judged: a request that is sent, a signal.
 #[derive(Clone, Copy, Debug)]
-pub struct Start {
+pub struct DelayBaseline {
     at: Instant,
     process: u32,
     of_process: Option<ProcessorTime>,
@@ -94,7 +94,7 @@
     timers_late: Duration,
 }
 
-impl Start {
+impl DelayBaseline {
     /// Now, by this thread, of a process that runs.
     pub fn now(process: u32, timers: &TimerLateness) -> Self {
         Self {
@@ -157,7 +157,7 @@
         let mut sleeps = std::process::Command::new("sleep").arg("5").spawn().unwrap();
         std::thread::sleep(Duration::from_millis(100));
         let timers = TimerLateness::default();
-        let start = Start::now(sleeps.id(), &timers);
+        let start = DelayBaseline::now(sleeps.id(), &timers);
         std::thread::sleep(Duration::from_millis(300));
         let delays = start.delays(&timers);
         sleeps.kill().unwrap();
@@ -173,17 +173,17 @@
     fn timers_that_fire_late_are_summed() {
         let timers = TimerLateness::default();
         let ms = Duration::from_millis;
-        timers.sleeps(ms(10_000));
-        timers.woke();
+        timers.timer_set(ms(10_000));
+        timers.timer_fired();
         assert_eq!(timers.total(), Duration::ZERO);
-        timers.sleeps(ms(5));
+        timers.timer_set(ms(5));
         std::thread::sleep(ms(45));
         let late = timers.total();
         assert!(late >= ms(40), "{late:?}");
-        timers.woke();
-        timers.sleeps(ms(5));
+        timers.timer_fired();
+        timers.timer_set(ms(5));
         std::thread::sleep(ms(15));
-        timers.woke();
+        timers.timer_fired();
         assert!(timers.total() >= late + ms(10), "{timers:?}");
     }
 }
--- a/tests/sockets/habits.rs
+++ b/tests/sockets/habits.rs
@@ -297,9 +297,9 @@
     }
 
     fn pause(&self, span: Duration) {
-        self.timers.sleeps(span);
+        self.timers.timer_set(span);
         sleep(span);
-        self.timers.woke();
+        self.timers.timer_fired();
     }
 
     /// Sends the byte whose turn it is, ten times a second.
--- a/tests/sockets/scenario/mod.rs
+++ b/tests/sockets/scenario/mod.rs
@@ -50,7 +50,7 @@
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use run_queue::{Delays, Start};
+use run_queue::{DelayBaseline, Delays};
 pub use run_queue::{ProcessorTime, TimerLateness};
 use serde_json::Value;
 use std::cell::Cell;
@@ -415,7 +415,7 @@
     /// When it was last sent SIGTERM.
     told: Cell<Option<Instant>>,
     /// The same moment for the record of where the time went.
-    term: Cell<Option<Start>>,
+    term: Cell<Option<DelayBaseline>>,
     /// How late this test's looks at its end were.
     timers: TimerLateness,
     /// When it was found ended, and where the time went from SIGTERM on.
@@ -550,8 +550,8 @@
     }
 
     /// The start of what is judged of this program from now on.
-    fn begin(&self) -> Start {
-        Start::now(self.child.id(), &self.timers)
+    fn begin(&self) -> DelayBaseline {
+        DelayBaseline::now(self.child.id(), &self.timers)
     }
 
     /// Where the time went from SIGTERM to the last look.
@@ -607,9 +607,9 @@
                 self.ended = Some((Instant::now(), delays));
                 return (status.code().expect("ended by itself"), delays);
             }
-            self.timers.sleeps(LOOK);
+            self.timers.timer_set(LOOK);
             std::thread::sleep(LOOK);
-            self.timers.woke();
+            self.timers.timer_fired();
         }
         panic!("the program does not end")
     }
@@ -651,7 +651,7 @@
     /// A second program beside the first, as at an upgrade.
     new: Option<Program>,
     /// When the line began that is played.
-    line_began: Start,
+    line_began: DelayBaseline,
 }
 
 /// When a scenario fails: where the time of its last line went, and what the program said last.
