--- a/crates/pgwire/src/backend.rs
+++ b/crates/pgwire/src/backend.rs
@@ -9,9 +9,9 @@
 
 /// The longest message that is taken: a value of 64 KiB, which comes as bytes. With some 480 connections on
 /// either side, answers and statements at their longest still fit into the memory of a proxy.
-pub const MOST_ANSWER: usize = 72 * 1024;
+pub const MAX_HOST_MESSAGE_BYTES: usize = 72 * 1024;
 /// The longest row that is passed on without being held whole: a value of 4 MiB and what stands around it.
-pub const MOST_ROW: usize = 4 * 1024 * 1024 + 1024;
+pub const MAX_ROW_BYTES: usize = 4 * 1024 * 1024 + 1024;
 /// What stands in a row of one column before its value: the kind and the length, the count, the value's own length.
 const BEFORE_VALUE: usize = 5 + 2 + 4;
 
@@ -57,21 +57,21 @@
     /// # Errors
     /// When it is too long or malformed: the connection is of no more use.
     pub fn parse(bytes: &'a [u8]) -> Result<Option<(Self, usize)>, WireError> {
-        if bytes.get(1..).and_then(announced).is_some_and(|length| length > MOST_ANSWER) {
+        if bytes.get(1..).and_then(announced).is_some_and(|length| length > MAX_HOST_MESSAGE_BYTES) {
             return Err(WireError::TooLong);
         }
         framed(bytes, message)
     }
 
-    /// The number of bytes in the row that begins here, if it has one column and is longer than [`MOST_ANSWER`] but may be
-    /// passed on part by part.
+    /// The number of bytes in the row that begins here, if it has one column and is longer than
+    /// [`MAX_HOST_MESSAGE_BYTES`] but may be passed on part by part.
     pub fn large_row(bytes: &[u8]) -> Option<usize> {
         let length = bytes.get(1..).and_then(announced)?;
         let column = bytes.get(5..BEFORE_VALUE)?;
         let value = announced(&column[2..])?;
         let fits =
             bytes[0] == b'D' && column[..2] == [0, 1] && value.checked_add(BEFORE_VALUE) == Some(length + 1);
-        (fits && (MOST_ANSWER + 1..=MOST_ROW).contains(&length)).then_some(length + 1)
+        (fits && (MAX_HOST_MESSAGE_BYTES + 1..=MAX_ROW_BYTES).contains(&length)).then_some(length + 1)
     }
 
     /// Whether a message that begins here may be such a row, but too little of it has come to tell.
@@ -82,7 +82,7 @@
 
 fn message<'a>(input: &mut Input<'a>) -> ModalResult<BackendMessage<'a>> {
     let kind = byte.parse_next(input)?;
-    let mut content = body(input, MOST_ANSWER)?;
+    let mut content = body(input, MAX_HOST_MESSAGE_BYTES)?;
     let content = &mut content;
     let message = match kind {
         b'R' => BackendMessage::Authentication(be_u32.parse_next(content)? == 0),
--- a/crates/pgwire/src/frontend.rs
+++ b/crates/pgwire/src/frontend.rs
@@ -8,7 +8,7 @@
 /// The longest startup packet that is taken, as PostgreSQL does.
 const MOST_STARTUP: usize = 10_000;
 /// Values are 64 KiB at most; as hexadecimal digits with statement and comment they are twice that and some.
-pub const MOST_STATEMENT: usize = 136 * 1024;
+pub const MAX_STATEMENT_BYTES: usize = 136 * 1024;
 
 const SSL: u32 = 80_877_103;
 const GSS: u32 = 80_877_104;
@@ -102,7 +102,7 @@
     /// # Errors
     /// When it is too long or malformed: nothing after it can be read either.
     pub fn parse(bytes: &'a [u8]) -> Result<Option<(Self, usize)>, WireError> {
-        if bytes.get(1..).and_then(announced).is_some_and(|length| length > MOST_STATEMENT) {
+        if bytes.get(1..).and_then(announced).is_some_and(|length| length > MAX_STATEMENT_BYTES) {
             return Err(WireError::TooLong);
         }
         framed(bytes, message)
@@ -111,7 +111,7 @@
 
 fn message<'a>(input: &mut Input<'a>) -> ModalResult<FrontendMessage<'a>> {
     let kind = byte.parse_next(input)?;
-    let content = body(input, MOST_STATEMENT)?;
+    let content = body(input, MAX_STATEMENT_BYTES)?;
     Ok(match kind {
         // The text ends with its zero and holds no other: a host would stop reading there.
         b'Q' => match content.split_last() {
--- a/crates/pgwire/src/lib.rs
+++ b/crates/pgwire/src/lib.rs
@@ -7,9 +7,9 @@
 mod frontend;
 mod statement;
 
-pub use backend::{BackendMessage, ErrorFields, MOST_ANSWER, MOST_ROW};
+pub use backend::{BackendMessage, ErrorFields, MAX_HOST_MESSAGE_BYTES, MAX_ROW_BYTES};
 pub use encode::*;
-pub use frontend::{CancelKey, FrontendMessage, Startup, MOST_STATEMENT};
+pub use frontend::{CancelKey, FrontendMessage, Startup, MAX_STATEMENT_BYTES};
 pub use statement::{Comment, KvStatement, StatementError};
 
 use winnow::binary::be_u32;
--- a/src/config/descriptors.rs
+++ b/src/config/descriptors.rs
@@ -105,7 +105,9 @@
         };
         Self {
             clients: self.clients.min(connections(CLIENT_MEMORY_FRACTION, max_statement_bytes)),
-            upstream: self.upstream.min(connections(1.0 - CLIENT_MEMORY_FRACTION, pgwire::MOST_ANSWER)),
+            upstream: self
+                .upstream
+                .min(connections(1.0 - CLIENT_MEMORY_FRACTION, pgwire::MAX_HOST_MESSAGE_BYTES)),
             ..self
         }
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -129,7 +129,7 @@
             return Err(ConfigError::new("limits.sockets", problem));
         }
         let statements = operator.listeners.iter().map(|listener| listener.protocol.max_statement_bytes());
-        let max_statement_bytes = statements.max().unwrap_or(0).max(pgwire::MOST_STATEMENT);
+        let max_statement_bytes = statements.max().unwrap_or(0).max(pgwire::MAX_STATEMENT_BYTES);
         Ok(limits.within_memory(self.message_memory_bytes, max_statement_bytes))
     }
 
--- a/src/config/read.rs
+++ b/src/config/read.rs
@@ -57,7 +57,7 @@
             seed,
             sockets,
             limits: ConnectionLimits::divide(sockets)
-                .within_memory(message_memory_bytes, pgwire::MOST_STATEMENT),
+                .within_memory(message_memory_bytes, pgwire::MAX_STATEMENT_BYTES),
             message_memory_bytes,
             plan_inputs,
             plan,
--- a/src/net/memory.rs
+++ b/src/net/memory.rs
@@ -122,7 +122,7 @@
     /// # Errors
     /// When the budget has too little left.
     pub fn reserve_pending_answer(&self, class: usize, tenant: usize) -> Result<Reservation, BudgetExceeded> {
-        let bytes = pgwire::MOST_ANSWER as u64;
+        let bytes = pgwire::MAX_HOST_MESSAGE_BYTES as u64;
         self.reserve(Purpose::UpstreamBuffers, self.account(class, tenant), bytes)
     }
 
--- a/src/net/upstream/tds.rs
+++ b/src/net/upstream/tds.rs
@@ -39,7 +39,7 @@
 
 impl Tds {
     pub fn new() -> Self {
-        let assembler = Assembler::new(pgwire::MOST_ANSWER + MAX_OVERHEAD_BYTES);
+        let assembler = Assembler::new(pgwire::MAX_HOST_MESSAGE_BYTES + MAX_OVERHEAD_BYTES);
         Self { assembler, packet_bytes: PACKET_SIZE, login_sent: false }
     }
 
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -21,9 +21,9 @@
     /// Returns the largest size of a statement that is accepted from a client, in bytes of this protocol.
     pub fn max_statement_bytes(self) -> usize {
         match self {
-            Self::Postgres => wheelpier_pgwire::MOST_STATEMENT,
+            Self::Postgres => wheelpier_pgwire::MAX_STATEMENT_BYTES,
             // TDS encodes text as UTF-16.
-            Self::Tds => 2 * wheelpier_pgwire::MOST_STATEMENT + TDS_STATEMENT_OVERHEAD_BYTES,
+            Self::Tds => 2 * wheelpier_pgwire::MAX_STATEMENT_BYTES + TDS_STATEMENT_OVERHEAD_BYTES,
         }
     }
 }
