--- a/crates/emulator/src/net/postgres.rs
+++ b/crates/emulator/src/net/postgres.rs
@@ -5,7 +5,7 @@
 use crate::world::Reply;
 use bytes::BytesMut;
 use wheelpier_pgwire::{
-    command_complete, empty_query, error, parameter, ready, row, welcome, FrontendMessage, Startup,
+    command_complete, empty_query, error, parameter, ready, row, startup_reply, FrontendMessage, Startup,
 };
 
 #[derive(Debug, Default)]
@@ -22,7 +22,7 @@
             let _ = read.split_to(length);
             return match startup {
                 Startup::Session { minor } => {
-                    welcome(out, minor, (1, 1));
+                    startup_reply(out, minor, (1, 1));
                     self.open = true;
                     Ok(Some(Heard::Greeting))
                 }
--- a/crates/pgwire/src/encode.rs
+++ b/crates/pgwire/src/encode.rs
@@ -38,7 +38,7 @@
 }
 
 /// The whole greeting of a client: no password, its parameters, its key, ready.
-pub fn welcome(out: &mut BytesMut, minor: u16, key: (u32, u32)) {
+pub fn startup_reply(out: &mut BytesMut, minor: u16, key: (u32, u32)) {
     if minor > 0 {
         message(out, b'v', |out| {
             out.put_u32(0);
--- a/src/net/frontend/postgres.rs
+++ b/src/net/frontend/postgres.rs
@@ -43,7 +43,7 @@
             Startup::Cancel(key) => Ok(Some(ClientEvent::CancelRequest(key))),
             Startup::Unsupported => Err(Fault::Unsupported("only protocol 3 is spoken".to_owned())),
             Startup::Session { minor } => {
-                pgwire::welcome(out, minor, (self.cancel_key.process, self.cancel_key.secret));
+                pgwire::startup_reply(out, minor, (self.cancel_key.process, self.cancel_key.secret));
                 self.is_open = true;
                 Ok(Some(ClientEvent::SessionOpened))
             }
