--- a/crates/emulator/src/net/front.rs
+++ b/crates/emulator/src/net/front.rs
@@ -209,7 +209,7 @@
     fn query(&self, text: &str) -> Option<Query> {
         let KvStatement { key, comment, .. } = KvStatement::parse(text).ok()?;
         let class = self.place.classes.class(&comment.class)?;
-        let until = self.place.clock.now() + (comment.wait_ms * MS as f64) as i64;
+        let until = self.place.clock.now() + (comment.timeout_ms * MS as f64) as i64;
         Some(Query { id: comment.id, class, session: key.to_owned(), key: comment.key, until })
     }
 
--- a/crates/pgwire/src/statement.rs
+++ b/crates/pgwire/src/statement.rs
@@ -13,11 +13,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct KvStatement<'a> {
     /// Whether it writes.
-    pub write: bool,
+    pub is_write: bool,
     /// The quoted key.
     pub key: &'a str,
     /// Where a write's value stands, in hexadecimal digits.
-    pub value_at: Option<Range<usize>>,
+    pub value_range: Option<Range<usize>>,
     /// What its comment says.
     pub comment: Comment,
 }
@@ -32,17 +32,17 @@
     /// The tenant by name, where the statement names one: an installation may have none.
     pub tenant: Option<String>,
     /// How long the client waits, in milliseconds.
-    pub wait_ms: f64,
+    pub timeout_ms: f64,
     /// Whether the client marks this as a retry.
-    pub again: bool,
+    pub is_retry: bool,
     /// The idempotency key, in a keyed class.
     pub key: Option<String>,
     /// The group of hosts that hold the data.
     pub group: u32,
     /// When the session's last write was committed, in Unix milliseconds.
-    pub after_ms: Option<f64>,
+    pub last_write_ms: Option<f64>,
     /// Where the wait stands in the statement, to be replaced for each attempt.
-    pub wait_at: Range<usize>,
+    pub timeout_range: Range<usize>,
 }
 
 /// What is wrong with a statement.
@@ -74,9 +74,9 @@
     pub fn parse(text: &'a str) -> Result<Self, StatementError> {
         let statement = (alt((read, write)), pairs, eof);
         let mut statement = statement.map(|(start, pairs, _)| (start, pairs));
-        let ((key, value_at), pairs) =
+        let ((key, value_range), pairs) =
             statement.parse(LocatingSlice::new(text)).map_err(|_| StatementError::Form)?;
-        Ok(Self { write: value_at.is_some(), key, value_at, comment: Comment::of(&pairs)? })
+        Ok(Self { is_write: value_range.is_some(), key, value_range, comment: Comment::of(&pairs)? })
     }
 }
 
@@ -102,12 +102,12 @@
             id: word("id")?,
             class: word("c")?,
             tenant: value("t").filter(|name| !name.is_empty()).map(|_| word("t")).transpose()?,
-            wait_ms: number("d", needed("d")?)?,
-            again: value("r") == Some("1"),
+            timeout_ms: number("d", needed("d")?)?,
+            is_retry: value("r") == Some("1"),
             key: find("k").map(|_| word("k")).transpose()?,
             group: group.ok_or(StatementError::Value("cluster"))?,
-            after_ms: value("after").map(|text| number("after", text)).transpose()?,
-            wait_at: find("d").map(|(_, _, place)| place.clone()).ok_or(StatementError::Lacks("d"))?,
+            last_write_ms: value("after").map(|text| number("after", text)).transpose()?,
+            timeout_range: find("d").map(|(_, _, place)| place.clone()).ok_or(StatementError::Lacks("d"))?,
         })
     }
 }
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -18,7 +18,7 @@
 /// a tenant if the settings have tenants, an idempotency key if its class needs one.
 pub(super) fn parse(text: Bytes, names: &Names) -> Result<Request, Fault> {
     let statement = std::str::from_utf8(&text).map_err(|_| Fault::Encoding)?;
-    let KvStatement { write: is_write, key, value_at, comment } =
+    let KvStatement { is_write, key, value_range, comment } =
         KvStatement::parse(statement).map_err(Fault::Statement)?;
     let index = names.classes.iter().position(|class| class.is_configured && class.name == comment.class);
     let index = index.ok_or_else(|| Fault::Invalid(InvalidRequest::UnknownClass(comment.class.clone())))?;
@@ -35,18 +35,18 @@
     }
     // A tenant that the settings do not name has no quota: the router gives it full weight.
     let tenant = comment.tenant.as_deref().and_then(|name| names.tenant(name));
-    let last_write_at = comment.after_ms.filter(|ms| *ms > 0.0).map(|ms| Timestamp((ms * 1e3) as i64));
-    let timeout = Duration::try_from_secs_f64(comment.wait_ms / 1e3);
+    let last_write_at = comment.last_write_ms.filter(|ms| *ms > 0.0).map(|ms| Timestamp((ms * 1e3) as i64));
+    let timeout = Duration::try_from_secs_f64(comment.timeout_ms / 1e3);
     Ok(Request {
         class: index,
         tenant: tenant.unwrap_or(names.tenants.len()),
         group: comment.group,
         is_write,
         session: Some(SessionId::of(key)),
-        is_client_retry: comment.again,
+        is_client_retry: comment.is_retry,
         last_write_at,
         timeout: timeout.map_or(MAX_TIMEOUT, |timeout| timeout.min(MAX_TIMEOUT)),
         client_request_id: comment.id,
-        statement: Statement { timeout_range: comment.wait_at, value_range: value_at, text },
+        statement: Statement { timeout_range: comment.timeout_range, value_range, text },
     })
 }
--- a/tests/pgwire.rs
+++ b/tests/pgwire.rs
@@ -60,11 +60,11 @@
 fn a_statement_tells_the_request_and_where_its_wait_stands(#[case] text: &str, #[case] write: bool) {
     let statement = KvStatement::parse(text).unwrap();
     let comment = statement.comment;
-    assert_eq!((statement.key, statement.write), ("x", write));
+    assert_eq!((statement.key, statement.is_write), ("x", write));
     assert_eq!((comment.id.as_str(), comment.class.as_str()), ("1f", "basket"));
     assert_eq!((comment.tenant.as_deref(), comment.group), (Some("acme"), 2));
-    assert_eq!((comment.again, comment.key.clone(), comment.after_ms), (true, None, Some(17.0)));
-    assert_eq!((&text[comment.wait_at], comment.wait_ms), ("480.5", 480.5));
+    assert_eq!((comment.is_retry, comment.key.clone(), comment.last_write_ms), (true, None, Some(17.0)));
+    assert_eq!((&text[comment.timeout_range], comment.timeout_ms), ("480.5", 480.5));
 }
 
 /// An installation may have no tenants at all.
