--- a/crates/emulator/src/net/client.rs
+++ b/crates/emulator/src/net/client.rs
@@ -86,7 +86,7 @@
 
     /// Whether nothing has come that was not read as a part of an answer.
     pub fn silent(&self) -> bool {
-        self.read.is_empty() && !self.assembler.begun()
+        self.read.is_empty() && !self.assembler.has_partial_message()
     }
 
     /// The bare connection, for whoever means to misuse it.
--- a/crates/emulator/src/net/tds.rs
+++ b/crates/emulator/src/net/tds.rs
@@ -48,7 +48,7 @@
                 put_done(&mut payload, DoneKind::Batch, Done::default());
                 self.put(&payload, out);
                 self.packet = size;
-                self.assembler.agree(size);
+                self.assembler.set_packet_size(size);
                 self.logged_in = true;
             }
             _ => return Err(()),
--- a/crates/tds/src/packet.rs
+++ b/crates/tds/src/packet.rs
@@ -107,17 +107,17 @@
     }
 
     /// The packet size that was agreed; packets are never longer, but may be as long as before the agreement.
-    pub fn agree(&mut self, packet: usize) {
+    pub fn set_packet_size(&mut self, packet: usize) {
         self.packet = packet.max(PACKET_SIZE);
     }
 
     /// Bytes that it keeps of a message that is not yet whole.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.payload.capacity()
     }
 
     /// Whether a message has begun and not ended.
-    pub fn begun(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         self.kind.is_some()
     }
 
--- a/crates/tds/tests/round_trip.rs
+++ b/crates/tds/tests/round_trip.rs
@@ -73,7 +73,7 @@
         put_message(&mut wire, PacketType::Rpc, status, &payload, size);
         put_message(&mut wire, PacketType::Attention, Status::default(), &[], size);
         let mut assembler = Assembler::new(9000);
-        assembler.agree(size);
+        assembler.set_packet_size(size);
         let (mut read, mut messages) = (BytesMut::new(), Vec::new());
         for piece in wire.chunks(cut) {
             read.extend_from_slice(piece);
@@ -84,7 +84,7 @@
         let payload = Bytes::from(payload);
         prop_assert_eq!(&messages[0], &Message { kind: PacketType::Rpc, status, payload });
         prop_assert_eq!(messages[1].kind, PacketType::Attention);
-        prop_assert!(messages.len() == 2 && read.is_empty() && !assembler.begun());
+        prop_assert!(messages.len() == 2 && read.is_empty() && !assembler.has_partial_message());
     }
 
     #[test]
--- a/src/net/frontend/tds/mod.rs
+++ b/src/net/frontend/tds/mod.rs
@@ -70,7 +70,7 @@
 
     /// Takes the next complete message from the front of the read buffer.
     fn message(&mut self, read: &mut BytesMut) -> Result<Option<Message>, Fault> {
-        if self.assembler.begun() {
+        if self.assembler.has_partial_message() {
             return Ok(self.assembler.next(read)?);
         }
         match (self.stage, read.first()) {
@@ -224,11 +224,11 @@
     }
 
     fn has_partial_message(&self, read: &BytesMut) -> bool {
-        self.assembler.begun() || !read.is_empty()
+        self.assembler.has_partial_message() || !read.is_empty()
     }
 
     fn buffered_bytes(&self) -> usize {
-        self.assembler.held()
+        self.assembler.buffered_bytes()
     }
 
     /// One request at a time, but for an attention (2.2.1.7).
@@ -238,7 +238,7 @@
 
     fn take_cancellation(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<bool, Fault> {
         // Anything else waits for the answer: a second request, or a violation of the protocol.
-        if self.assembler.begun() || !PacketType::Attention.begins(read) {
+        if self.assembler.has_partial_message() || !PacketType::Attention.begins(read) {
             return Ok(false);
         }
         let is_cancelled = self.message(read)?.is_some();
--- a/src/net/frontend/tds/startup.rs
+++ b/src/net/frontend/tds/startup.rs
@@ -54,7 +54,7 @@
         // The answer itself still goes in packets of the old size.
         self.put(&payload, out);
         self.packet_size = packet_size;
-        self.assembler.agree(packet_size);
+        self.assembler.set_packet_size(packet_size);
         self.stage = Stage::Open;
         Ok(ClientEvent::SessionOpened)
     }
--- a/src/net/upstream/tds.rs
+++ b/src/net/upstream/tds.rs
@@ -67,7 +67,7 @@
                 Token::LoginAck(ack) => acknowledged = ack.version == version::V7_4,
                 Token::Environment(Environment::PacketSize(size)) => {
                     self.packet_bytes = size;
-                    self.assembler.agree(size);
+                    self.assembler.set_packet_size(size);
                 }
                 Token::Error(notice) if numbers::FULL.contains(&notice.number) => {
                     return Err(Outcome::Overloaded)
@@ -157,7 +157,7 @@
             }
             _ => exchange.invalidate(),
         }
-        let is_reusable = exchange.is_finished() && read.is_empty() && !self.assembler.begun();
+        let is_reusable = exchange.is_finished() && read.is_empty() && !self.assembler.has_partial_message();
         Some(if is_reusable { ConnectionStatus::Reusable } else { ConnectionStatus::Unusable })
     }
 }
