--- a/crates/emulator/src/net/tds.rs
+++ b/crates/emulator/src/net/tds.rs
@@ -73,7 +73,10 @@
         put_columns(&mut payload, &columns);
         put_row(&mut payload, &columns, &[Value::Binary(value)]);
         if let Some(message) = stamp {
-            put_info(&mut payload, &Notice { number: numbers::STAMP, state: 1, class: 0, message });
+            put_info(
+                &mut payload,
+                &Notice { number: numbers::ROLE_AND_POSITION, state: 1, class: 0, message },
+            );
         }
         self.finish(payload, Done { counted: true, rows: 1, ..Done::default() }, out);
     }
--- a/crates/tds/src/numbers.rs
+++ b/crates/tds/src/numbers.rs
@@ -13,7 +13,7 @@
 /// Too many connections. Passing for drivers.
 pub const LIMIT: i32 = 10928;
 /// What a ledger host says when it did not begin the request.
-pub const FULL: [i32; 4] = [BUSY, UNAVAILABLE, RESOURCES, LIMIT];
+pub const REJECTED: [i32; 4] = [BUSY, UNAVAILABLE, RESOURCES, LIMIT];
 /// A write, and this is no primary.
 pub const READ_ONLY: i32 = 3906;
 /// A read, and this host is too far behind for it.
@@ -23,7 +23,7 @@
 /// No ledger host answered; the request may have had an effect.
 pub const FAILED: i32 = 50058;
 /// The client has ended its side.
-pub const LEFT: i32 = 50014;
+pub const CLIENT_LEFT: i32 = 50014;
 /// The statement makes no sense.
 pub const SYNTAX: i32 = 102;
 /// The statement names something that is not there.
@@ -38,4 +38,4 @@
 pub const DATABASE: i32 = 5701;
 /// A ledger host's notice of its role and position, before the end of its answer:
 /// `role=replica applied_ms=1767225600123`.
-pub const STAMP: i32 = 50100;
+pub const ROLE_AND_POSITION: i32 = 50100;
--- a/src/net/frontend/fault.rs
+++ b/src/net/frontend/fault.rs
@@ -172,7 +172,7 @@
             Self::Rejected(_) => numbers::BUSY,
             Self::NotReady => numbers::UNAVAILABLE,
             Self::Failed => numbers::FAILED,
-            Self::ClientLeft | Self::Cancelled => numbers::LEFT,
+            Self::ClientLeft | Self::Cancelled => numbers::CLIENT_LEFT,
             Self::Encoding | Self::Statement(_) | Self::Syntax(_) => numbers::SYNTAX,
             Self::Invalid(_) => numbers::INVALID,
             Self::Unsupported(_) | Self::WrongProtocol(_) => numbers::UNSUPPORTED,
--- a/src/net/upstream/tds.rs
+++ b/src/net/upstream/tds.rs
@@ -69,7 +69,7 @@
                     self.packet_bytes = size;
                     self.assembler.set_packet_size(size);
                 }
-                Token::Error(notice) if numbers::FULL.contains(&notice.number) => {
+                Token::Error(notice) if numbers::REJECTED.contains(&notice.number) => {
                     return Err(Outcome::Overloaded)
                 }
                 Token::Error(_) => return Err(Outcome::ConnectFailed),
@@ -183,7 +183,9 @@
             (Some(Value::Text(text)), true) => exchange.row(text.into()),
             _ => exchange.invalidate(),
         },
-        Token::Info(notice) if notice.number == numbers::STAMP => apply_stamp(exchange, &notice.message),
+        Token::Info(notice) if notice.number == numbers::ROLE_AND_POSITION => {
+            apply_stamp(exchange, &notice.message)
+        }
         Token::Error(notice) => exchange.fail(error_outcome(&notice)),
         // The end of a statement that failed says no more than the error did.
         Token::Done(kind, done) if done.error || exchange.has_result() => {
@@ -211,7 +213,7 @@
 fn error_outcome(notice: &Notice) -> Outcome {
     match notice.number {
         numbers::READ_ONLY | numbers::BEHIND => Outcome::Misdirected,
-        number if numbers::FULL.contains(&number) => Outcome::Overloaded,
+        number if numbers::REJECTED.contains(&number) => Outcome::Overloaded,
         numbers::HOST_ERROR => Outcome::Error,
         code => {
             tracing::warn!(code, error = notice.message, "host answered with an unknown error code");
