--- a/crates/emulator/src/net/client.rs
+++ b/crates/emulator/src/net/client.rs
@@ -199,14 +199,14 @@
         let (name, output) = (name.to_owned(), false);
         Parameter { name, output, kind, value }
     };
-    let text = |name: &str, text: String| parameter(name, DataType::Text, Value::Text(text));
+    let text = |name: &str, text: String| parameter(name, DataType::NVarChar, Value::Text(text));
     let session = text("@P1", planned.session.clone());
     let parameters = match spec.classes[planned.class].freshness {
         Freshness::Write => vec![
             text("", format!("INSERT INTO kv (name, content) VALUES (@P1, @P2) RETURNING content {comment}")),
             text("", "@P1 nvarchar(4000), @P2 varbinary(max)".to_owned()),
             session,
-            parameter("@P2", DataType::LongBinary, Value::Binary(planned.value.clone().into())),
+            parameter("@P2", DataType::VarBinaryMax, Value::Binary(planned.value.clone().into())),
         ],
         _ => vec![
             text("", format!("SELECT content FROM kv WHERE name = @P1 {comment}")),
--- a/crates/emulator/src/net/tds.rs
+++ b/crates/emulator/src/net/tds.rs
@@ -68,7 +68,7 @@
     }
 
     fn row(&mut self, value: Bytes, stamp: Option<String>, out: &mut BytesMut) {
-        let columns = [Column { name: "content".to_owned(), kind: DataType::LongBinary }];
+        let columns = [Column { name: "content".to_owned(), kind: DataType::VarBinaryMax }];
         let mut payload = BytesMut::new();
         put_columns(&mut payload, &columns);
         put_row(&mut payload, &columns, &[Value::Binary(value)]);
--- a/crates/tds/src/token.rs
+++ b/crates/tds/src/token.rs
@@ -242,7 +242,7 @@
     for _ in 0..count {
         (le_u32, le_u16).void().parse_next(input)?;
         let kind = DataType::parse(input)?;
-        if kind == DataType::OldText {
+        if kind == DataType::NText {
             let parts = byte.parse_next(input)?;
             (0..parts).try_for_each(|_| text::long(input).map(drop))?;
         }
@@ -310,7 +310,7 @@
         out.put_u32_le(0);
         out.put_u16_le(NULLABLE);
         column.kind.put(out);
-        if column.kind == DataType::OldText {
+        if column.kind == DataType::NText {
             out.put_u8(0);
         }
         text::put_short(out, &column.name);
--- a/crates/tds/src/value.rs
+++ b/crates/tds/src/value.rs
@@ -26,19 +26,19 @@
         nullable: bool,
     },
     /// nvarchar or nchar, at most 8,000 bytes.
-    Text,
+    NVarChar,
     /// nvarchar(max), in chunks.
-    LongText,
+    NVarCharMax,
     /// varchar or char, at most 8,000 bytes.
-    Narrow,
+    VarChar,
     /// varchar(max), in chunks.
-    LongNarrow,
+    VarCharMax,
     /// ntext, with four bytes of length.
-    OldText,
+    NText,
     /// varbinary or binary, at most 8,000 bytes.
-    Binary,
+    VarBinary,
     /// varbinary(max), in chunks.
-    LongBinary,
+    VarBinaryMax,
 }
 
 /// A value.
@@ -72,28 +72,28 @@
                 let most = le_u16.parse_next(input)?;
                 collation(input)?;
                 if most == PLP {
-                    Self::LongText
+                    Self::NVarCharMax
                 } else {
-                    Self::Text
+                    Self::NVarChar
                 }
             }
             0xa7 | 0xaf => {
                 let most = le_u16.parse_next(input)?;
                 collation(input)?;
                 if most == PLP {
-                    Self::LongNarrow
+                    Self::VarCharMax
                 } else {
-                    Self::Narrow
+                    Self::VarChar
                 }
             }
             0xa5 | 0xad => match le_u16.parse_next(input)? {
-                PLP => Self::LongBinary,
-                _ => Self::Binary,
+                PLP => Self::VarBinaryMax,
+                _ => Self::VarBinary,
             },
             0x63 => {
                 le_u32.parse_next(input)?;
                 collation(input)?;
-                Self::OldText
+                Self::NText
             }
             _ => return Err(ContextError::new()),
         })
@@ -109,24 +109,24 @@
                 4 => 0x38,
                 _ => 0x7f,
             }),
-            Self::Text | Self::LongText => {
+            Self::NVarChar | Self::NVarCharMax => {
                 out.put_u8(0xe7);
-                out.put_u16_le(if self == Self::Text { 8_000 } else { PLP });
+                out.put_u16_le(if self == Self::NVarChar { 8_000 } else { PLP });
                 out.put_slice(&COLLATION);
             }
-            Self::Narrow | Self::LongNarrow => {
+            Self::VarChar | Self::VarCharMax => {
                 out.put_u8(0xa7);
-                out.put_u16_le(if self == Self::Narrow { 8_000 } else { PLP });
+                out.put_u16_le(if self == Self::VarChar { 8_000 } else { PLP });
                 out.put_slice(&COLLATION);
             }
-            Self::OldText => {
+            Self::NText => {
                 out.put_u8(0x63);
                 out.put_u32_le(0x7fff_fffe);
                 out.put_slice(&COLLATION);
             }
-            Self::Binary | Self::LongBinary => {
+            Self::VarBinary | Self::VarBinaryMax => {
                 out.put_u8(0xa5);
-                out.put_u16_le(if self == Self::Binary { 8_000 } else { PLP });
+                out.put_u16_le(if self == Self::VarBinary { 8_000 } else { PLP });
             }
         }
     }
@@ -135,18 +135,18 @@
     pub(crate) fn value(self, input: &mut &[u8]) -> Read<Value> {
         match self {
             Self::Int { size, nullable } => int(input, size, nullable),
-            Self::Text => short(input)?.map_or(Ok(Value::Null), wide),
-            Self::LongText => plp(input)?.map_or(Ok(Value::Null), |bytes| wide(&bytes)),
-            Self::Narrow => short(input)?.map_or(Ok(Value::Null), narrow),
-            Self::LongNarrow => plp(input)?.map_or(Ok(Value::Null), |bytes| narrow(&bytes)),
-            Self::OldText => match le_u32.parse_next(input)? {
+            Self::NVarChar => short(input)?.map_or(Ok(Value::Null), wide),
+            Self::NVarCharMax => plp(input)?.map_or(Ok(Value::Null), |bytes| wide(&bytes)),
+            Self::VarChar => short(input)?.map_or(Ok(Value::Null), narrow),
+            Self::VarCharMax => plp(input)?.map_or(Ok(Value::Null), |bytes| narrow(&bytes)),
+            Self::NText => match le_u32.parse_next(input)? {
                 u32::MAX => Ok(Value::Null),
                 length => wide(take(length).parse_next(input)?),
             },
-            Self::Binary => {
+            Self::VarBinary => {
                 Ok(short(input)?.map_or(Value::Null, |bytes| Value::Binary(Bytes::copy_from_slice(bytes))))
             }
-            Self::LongBinary => Ok(plp(input)?.map_or(Value::Null, |bytes| Value::Binary(bytes.into()))),
+            Self::VarBinaryMax => Ok(plp(input)?.map_or(Value::Null, |bytes| Value::Binary(bytes.into()))),
         }
     }
 
@@ -161,20 +161,20 @@
             }
             (Self::Int { nullable: true, .. }, _) => out.put_u8(0),
             (Self::Int { size, .. }, _) => out.put_bytes(0, usize::from(size)),
-            (Self::Text, Value::Text(text)) => put_short(out, &utf16(text)),
-            (Self::LongText, Value::Text(text)) => put_plp(out, &utf16(text)),
-            (Self::OldText, Value::Text(text)) => {
+            (Self::NVarChar, Value::Text(text)) => put_short(out, &utf16(text)),
+            (Self::NVarCharMax, Value::Text(text)) => put_plp(out, &utf16(text)),
+            (Self::NText, Value::Text(text)) => {
                 let text = utf16(text);
                 out.put_u32_le(text.len() as u32);
                 out.put_slice(&text);
             }
-            (Self::Narrow, Value::Text(text)) => put_short(out, text.as_bytes()),
-            (Self::LongNarrow, Value::Text(text)) => put_plp(out, text.as_bytes()),
-            (Self::Binary, Value::Binary(bytes)) => put_short(out, bytes),
-            (Self::LongBinary, Value::Binary(bytes)) => put_plp(out, bytes),
-            (Self::LongText | Self::LongNarrow | Self::LongBinary, _) => out.put_u64_le(PLP_NULL),
-            (Self::OldText, _) => out.put_u32_le(u32::MAX),
-            (Self::Text | Self::Narrow | Self::Binary, _) => out.put_u16_le(PLP),
+            (Self::VarChar, Value::Text(text)) => put_short(out, text.as_bytes()),
+            (Self::VarCharMax, Value::Text(text)) => put_plp(out, text.as_bytes()),
+            (Self::VarBinary, Value::Binary(bytes)) => put_short(out, bytes),
+            (Self::VarBinaryMax, Value::Binary(bytes)) => put_plp(out, bytes),
+            (Self::NVarCharMax | Self::VarCharMax | Self::VarBinaryMax, _) => out.put_u64_le(PLP_NULL),
+            (Self::NText, _) => out.put_u32_le(u32::MAX),
+            (Self::NVarChar | Self::VarChar | Self::VarBinary, _) => out.put_u16_le(PLP),
         }
     }
 }
--- a/crates/tds/tests/hostile.rs
+++ b/crates/tds/tests/hostile.rs
@@ -38,7 +38,7 @@
 #[case::without_its_end(&[254, 255, 255, 255, 255, 255, 255, 255, 4, 0, 0, 0, 1, 2, 3, 4])]
 fn long_values_are_turned_down(#[case] value: &[u8]) {
     let mut payload = BytesMut::new();
-    put_columns(&mut payload, &[Column { name: "content".to_owned(), kind: DataType::LongBinary }]);
+    put_columns(&mut payload, &[Column { name: "content".to_owned(), kind: DataType::VarBinaryMax }]);
     payload.put_u8(0xd1);
     payload.put_slice(value);
     let tokens: Vec<_> = Tokens::new(&payload).collect();
--- a/crates/tds/tests/round_trip.rs
+++ b/crates/tds/tests/round_trip.rs
@@ -12,13 +12,15 @@
                 .prop_map(move |n| Value::Int(if bits == 8 { n & 0xff } else { n >> (64 - bits) }))
                 .boxed()
         }
-        DataType::Text | DataType::LongText | DataType::OldText => "\\PC{0,40}".prop_map(Value::Text).boxed(),
-        DataType::Narrow | DataType::LongNarrow => "[ -~]{0,40}".prop_map(Value::Text).boxed(),
-        DataType::Binary => {
+        DataType::NVarChar | DataType::NVarCharMax | DataType::NText => {
+            "\\PC{0,40}".prop_map(Value::Text).boxed()
+        }
+        DataType::VarChar | DataType::VarCharMax => "[ -~]{0,40}".prop_map(Value::Text).boxed(),
+        DataType::VarBinary => {
             prop::collection::vec(any::<u8>(), 0..60).prop_map(|b| Value::Binary(b.into())).boxed()
         }
         // Over one chunk.
-        DataType::LongBinary => {
+        DataType::VarBinaryMax => {
             prop::collection::vec(any::<u8>(), 0..3 * CHUNK).prop_map(|b| Value::Binary(b.into())).boxed()
         }
     };
@@ -33,13 +35,13 @@
         (prop::sample::select(vec![1u8, 2, 4, 8]), any::<bool>())
             .prop_map(|(size, nullable)| DataType::Int { size, nullable }),
         prop::sample::select(vec![
-            DataType::Text,
-            DataType::LongText,
-            DataType::Narrow,
-            DataType::LongNarrow,
-            DataType::OldText,
-            DataType::Binary,
-            DataType::LongBinary,
+            DataType::NVarChar,
+            DataType::NVarCharMax,
+            DataType::VarChar,
+            DataType::VarCharMax,
+            DataType::NText,
+            DataType::VarBinary,
+            DataType::VarBinaryMax,
         ]),
     ]
 }
--- a/crates/testbench/benches/messages.rs
+++ b/crates/testbench/benches/messages.rs
@@ -30,7 +30,7 @@
     let text = |name: &str, text: &str| Parameter {
         name: name.to_owned(),
         output: false,
-        kind: DataType::Text,
+        kind: DataType::NVarChar,
         value: Value::Text(text.to_owned()),
     };
     let statement = READ.replace("'7f3a9c21e0b4d655'", "@P1");
@@ -42,7 +42,7 @@
 }
 
 fn tds_answer(value: &[u8]) -> BytesMut {
-    let columns = [Column { name: "content".to_owned(), kind: DataType::LongBinary }];
+    let columns = [Column { name: "content".to_owned(), kind: DataType::VarBinaryMax }];
     let mut payload = BytesMut::new();
     put_columns(&mut payload, &columns);
     put_row(&mut payload, &columns, &[Value::Binary(value.to_vec().into())]);
--- a/src/net/frontend/tds/mod.rs
+++ b/src/net/frontend/tds/mod.rs
@@ -168,7 +168,7 @@
     fn row(&mut self, value: Datum, out: &mut BytesMut) -> ClientEvent {
         let kind = match value {
             Datum::Int(_) => DataType::Int { size: 4, nullable: true },
-            _ => DataType::Text,
+            _ => DataType::NVarChar,
         };
         self.put_row("", kind, value, out);
         ClientEvent::Answered
@@ -257,7 +257,7 @@
 
     fn write_value(&mut self, value: &Value, out: &mut BytesMut) {
         let content = Datum::Binary(value.content.clone());
-        self.put_row("content", DataType::LongBinary, content, out);
+        self.put_row("content", DataType::VarBinaryMax, content, out);
     }
 
     /// TDS encodes a value's bytes otherwise than PostgreSQL's protocol.
--- a/src/net/upstream/tds.rs
+++ b/src/net/upstream/tds.rs
@@ -108,9 +108,9 @@
     let parameter = |name: &str, kind, value| Parameter { name: name.to_owned(), output: false, kind, value };
     let declaration = format!("{VALUE_PARAMETER} varbinary(max)");
     let parameters = vec![
-        parameter("", DataType::Text, Value::Text(text)),
-        parameter("", DataType::Text, Value::Text(declaration)),
-        parameter(VALUE_PARAMETER, DataType::LongBinary, Value::Binary(value.into())),
+        parameter("", DataType::NVarChar, Value::Text(text)),
+        parameter("", DataType::NVarChar, Value::Text(declaration)),
+        parameter(VALUE_PARAMETER, DataType::VarBinaryMax, Value::Binary(value.into())),
     ];
     Rpc { procedure: Procedure::Number(SP_EXECUTESQL), options: 0, parameters }
 }
--- a/tests/sockets/scenario/tds.rs
+++ b/tests/sockets/scenario/tds.rs
@@ -38,7 +38,7 @@
 }
 
 fn call(text: &str, values: Vec<Parameter>) -> Vec<u8> {
-    let words = |text: &str| parameter("", DataType::LongText, Value::Text(text.to_owned()));
+    let words = |text: &str| parameter("", DataType::NVarCharMax, Value::Text(text.to_owned()));
     let mut parameters = vec![words(text), words("@P1 nvarchar(99), @P2 varbinary(max)")];
     parameters.extend(values);
     let call = Rpc { procedure: Procedure::Number(SP_EXECUTESQL), options: 0, parameters };
@@ -69,7 +69,7 @@
         let (id, d) = rest.split_once(' ').unwrap();
         format!("/* id={id},c={class},t=acme,d={d},k=7,cluster=0 */")
     };
-    let key = || parameter("@P1", DataType::Text, Value::Text("k1".to_owned()));
+    let key = || parameter("@P1", DataType::NVarChar, Value::Text("k1".to_owned()));
     match kind {
         "prelogin" => prelogin(match rest {
             "" | "off" => Encryption::Off,
@@ -89,7 +89,7 @@
         "call" => call(&format!("SELECT content FROM kv WHERE name = @P1 {}", comment("any")), vec![key()]),
         "write" => {
             let text = "INSERT INTO kv (name, content) VALUES (@P1, @P2) RETURNING content";
-            let value = parameter("@P2", DataType::LongBinary, Value::Binary(vec![0, 0xff].into()));
+            let value = parameter("@P2", DataType::VarBinaryMax, Value::Binary(vec![0, 0xff].into()));
             call(&format!("{text} {}", comment("write")), vec![key(), value])
         }
         "procedure" => {
@@ -174,7 +174,7 @@
 /// The tokens of an answer with its row.
 pub fn value(value: &str, role: &str, ahead: i64) -> BytesMut {
     payload(|out| {
-        let columns = [Column { name: "content".to_owned(), kind: DataType::LongBinary }];
+        let columns = [Column { name: "content".to_owned(), kind: DataType::VarBinaryMax }];
         put_columns(out, &columns);
         put_row(out, &columns, &[Value::Binary(value.as_bytes().to_vec().into())]);
         let message = format!("role={role} applied_ms={}", unix_ms().saturating_add(ahead));
