--- a/crates/emulator/src/net/tds.rs
+++ b/crates/emulator/src/net/tds.rs
@@ -78,7 +78,7 @@
                 &Notice { number: numbers::ROLE_AND_POSITION, state: 1, class: 0, message },
             );
         }
-        self.finish(payload, Done { counted: true, rows: 1, ..Done::default() }, out);
+        self.finish(payload, Done { has_row_count: true, rows: 1, ..Done::default() }, out);
     }
 
     fn error(&mut self, number: i32, message: &str, out: &mut BytesMut) {
--- a/crates/tds/src/token.rs
+++ b/crates/tds/src/token.rs
@@ -80,7 +80,7 @@
     /// It ended in an error.
     pub error: bool,
     /// Its count of rows is valid.
-    pub counted: bool,
+    pub has_row_count: bool,
     /// It acknowledges an attention.
     pub attention: bool,
     /// Rows returned or changed.
@@ -263,7 +263,7 @@
 fn done(input: &mut &[u8]) -> Read<Done> {
     let (status, _, rows) = (le_u16, le_u16, le_u64).parse_next(input)?;
     let is = |bit: u16| status & bit != 0;
-    Ok(Done { more: is(MORE), error: is(FAILED), counted: is(COUNT), attention: is(ATTENTION), rows })
+    Ok(Done { more: is(MORE), error: is(FAILED), has_row_count: is(COUNT), attention: is(ATTENTION), rows })
 }
 
 fn notice(input: &mut &[u8]) -> Read<Notice> {
@@ -345,10 +345,11 @@
         DoneKind::Proc => DONE_PROC,
         DoneKind::InProc => DONE_IN_PROC,
     });
-    let bits = [(done.more, MORE), (done.error, FAILED), (done.counted, COUNT), (done.attention, ATTENTION)];
+    let bits =
+        [(done.more, MORE), (done.error, FAILED), (done.has_row_count, COUNT), (done.attention, ATTENTION)];
     out.put_u16_le(bits.iter().filter(|(is, _)| *is).map(|(_, bit)| bit).sum());
     // SELECT, as drivers expect where rows are counted.
-    out.put_u16_le(if done.counted { 0xc1 } else { 0 });
+    out.put_u16_le(if done.has_row_count { 0xc1 } else { 0 });
     out.put_u64_le(done.rows);
 }
 
--- a/crates/tds/tests/round_trip.rs
+++ b/crates/tds/tests/round_trip.rs
@@ -117,7 +117,7 @@
         put_columns(&mut payload, &columns);
         put_row(&mut payload, &columns, &values);
         put_row_with_nulls(&mut payload, &columns, &values);
-        let done = Done { counted: true, rows: 2, ..Done::default() };
+        let done = Done { has_row_count: true, rows: 2, ..Done::default() };
         put_done(&mut payload, DoneKind::InProc, done);
         put_order(&mut payload, &[1, 2]);
         put_return_status(&mut payload, -6);
--- a/crates/testbench/benches/messages.rs
+++ b/crates/testbench/benches/messages.rs
@@ -46,7 +46,7 @@
     let mut payload = BytesMut::new();
     put_columns(&mut payload, &columns);
     put_row(&mut payload, &columns, &[Value::Binary(value.to_vec().into())]);
-    put_done(&mut payload, DoneKind::Batch, Done { counted: true, rows: 1, ..Done::default() });
+    put_done(&mut payload, DoneKind::Batch, Done { has_row_count: true, rows: 1, ..Done::default() });
     tds_message(PacketType::Result, &payload)
 }
 
--- a/src/net/frontend/tds/mod.rs
+++ b/src/net/frontend/tds/mod.rs
@@ -194,7 +194,7 @@
 
     /// Appends an answer's last tokens and encodes it.
     fn finish(&mut self, mut payload: BytesMut, rows: u64, out: &mut BytesMut) {
-        let done = Done { counted: rows > 0, rows, ..Done::default() };
+        let done = Done { has_row_count: rows > 0, rows, ..Done::default() };
         if self.open.is_call {
             put_done(&mut payload, DoneKind::InProc, Done { more: true, ..done });
             put_return_status(&mut payload, 0);
--- a/src/net/upstream/tds.rs
+++ b/src/net/upstream/tds.rs
@@ -189,7 +189,7 @@
         Token::Error(notice) => exchange.fail(error_outcome(&notice)),
         // The end of a statement that failed says no more than the error did.
         Token::Done(kind, done) if done.error || exchange.has_result() => {
-            if done.attention || (kind == DoneKind::Batch && !done.error && done.counted) {
+            if done.attention || (kind == DoneKind::Batch && !done.error && done.has_row_count) {
                 exchange.invalidate();
             }
         }
--- a/tests/sockets/scenario/tds.rs
+++ b/tests/sockets/scenario/tds.rs
@@ -179,7 +179,7 @@
         put_row(out, &columns, &[Value::Binary(value.as_bytes().to_vec().into())]);
         let message = format!("role={role} applied_ms={}", unix_ms().saturating_add(ahead));
         put_info(out, &Notice { number: numbers::ROLE_AND_POSITION, state: 1, class: 0, message });
-        put_done(out, DoneKind::Batch, Done { counted: true, rows: 1, ..Done::default() });
+        put_done(out, DoneKind::Batch, Done { has_row_count: true, rows: 1, ..Done::default() });
     })
 }
 
