--- a/crates/emulator/src/net/postgres.rs
+++ b/crates/emulator/src/net/postgres.rs
@@ -5,7 +5,8 @@
 use crate::world::Reply;
 use bytes::BytesMut;
 use wheelpier_pgwire::{
-    command_complete, empty_query, error, parameter, ready, row, startup_reply, FrontendMessage, Startup,
+    command_complete, empty_query, error, parameter, ready, single_value_result, startup_reply,
+    FrontendMessage, Startup,
 };
 
 #[derive(Debug, Default)]
@@ -55,7 +56,7 @@
     fn reply(&mut self, reply: &Reply, out: &mut BytesMut) {
         match reply {
             Reply::Served { content, position, primary, needed } => {
-                row(out, "content", content.as_bytes());
+                single_value_result(out, "content", content.as_bytes());
                 parameter(out, "role", if *primary { "primary" } else { "replica" });
                 parameter(out, "applied_ms", &told(*position, needed.is_none()).to_string());
             }
@@ -68,7 +69,7 @@
     }
 
     fn text(&mut self, text: &str, out: &mut BytesMut) {
-        row(out, "load", text.as_bytes());
+        single_value_result(out, "load", text.as_bytes());
         ready(out);
     }
 
--- a/crates/pgwire/src/encode.rs
+++ b/crates/pgwire/src/encode.rs
@@ -68,7 +68,7 @@
 }
 
 /// A row of one column of bytes: its description, itself, and the statement's end.
-pub fn row(out: &mut BytesMut, name: &str, value: &[u8]) {
+pub fn single_value_result(out: &mut BytesMut, name: &str, value: &[u8]) {
     message(out, b'T', |out| {
         out.put_u16(1);
         text(out, name);
--- a/crates/testbench/benches/messages.rs
+++ b/crates/testbench/benches/messages.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion, Throughput};
 use std::hint::black_box;
-use wheelpier_pgwire::{query, ready, row, BackendMessage, FrontendMessage, KvStatement};
+use wheelpier_pgwire::{query, ready, single_value_result, BackendMessage, FrontendMessage, KvStatement};
 use wheelpier_tds::{
     batch, put_all_headers, put_columns, put_done, put_message, put_row, put_text, rpc, Assembler, Column,
     DataType, Done, DoneKind, PacketType, Parameter, Procedure, Rpc, Status, Tokens, Value, PACKET_SIZE,
@@ -52,7 +52,7 @@
 
 fn postgres_answer(value: &[u8]) -> BytesMut {
     let mut out = BytesMut::new();
-    row(&mut out, "content", value);
+    single_value_result(&mut out, "content", value);
     ready(&mut out);
     out
 }
--- a/src/net/frontend/postgres.rs
+++ b/src/net/frontend/postgres.rs
@@ -129,7 +129,7 @@
     fn write_value(&mut self, value: &Value, out: &mut BytesMut) {
         match &value.postgres_messages {
             Some(messages) => out.extend_from_slice(messages),
-            None => pgwire::row(out, "content", &value.content),
+            None => pgwire::single_value_result(out, "content", &value.content),
         }
         pgwire::ready(out);
     }
