--- a/crates/emulator/src/net/tds.rs
+++ b/crates/emulator/src/net/tds.rs
@@ -48,7 +48,7 @@
                 put_done(&mut payload, DoneKind::Batch, Done::default());
                 self.put(&payload, out);
                 self.packet = size;
-                self.assembler.agree(size);
+                self.assembler.set_packet_size(size);
                 self.logged_in = true;
             }
             _ => return Err(()),
@@ -68,14 +68,17 @@
     }
 
     fn row(&mut self, value: Bytes, stamp: Option<String>, out: &mut BytesMut) {
-        let columns = [Column { name: "content".to_owned(), kind: DataType::LongBinary }];
+        let columns = [Column { name: "content".to_owned(), kind: DataType::VarBinaryMax }];
         let mut payload = BytesMut::new();
         put_columns(&mut payload, &columns);
         put_row(&mut payload, &columns, &[Value::Binary(value)]);
         if let Some(message) = stamp {
-            put_info(&mut payload, &Notice { number: numbers::STAMP, state: 1, class: 0, message });
+            put_info(
+                &mut payload,
+                &Notice { number: numbers::ROLE_AND_POSITION, state: 1, class: 0, message },
+            );
         }
-        self.finish(payload, Done { counted: true, rows: 1, ..Done::default() }, out);
+        self.finish(payload, Done { has_row_count: true, rows: 1, ..Done::default() }, out);
     }
 
     fn error(&mut self, number: i32, message: &str, out: &mut BytesMut) {
--- a/crates/pgwire/src/encode.rs
+++ b/crates/pgwire/src/encode.rs
@@ -38,7 +38,7 @@
 }
 
 /// The whole greeting of a client: no password, its parameters, its key, ready.
-pub fn welcome(out: &mut BytesMut, minor: u16, key: (u32, u32)) {
+pub fn startup_reply(out: &mut BytesMut, minor: u16, key: (u32, u32)) {
     if minor > 0 {
         message(out, b'v', |out| {
             out.put_u32(0);
@@ -68,7 +68,7 @@
 }
 
 /// A row of one column of bytes: its description, itself, and the statement's end.
-pub fn row(out: &mut BytesMut, name: &str, value: &[u8]) {
+pub fn single_value_result(out: &mut BytesMut, name: &str, value: &[u8]) {
     message(out, b'T', |out| {
         out.put_u16(1);
         text(out, name);
--- a/crates/tds/src/token.rs
+++ b/crates/tds/src/token.rs
@@ -80,7 +80,7 @@
     /// It ended in an error.
     pub error: bool,
     /// Its count of rows is valid.
-    pub counted: bool,
+    pub has_row_count: bool,
     /// It acknowledges an attention.
     pub attention: bool,
     /// Rows returned or changed.
@@ -242,7 +242,7 @@
     for _ in 0..count {
         (le_u32, le_u16).void().parse_next(input)?;
         let kind = DataType::parse(input)?;
-        if kind == DataType::OldText {
+        if kind == DataType::NText {
             let parts = byte.parse_next(input)?;
             (0..parts).try_for_each(|_| text::long(input).map(drop))?;
         }
@@ -263,7 +263,7 @@
 fn done(input: &mut &[u8]) -> Read<Done> {
     let (status, _, rows) = (le_u16, le_u16, le_u64).parse_next(input)?;
     let is = |bit: u16| status & bit != 0;
-    Ok(Done { more: is(MORE), error: is(FAILED), counted: is(COUNT), attention: is(ATTENTION), rows })
+    Ok(Done { more: is(MORE), error: is(FAILED), has_row_count: is(COUNT), attention: is(ATTENTION), rows })
 }
 
 fn notice(input: &mut &[u8]) -> Read<Notice> {
@@ -310,7 +310,7 @@
         out.put_u32_le(0);
         out.put_u16_le(NULLABLE);
         column.kind.put(out);
-        if column.kind == DataType::OldText {
+        if column.kind == DataType::NText {
             out.put_u8(0);
         }
         text::put_short(out, &column.name);
@@ -345,10 +345,11 @@
         DoneKind::Proc => DONE_PROC,
         DoneKind::InProc => DONE_IN_PROC,
     });
-    let bits = [(done.more, MORE), (done.error, FAILED), (done.counted, COUNT), (done.attention, ATTENTION)];
+    let bits =
+        [(done.more, MORE), (done.error, FAILED), (done.has_row_count, COUNT), (done.attention, ATTENTION)];
     out.put_u16_le(bits.iter().filter(|(is, _)| *is).map(|(_, bit)| bit).sum());
     // SELECT, as drivers expect where rows are counted.
-    out.put_u16_le(if done.counted { 0xc1 } else { 0 });
+    out.put_u16_le(if done.has_row_count { 0xc1 } else { 0 });
     out.put_u64_le(done.rows);
 }
 
--- a/crates/tds/tests/round_trip.rs
+++ b/crates/tds/tests/round_trip.rs
@@ -12,13 +12,15 @@
                 .prop_map(move |n| Value::Int(if bits == 8 { n & 0xff } else { n >> (64 - bits) }))
                 .boxed()
         }
-        DataType::Text | DataType::LongText | DataType::OldText => "\\PC{0,40}".prop_map(Value::Text).boxed(),
-        DataType::Narrow | DataType::LongNarrow => "[ -~]{0,40}".prop_map(Value::Text).boxed(),
-        DataType::Binary => {
+        DataType::NVarChar | DataType::NVarCharMax | DataType::NText => {
+            "\\PC{0,40}".prop_map(Value::Text).boxed()
+        }
+        DataType::VarChar | DataType::VarCharMax => "[ -~]{0,40}".prop_map(Value::Text).boxed(),
+        DataType::VarBinary => {
             prop::collection::vec(any::<u8>(), 0..60).prop_map(|b| Value::Binary(b.into())).boxed()
         }
         // Over one chunk.
-        DataType::LongBinary => {
+        DataType::VarBinaryMax => {
             prop::collection::vec(any::<u8>(), 0..3 * CHUNK).prop_map(|b| Value::Binary(b.into())).boxed()
         }
     };
@@ -33,13 +35,13 @@
         (prop::sample::select(vec![1u8, 2, 4, 8]), any::<bool>())
             .prop_map(|(size, nullable)| DataType::Int { size, nullable }),
         prop::sample::select(vec![
-            DataType::Text,
-            DataType::LongText,
-            DataType::Narrow,
-            DataType::LongNarrow,
-            DataType::OldText,
-            DataType::Binary,
-            DataType::LongBinary,
+            DataType::NVarChar,
+            DataType::NVarCharMax,
+            DataType::VarChar,
+            DataType::VarCharMax,
+            DataType::NText,
+            DataType::VarBinary,
+            DataType::VarBinaryMax,
         ]),
     ]
 }
@@ -73,7 +75,7 @@
         put_message(&mut wire, PacketType::Rpc, status, &payload, size);
         put_message(&mut wire, PacketType::Attention, Status::default(), &[], size);
         let mut assembler = Assembler::new(9000);
-        assembler.agree(size);
+        assembler.set_packet_size(size);
         let (mut read, mut messages) = (BytesMut::new(), Vec::new());
         for piece in wire.chunks(cut) {
             read.extend_from_slice(piece);
@@ -84,7 +86,7 @@
         let payload = Bytes::from(payload);
         prop_assert_eq!(&messages[0], &Message { kind: PacketType::Rpc, status, payload });
         prop_assert_eq!(messages[1].kind, PacketType::Attention);
-        prop_assert!(messages.len() == 2 && read.is_empty() && !assembler.begun());
+        prop_assert!(messages.len() == 2 && read.is_empty() && !assembler.has_partial_message());
     }
 
     #[test]
@@ -115,7 +117,7 @@
         put_columns(&mut payload, &columns);
         put_row(&mut payload, &columns, &values);
         put_row_with_nulls(&mut payload, &columns, &values);
-        let done = Done { counted: true, rows: 2, ..Done::default() };
+        let done = Done { has_row_count: true, rows: 2, ..Done::default() };
         put_done(&mut payload, DoneKind::InProc, done);
         put_order(&mut payload, &[1, 2]);
         put_return_status(&mut payload, -6);
--- a/crates/testbench/benches/messages.rs
+++ b/crates/testbench/benches/messages.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion, Throughput};
 use std::hint::black_box;
-use wheelpier_pgwire::{query, ready, row, BackendMessage, FrontendMessage, KvStatement};
+use wheelpier_pgwire::{query, ready, single_value_result, BackendMessage, FrontendMessage, KvStatement};
 use wheelpier_tds::{
     batch, put_all_headers, put_columns, put_done, put_message, put_row, put_text, rpc, Assembler, Column,
     DataType, Done, DoneKind, PacketType, Parameter, Procedure, Rpc, Status, Tokens, Value, PACKET_SIZE,
@@ -30,7 +30,7 @@
     let text = |name: &str, text: &str| Parameter {
         name: name.to_owned(),
         output: false,
-        kind: DataType::Text,
+        kind: DataType::NVarChar,
         value: Value::Text(text.to_owned()),
     };
     let statement = READ.replace("'7f3a9c21e0b4d655'", "@P1");
@@ -42,17 +42,17 @@
 }
 
 fn tds_answer(value: &[u8]) -> BytesMut {
-    let columns = [Column { name: "content".to_owned(), kind: DataType::LongBinary }];
+    let columns = [Column { name: "content".to_owned(), kind: DataType::VarBinaryMax }];
     let mut payload = BytesMut::new();
     put_columns(&mut payload, &columns);
     put_row(&mut payload, &columns, &[Value::Binary(value.to_vec().into())]);
-    put_done(&mut payload, DoneKind::Batch, Done { counted: true, rows: 1, ..Done::default() });
+    put_done(&mut payload, DoneKind::Batch, Done { has_row_count: true, rows: 1, ..Done::default() });
     tds_message(PacketType::Result, &payload)
 }
 
 fn postgres_answer(value: &[u8]) -> BytesMut {
     let mut out = BytesMut::new();
-    row(&mut out, "content", value);
+    single_value_result(&mut out, "content", value);
     ready(&mut out);
     out
 }
--- a/src/net/frontend/postgres.rs
+++ b/src/net/frontend/postgres.rs
@@ -49,7 +49,7 @@
             Startup::Cancel(key) => Ok(Some(ClientEvent::CancelRequest(key))),
             Startup::Unsupported => Err(Fault::Unsupported("only protocol 3 is spoken".to_owned())),
             Startup::Session { minor } => {
-                pgwire::welcome(output, minor, (self.cancel_key.process, self.cancel_key.secret));
+                pgwire::startup_reply(output, minor, (self.cancel_key.process, self.cancel_key.secret));
                 self.is_open = true;
                 Ok(Some(ClientEvent::SessionOpened))
             }
@@ -141,7 +141,7 @@
     fn write_value(&mut self, value: &Value, output: &mut BytesMut) {
         match &value.postgres_messages {
             Some(messages) => output.extend_from_slice(messages),
-            None => pgwire::row(output, "content", &value.content),
+            None => pgwire::single_value_result(output, "content", &value.content),
         }
         pgwire::ready(output);
     }
--- a/src/net/frontend/tds/mod.rs
+++ b/src/net/frontend/tds/mod.rs
@@ -70,7 +70,7 @@
 
     /// Takes the next complete message from the front of `input`.
     fn next_message(&mut self, input: &mut BytesMut) -> Result<Option<Message>, Fault> {
-        if self.assembler.begun() {
+        if self.assembler.has_partial_message() {
             return Ok(self.assembler.next(input)?);
         }
         match (self.stage, input.first()) {
@@ -168,7 +168,7 @@
     fn answer_value(&mut self, value: Datum, output: &mut BytesMut) -> ClientEvent {
         let kind = match value {
             Datum::Int(_) => DataType::Int { size: 4, nullable: true },
-            _ => DataType::Text,
+            _ => DataType::NVarChar,
         };
         self.put_row("", kind, value, output);
         ClientEvent::Answered
@@ -194,7 +194,7 @@
 
     /// Appends the last tokens of an answer and encodes it.
     fn finish_answer(&mut self, mut payload: BytesMut, rows: u64, output: &mut BytesMut) {
-        let done = Done { counted: rows > 0, rows, ..Done::default() };
+        let done = Done { has_row_count: rows > 0, rows, ..Done::default() };
         if self.open.is_call {
             put_done(&mut payload, DoneKind::InProc, Done { more: true, ..done });
             put_return_status(&mut payload, 0);
@@ -228,11 +228,11 @@
     }
 
     fn has_partial_message(&self, input: &BytesMut) -> bool {
-        self.assembler.begun() || !input.is_empty()
+        self.assembler.has_partial_message() || !input.is_empty()
     }
 
     fn buffered_bytes(&self) -> usize {
-        self.assembler.held()
+        self.assembler.buffered_bytes()
     }
 
     /// Always returns false: clients send one request at a time, apart from an attention (section 2.2.1.7).
@@ -243,7 +243,7 @@
     fn take_cancellation(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, Fault> {
         // Anything else, a second request or a protocol violation, is left unread until the answer is
         // written.
-        if self.assembler.begun() || !PacketType::Attention.begins(input) {
+        if self.assembler.has_partial_message() || !PacketType::Attention.begins(input) {
             return Ok(false);
         }
         let is_cancelled = self.next_message(input)?.is_some();
@@ -262,7 +262,7 @@
 
     fn write_value(&mut self, value: &Value, output: &mut BytesMut) {
         let content = Datum::Binary(value.content.clone());
-        self.put_row("content", DataType::LongBinary, content, output);
+        self.put_row("content", DataType::VarBinaryMax, content, output);
     }
 
     /// Always returns false: the remainder has PostgreSQL's encoding, which TDS does not share.
--- a/src/net/frontend/tds/startup.rs
+++ b/src/net/frontend/tds/startup.rs
@@ -62,7 +62,7 @@
         // This answer is still sent in packets of the initial size.
         self.put_packets(&payload, output);
         self.packet_size = packet_size;
-        self.assembler.agree(packet_size);
+        self.assembler.set_packet_size(packet_size);
         self.stage = Stage::Open;
         Ok(ClientEvent::SessionOpened)
     }
--- a/src/net/upstream/tds.rs
+++ b/src/net/upstream/tds.rs
@@ -39,7 +39,7 @@
 
 impl Tds {
     pub fn new() -> Self {
-        let assembler = Assembler::new(pgwire::MOST_ANSWER + MAX_OVERHEAD_BYTES);
+        let assembler = Assembler::new(pgwire::MAX_HOST_MESSAGE_BYTES + MAX_OVERHEAD_BYTES);
         Self { assembler, packet_bytes: PACKET_SIZE, login_sent: false }
     }
 
@@ -67,9 +67,9 @@
                 Token::LoginAck(ack) => acknowledged = ack.version == version::V7_4,
                 Token::Environment(Environment::PacketSize(size)) => {
                     self.packet_bytes = size;
-                    self.assembler.agree(size);
+                    self.assembler.set_packet_size(size);
                 }
-                Token::Error(notice) if numbers::FULL.contains(&notice.number) => {
+                Token::Error(notice) if numbers::REJECTED.contains(&notice.number) => {
                     return Err(Outcome::Overloaded)
                 }
                 Token::Error(_) => return Err(Outcome::ConnectFailed),
@@ -109,9 +109,9 @@
     let parameter = |name: &str, kind, value| Parameter { name: name.to_owned(), output: false, kind, value };
     let declaration = format!("{VALUE_PARAMETER} varbinary(max)");
     let parameters = vec![
-        parameter("", DataType::Text, Value::Text(text)),
-        parameter("", DataType::Text, Value::Text(declaration)),
-        parameter(VALUE_PARAMETER, DataType::LongBinary, Value::Binary(value.into())),
+        parameter("", DataType::NVarChar, Value::Text(text)),
+        parameter("", DataType::NVarChar, Value::Text(declaration)),
+        parameter(VALUE_PARAMETER, DataType::VarBinaryMax, Value::Binary(value.into())),
     ];
     Rpc { procedure: Procedure::Number(SP_EXECUTESQL), options: 0, parameters }
 }
@@ -158,7 +158,7 @@
             }
             _ => exchange.invalidate(),
         }
-        let is_reusable = exchange.is_finished() && input.is_empty() && !self.assembler.begun();
+        let is_reusable = exchange.is_finished() && input.is_empty() && !self.assembler.has_partial_message();
         Some(if is_reusable { ConnectionStatus::Reusable } else { ConnectionStatus::Unusable })
     }
 }
@@ -184,13 +184,13 @@
             (Some(Value::Text(text)), true) => exchange.record_row(text.into()),
             _ => exchange.invalidate(),
         },
-        Token::Info(notice) if notice.number == numbers::STAMP => {
+        Token::Info(notice) if notice.number == numbers::ROLE_AND_POSITION => {
             apply_position_notice(exchange, &notice.message)
         }
         Token::Error(notice) => exchange.record_error(error_outcome(&notice)),
         // After an error or a completed statement, DONE adds nothing, but must not contradict it.
         Token::Done(kind, done) if done.error || exchange.has_result() => {
-            if done.attention || (kind == DoneKind::Batch && !done.error && done.counted) {
+            if done.attention || (kind == DoneKind::Batch && !done.error && done.has_row_count) {
                 exchange.invalidate();
             }
         }
@@ -214,7 +214,7 @@
 fn error_outcome(notice: &Notice) -> Outcome {
     match notice.number {
         numbers::READ_ONLY | numbers::BEHIND => Outcome::Misdirected,
-        number if numbers::FULL.contains(&number) => Outcome::Overloaded,
+        number if numbers::REJECTED.contains(&number) => Outcome::Overloaded,
         numbers::HOST_ERROR => Outcome::Error,
         code => {
             tracing::warn!(code, error = notice.message, "host answered with an unknown error code");
