--- a/tests/sockets/clock.rs
+++ b/tests/sockets/clock.rs
@@ -1,7 +1,7 @@
 //! The wall clock of this machine is not the hosts': it may be seconds or an hour off when the program starts, and step while
 //! it runs. Positions are the hosts' time; what the program serves does not depend on its own.
 
-use crate::scenario::{play_faulty, play_in, settings, settings_with};
+use crate::scenario::{play_with_faults, play_with_settings, settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
@@ -36,7 +36,7 @@
         any serve c1 own q4 2900 = four replica
         wait 200
         h2 serve c1 own q5 2900 = five replica";
-    play_faulty(&format!("clock::step={step_ms}:1/1"), &settings(), 2, text);
+    play_with_faults(&format!("clock::step={step_ms}:1/1"), &settings(), 2, text);
 }
 
 /// The clock steps while the program runs: before a request, while it is out, in a drain.
@@ -53,7 +53,7 @@
         h1 answer c2 two primary
         c1-2 expect closed
         proxy expect exit 0 by 3700";
-    play_faulty(&format!("clock::step={step_ms}@500:1/1"), &unhurried(), 1, text);
+    play_with_faults(&format!("clock::step={step_ms}@500:1/1"), &unhurried(), 1, text);
 }
 
 /// Reads of bounded age where the program alone keeps the bound: too old an answer reaches nobody, though this machine's
@@ -69,7 +69,7 @@
         any send value old replica -5000    # whoever took it turns out to be a replica far behind
         any expect id=q4
         any answer c1 new replica -100";
-    play_faulty(&format!("clock::step={step_ms}:1/1"), &unchecked(), 3, text);
+    play_with_faults(&format!("clock::step={step_ms}:1/1"), &unchecked(), 3, text);
 }
 
 /// The same where an answer that takes long brings no second attempt.
@@ -87,7 +87,7 @@
     let text = "
         c1 start
         any serve c1 read q1 2900 = one primary";
-    play_faulty(&format!("clock::step={step_ms}:1/1"), &unchecked_and_unhurried(), 3, text);
+    play_with_faults(&format!("clock::step={step_ms}:1/1"), &unchecked_and_unhurried(), 3, text);
 }
 
 /// Guards against one host that lowers the offset: it calls itself primary with positions 4.32 s old, and an answer from 5 s
@@ -110,5 +110,5 @@
         h1 send value old replica -5000
         c1 expect error 53300"
     );
-    play_in(&unchecked_and_unhurried(), 1, &text);
+    play_with_settings(&unchecked_and_unhurried(), 1, &text);
 }
--- a/tests/sockets/crossing.rs
+++ b/tests/sockets/crossing.rs
@@ -1,7 +1,7 @@
 //! What comes in one turn of the program with what would end it. The program is stopped (SIGSTOP) until both are there, and
 //! continued: it finds a request beside the eviction, the closing or the exit that was due.
 
-use crate::scenario::{play, play_in, settings_with};
+use crate::scenario::{play, play_with_settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
@@ -89,7 +89,7 @@
         c1-2 expect closed
         proxy expect exit 0 by 1300
         proxy expect log counters totals= taken=1 served=1";
-    play_in(&within(600), 1, text);
+    play_with_settings(&within(600), 1, text);
 }
 
 /// The program would end 0.75 s after SIGTERM; who came before that turn still waits to be accepted.
@@ -142,7 +142,7 @@
         operator send stats
         operator expect gw.outstanding=0"
     );
-    play_in(&within(3_000), 1, &text);
+    play_with_settings(&within(3_000), 1, &text);
 }
 
 /// And as its client leaves.
--- a/tests/sockets/deployments.rs
+++ b/tests/sockets/deployments.rs
@@ -1,6 +1,6 @@
 //! Installations that differ: whatever settings may leave out, clients are served, and who is turned away is told why.
 
-use crate::scenario::{play_in, play_tds_in, settings};
+use crate::scenario::{play_tds_with_settings, play_with_settings, settings};
 use rstest::rstest;
 use serde_json::{json, Value};
 
@@ -90,7 +90,7 @@
         h1 expect id=q3
         h1 answer c1 three primary"
     );
-    play_in(&settings.to_string(), 1, &text);
+    play_with_settings(&settings.to_string(), 1, &text);
 }
 
 /// Each optional part left out in turn, and all of them at once.
@@ -150,7 +150,7 @@
 #[test]
 fn without_tenants_a_statement_needs_none_and_with_tenants_its_lack_is_told_and_counted() {
     serves_a_client(&without(full(), "/customers"));
-    play_in(
+    play_with_settings(
         &settings(),
         1,
         "
@@ -170,7 +170,7 @@
 
 #[test]
 fn clients_of_the_other_protocol_need_no_tenant_either() {
-    play_tds_in(
+    play_tds_with_settings(
         &no_tenants(),
         1,
         "
--- a/tests/sockets/descriptors.rs
+++ b/tests/sockets/descriptors.rs
@@ -1,7 +1,7 @@
 //! Descriptors run short: idle clients come by the hundred while discovery is silent, at both ports, and others at the
 //! console. What is needed to serve is kept free by count, so that the process never lacks a descriptor.
 
-use crate::scenario::{play_limited, settings, settings_with};
+use crate::scenario::{play_with_descriptor_limit, settings, settings_with};
 use rstest::rstest;
 use wheelpier::config::{Config, Listener, OperatorSettings, MAX_OVERFLOW_CONNECTIONS};
 use wheelpier::protocol::Protocol;
@@ -48,7 +48,7 @@
 fn discovery_console_and_hosts_get_theirs(#[values((64, 9), (128, 28))] limits: (usize, u32)) {
     let (sockets, upstream) = limits;
     let text = format!("{}\nproxy expect descriptors {sockets}", all_at_their_bounds(upstream));
-    play_limited(sockets, 3, "", &settings(), &text);
+    play_with_descriptor_limit(sockets, 3, "", &settings(), &text);
 }
 
 /// The same where discovery is asked.
@@ -57,7 +57,7 @@
     let (sockets, upstream) = limits;
     let text = format!("{}\nproxy expect descriptors {sockets}", all_at_their_bounds(upstream));
     let settings = settings_with(|all| all["discovery"] = "on_request".into());
-    play_limited(sockets, 3, "", &settings, &text);
+    play_with_descriptor_limit(sockets, 3, "", &settings, &text);
 }
 
 /// All parts at their bounds together, counted: standard streams and the runtime hold 9, discovery 5, and one is open
--- a/tests/sockets/ending.rs
+++ b/tests/sockets/ending.rs
@@ -1,7 +1,7 @@
 //! The end of the process: what it has taken is answered before SIGKILL, whatever the deadlines, and no connection is
 //! closed on a request that it has read.
 
-use crate::scenario::{play, play_in, settings_with};
+use crate::scenario::{play, play_with_settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
@@ -44,7 +44,7 @@
         proxy expect exit 0 by {killed}
         proxy expect log counters totals= taken=3 served=0"
     );
-    play_in(&within(longest), 1, &text);
+    play_with_settings(&within(longest), 1, &text);
 }
 
 /// Who asks on an open connection shortly before it would be closed has all the time that the settings give.
@@ -67,7 +67,7 @@
         }
         .trim_start_matches("d="),
     );
-    play_in(&within(longest), 1, &text);
+    play_with_settings(&within(longest), 1, &text);
 }
 
 /// Half a query when the connection would be closed as idle: its rest still comes, and it is answered.
@@ -83,7 +83,7 @@
         c1 expect ready
         c1 expect closed
         proxy expect exit 0 by 850";
-    play_in(&within(150), 1, text);
+    play_with_settings(&within(150), 1, text);
 }
 
 #[rstest]
@@ -126,5 +126,5 @@
         proxy expect exit 0 by {killed}
         proxy expect log counters totals= taken=1 served=0"
     );
-    play_in(&within(before), 1, &text);
+    play_with_settings(&within(before), 1, &text);
 }
--- a/tests/sockets/every_end.rs
+++ b/tests/sockets/every_end.rs
@@ -2,7 +2,7 @@
 //! and what was read of it has its one answer, whether hosts answer or hang.
 
 use crate::habits::{self, Ending, Habit, Wire};
-use crate::scenario::{settings_with, Steps};
+use crate::scenario::{settings_with, SteppedScenario};
 use rstest::rstest;
 use serde_json::json;
 use std::sync::{Arc, OnceLock};
@@ -102,13 +102,13 @@
 fn play(case: &Case) -> (Vec<Ending>, Option<String>, String) {
     let settings = within(case.longest);
     let mut steps = match case.wire {
-        Wire::Postgres => Steps::start_faulty(&settings, ""),
-        Wire::Tds => Steps::start_tds(&settings),
+        Wire::Postgres => SteppedScenario::start_with_faults(&settings, ""),
+        Wire::Tds => SteppedScenario::start_tds(&settings),
     };
     if let Hosts::Serve(bytes) = case.hosts {
         steps.play(&format!("h1 send serve 30 {bytes}"));
     }
-    let address = if case.wire == Wire::Tds { steps.listen_tds() } else { steps.listen() };
+    let address = if case.wire == Wire::Tds { steps.tds_address() } else { steps.address() };
     let ordered = Arc::new(OnceLock::new());
     let clients: Vec<_> = case
         .habits
@@ -121,12 +121,12 @@
     let killed = case.longest.min(3_000) + 700;
     let counters = if case.order.ends_the_process() {
         steps.play(&format!("proxy send TERM\nproxy expect exit 0 by {killed}"));
-        Some(steps.last_line("counters totals="))
+        Some(steps.last_log_line("counters totals="))
     } else {
         steps.play("operator send quiesce\noperator expect 200");
         None
     };
-    let end = ordered.get().map(|at| steps.end_after(*at)).unwrap_or_default();
+    let end = ordered.get().map(|at| steps.exit_timing(*at)).unwrap_or_default();
     (clients.into_iter().map(|client| client.join().unwrap()).collect(), counters, end)
 }
 
--- a/tests/sockets/faults.rs
+++ b/tests/sockets/faults.rs
@@ -1,7 +1,7 @@
 //! System calls fail in the ways that Linux documents (accept4(2), connect(2), socket(2), recv(2), send(2), epoll_wait(2)):
 //! what is this machine's own fault harms no host's record and no client beside the one concerned.
 
-use crate::scenario::{play_faulty, settings, settings_with};
+use crate::scenario::{play_with_faults, settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
@@ -40,7 +40,7 @@
         proxy expect figures served=8 connect_failed=0",
         requests(8)
     );
-    play_faulty(&format!("seed=3;{call}:{error}:1/2"), &unhurried(), 1, &text);
+    play_with_faults(&format!("seed=3;{call}:{error}:1/2"), &unhurried(), 1, &text);
 }
 
 /// It has none for good: what comes is refused in time, as what never ran.
@@ -53,7 +53,7 @@
         c1 send write q2 900
         c1 expect within 900 error 53300
         proxy expect figures connect_failed=0 failed=0";
-    play_faulty("connect:host:EADDRNOTAVAIL:1/1", &settings(), 2, text);
+    play_with_faults("connect:host:EADDRNOTAVAIL:1/1", &settings(), 2, text);
 }
 
 /// The path to a host is broken: that is held against it, and others serve.
@@ -64,7 +64,7 @@
     let text = "
         c1 start
         any serve c1 read q1 2900 = one replica";
-    play_faulty(&format!("seed=5;connect:host:{error}:1/2"), &settings(), 3, text);
+    play_with_faults(&format!("seed=5;connect:host:{error}:1/2"), &settings(), 3, text);
 }
 
 /// A connection that was aborted before it was accepted is nobody's fault: idle clients stay.
@@ -78,7 +78,7 @@
         c2-9 start
         c1 expect silence 100
         h1 serve c1 read q1 2900 = one primary";
-    play_faulty(&format!("seed=4;accept4:client:{error}:1/2"), &settings(), 1, text);
+    play_with_faults(&format!("seed=4;accept4:client:{error}:1/2"), &settings(), 1, text);
 }
 
 /// Nobody can be accepted for good: the process still ends in time, and who is here is served to the end.
@@ -89,7 +89,7 @@
         wait 100
         c1 send startup
         proxy expect exit 0 by 3700";
-    play_faulty(&format!("accept4:client:{error}:1/1"), &settings(), 1, text);
+    play_with_faults(&format!("accept4:client:{error}:1/1"), &settings(), 1, text);
 }
 
 /// Calls are interrupted, or move a few bytes only though there are more.
@@ -121,7 +121,7 @@
         proxy expect exit 0 by 3700",
         requests(4)
     );
-    play_faulty(&fault.replace("KIND", kind), &unhurried(), 1, &text);
+    play_with_faults(&fault.replace("KIND", kind), &unhurried(), 1, &text);
 }
 
 /// Waits are interrupted over and over: timers and drains keep their time.
@@ -137,7 +137,7 @@
         h1 answer c1 two primary
         c1 expect closed
         proxy expect exit 0 by 3700";
-    play_faulty("seed=9;wait::EINTR:1/2", &unhurried(), 1, text);
+    play_with_faults("seed=9;wait::EINTR:1/2", &unhurried(), 1, text);
 }
 
 /// The system gives up on one client's connection: only that one ends, and what it had out is withdrawn.
@@ -152,7 +152,7 @@
         proxy expect figures clients=7 taken=0
         operator send health
         operator expect 200";
-    play_faulty(&format!("read:client:{error}:1/1"), &settings(), 1, text);
+    play_with_faults(&format!("read:client:{error}:1/1"), &settings(), 1, text);
 }
 
 /// Guards against a process that repeats one interrupted call for ever: nobody else was served, and it did not end.
@@ -168,7 +168,7 @@
         c1 expect within 2500 gone
         proxy send TERM
         proxy expect exit 0 by 3700";
-    play_faulty(&format!("{call}:EINTR:1/1"), &settings(), 1, text);
+    play_with_faults(&format!("{call}:EINTR:1/1"), &settings(), 1, text);
 }
 
 /// The same at a ledger host: its request ends in time.
@@ -184,5 +184,5 @@
         c1 expect within 950 error
         proxy send TERM
         proxy expect exit 0 by 3700";
-    play_faulty(&format!("{call}:EINTR:1/1"), &settings(), 1, text);
+    play_with_faults(&format!("{call}:EINTR:1/1"), &settings(), 1, text);
 }
--- a/tests/sockets/fleet.rs
+++ b/tests/sockets/fleet.rs
@@ -45,7 +45,8 @@
 #[test]
 fn without_peers_in_the_file_no_socket_is_opened_for_them() {
     for operator in [None, Some("memory: {}")] {
-        let program = Program::start_with(&config(true), "127.0.0.1:0", "127.0.0.1:9", operator);
+        let program =
+            Program::start_with_operator_file(&config(true), "127.0.0.1:0", "127.0.0.1:9", operator);
         program.log("listener for clients bound");
         assert_eq!(open(program.id()), (0, 1), "{operator:?}");
     }
@@ -53,7 +54,8 @@
 
 #[test]
 fn with_peers_one_port_is_opened_and_a_fleet_of_one_is_founded() {
-    let program = Program::start_with(&config(true), "127.0.0.1:0", "127.0.0.1:9", Some(&peers()));
+    let program =
+        Program::start_with_operator_file(&config(true), "127.0.0.1:0", "127.0.0.1:9", Some(&peers()));
     program.log("joining the fleet");
     assert_eq!(open(program.id()), (1, 2));
     program.log("change n0# LeaseHeld");
@@ -73,7 +75,8 @@
     assert_eq!(String::from_utf8_lossy(&nobody.stderr).lines().count(), 1);
 
     let with_console = with_console.to_string();
-    let program = Program::start_with(&with_console, "127.0.0.1:0", "127.0.0.1:9", Some(&peers()));
+    let program =
+        Program::start_with_operator_file(&with_console, "127.0.0.1:0", "127.0.0.1:9", Some(&peers()));
     program.log("change n0# LeaseHeld");
     let page = status(&[]);
     let text = String::from_utf8(page.stdout).unwrap();
@@ -86,7 +89,7 @@
     );
     drop(program);
 
-    let alone = Program::start_with(&with_console, "127.0.0.1:0", "127.0.0.1:9", None);
+    let alone = Program::start_with_operator_file(&with_console, "127.0.0.1:0", "127.0.0.1:9", None);
     alone.log("console listener");
     let no_fleet = status(&[]);
     let told = String::from_utf8(no_fleet.stderr).unwrap();
@@ -95,7 +98,8 @@
 
 #[test]
 fn where_the_platform_forbids_peers_the_start_ends_with_one_line() {
-    let mut program = Program::start_with(&config(false), "127.0.0.1:0", "127.0.0.1:9", Some(&peers()));
+    let mut program =
+        Program::start_with_operator_file(&config(false), "127.0.0.1:0", "127.0.0.1:9", Some(&peers()));
     let line = program.log("configuration key");
     assert!(line.contains("`peers`") && line.contains("settings.limits.mayTell"), "{line}");
     assert_eq!(program.exit(), 1);
--- a/tests/sockets/fresh.rs
+++ b/tests/sockets/fresh.rs
@@ -2,7 +2,7 @@
 //! leave that to the proxy. Each crossing is forced: a connection is held back until what showed its host to be fresh
 //! enough has run out, and a host is made to tell another role and position than it had.
 
-use crate::scenario::{play_faulty, play_in, settings_with};
+use crate::scenario::{play_with_faults, play_with_settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
@@ -54,7 +54,7 @@
         h1 answer c1 one replica
         proxy expect figures connects=2"
     );
-    play_in(&bounded(600, "pure"), 1, &text);
+    play_with_settings(&bounded(600, "pure"), 1, &text);
 }
 
 #[test]
@@ -67,7 +67,7 @@
         c1 expect value one
         proxy expect figures moot=0 stale=0"
     );
-    play_in(&bounded(2_000, "pure"), 1, &text);
+    play_with_settings(&bounded(2_000, "pure"), 1, &text);
 }
 
 /// Two hosts that are the primary one after the other show by their answers what the hosts' clock is, whatever this
@@ -108,7 +108,7 @@
         c2 expect error 53300
         proxy expect figures stale=1 ok=1 served=1"
     );
-    play_in(&bounded(500, "pure"), 1, &text);
+    play_with_settings(&bounded(500, "pure"), 1, &text);
 }
 
 #[rstest]
@@ -120,7 +120,7 @@
         h1 serve c2 {asks} q2 1900 = there replica {ahead}
         proxy expect figures stale=0"
     );
-    play_in(&bounded(500, "pure"), 1, &text);
+    play_with_settings(&bounded(500, "pure"), 1, &text);
 }
 
 /// Another host has it: the read goes there, and its client has one answer.
@@ -137,7 +137,7 @@
         any answer c1 three primary
         any expect id=q2
         any answer c2 there primary";
-    play_in(&bounded(500, "pure"), 2, text);
+    play_with_settings(&bounded(500, "pure"), 2, text);
 }
 
 /// It has run, so it does not run again.
@@ -151,7 +151,7 @@
         h1 expect silence 300
         proxy expect figures sent=2 stale=1 failed=1"
     );
-    play_in(&bounded(500, "side_effect"), 1, &text);
+    play_with_settings(&bounded(500, "side_effect"), 1, &text);
 }
 
 /// A session's write is out at the primary, and may be committed whatever becomes of its answer: its next read, which comes
@@ -172,7 +172,7 @@
         h1 take c2 own q2 2900
         h2 expect silence 20
         h1 answer c2 two primary";
-    play_in(&bounded(500, "pure"), 2, text);
+    play_with_settings(&bounded(500, "pure"), 2, text);
 }
 
 /// The primary takes no connection, then one write whose answer is lost: guards against the bounded read that was sent to it
@@ -201,7 +201,7 @@
         h1 close
         c4 expect error 53300"
     );
-    play_in(&bounded(500, "pure"), 1, &text);
+    play_with_settings(&bounded(500, "pure"), 1, &text);
 }
 
 /// Guards against a read that is rejected for good where this machine's clock is an hour off: what the hosts have proved
@@ -219,7 +219,7 @@
         h1 serve c2 {asks} q2 1900 = there replica {ahead}
         proxy expect figures stale=0"
     );
-    play_faulty(&format!("clock::step={step_ms}:1/1"), &bounded(500, "pure"), 2, &text);
+    play_with_faults(&format!("clock::step={step_ms}:1/1"), &bounded(500, "pure"), 2, &text);
 }
 
 /// Guards against an offset that is proved and wrong: too old an answer reaches nobody.
@@ -238,7 +238,7 @@
         c2 expect error 53300
         proxy expect figures stale=1 ok=5 served=5"
     );
-    play_faulty(&format!("clock::step={step_ms}:1/1"), &bounded(500, "pure"), 2, &text);
+    play_with_faults(&format!("clock::step={step_ms}:1/1"), &bounded(500, "pure"), 2, &text);
 }
 
 /// The scenario of [`LATE`] once the clock is proved, which took four attempts.
@@ -264,7 +264,7 @@
         proxy expect figures connects=3",
         late_once_the_clock_is_proved()
     );
-    play_faulty(&format!("clock::step={step_ms}:1/1"), &bounded(600, "pure"), 2, &text);
+    play_with_faults(&format!("clock::step={step_ms}:1/1"), &bounded(600, "pure"), 2, &text);
 }
 
 /// Guards against a read that waits for a connection and is given up though its proof stands.
@@ -281,5 +281,5 @@
         proxy expect figures moot=0 stale=0",
         late_once_the_clock_is_proved()
     );
-    play_faulty(&format!("clock::step={step_ms}:1/1"), &bounded(2_000, "pure"), 2, &text);
+    play_with_faults(&format!("clock::step={step_ms}:1/1"), &bounded(2_000, "pure"), 2, &text);
 }
--- a/tests/sockets/habits.rs
+++ b/tests/sockets/habits.rs
@@ -1,6 +1,6 @@
 //! Clients with habits that make a connection hard to end, on real sockets.
 
-use crate::scenario::{bytes_of, tds_bytes_of, ProcessorTime, TimerLateness};
+use crate::scenario::{client_message, tds_client_message, ProcessorTime, TimerLateness};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, OnceLock};
@@ -179,8 +179,8 @@
     /// Opens its session; the greeting is no answer.
     fn open(&mut self) {
         let (greeting, answers) = match self.wire {
-            Wire::Postgres => (bytes_of("startup"), 1),
-            Wire::Tds => ([tds_bytes_of("prelogin"), tds_bytes_of("login")].concat(), 2),
+            Wire::Postgres => (client_message("startup"), 1),
+            Wire::Tds => ([tds_client_message("prelogin"), tds_client_message("login")].concat(), 2),
         };
         self.send(&greeting);
         let until = Instant::now() + PATIENCE;
@@ -196,15 +196,15 @@
         let id = format!("{}{}", self.name, self.sent);
         let class = if self.habit.takes_nothing() { "own" } else { "read" };
         match self.wire {
-            Wire::Postgres => bytes_of(&format!("{class} {id} {} {id}", self.wait_ms)),
-            Wire::Tds => tds_bytes_of(&format!("{class} {id} {}", self.wait_ms)),
+            Wire::Postgres => client_message(&format!("{class} {id} {} {id}", self.wait_ms)),
+            Wire::Tds => tds_client_message(&format!("{class} {id} {}", self.wait_ms)),
         }
     }
 
     fn senseless(&self) -> Vec<u8> {
         match self.wire {
-            Wire::Postgres => bytes_of("text SELECT nothing"),
-            Wire::Tds => tds_bytes_of("text SELECT nothing"),
+            Wire::Postgres => client_message("text SELECT nothing"),
+            Wire::Tds => tds_client_message("text SELECT nothing"),
         }
     }
 
@@ -256,14 +256,14 @@
                 self.hear();
             }
             Habit::OnlySync => {
-                self.send(&bytes_of("sync"));
+                self.send(&client_message("sync"));
                 self.pause(Duration::from_millis(50));
                 self.hear();
             }
             Habit::EmptyQueries => {
                 while self.sent < self.answers + 2 {
                     self.sent += 1;
-                    self.send(&bytes_of("text"));
+                    self.send(&client_message("text"));
                 }
                 self.hear();
             }
--- a/tests/sockets/large.rs
+++ b/tests/sockets/large.rs
@@ -1,6 +1,6 @@
 //! Values far beyond the usual length, from host to client.
 
-use crate::scenario::{play, play_with};
+use crate::scenario::{play, play_with_operator_file};
 use rstest::rstest;
 
 /// Passed on to the letter, and the connections on both sides are good for what comes next.
@@ -25,7 +25,7 @@
 #[test]
 fn many_long_values_share_the_places_that_there_are() {
     let value = "v".repeat(1 << 20);
-    play_with(
+    play_with_operator_file(
         "memory: {purposes: {upstream-buffers: {cap: 400KiB, reserve: 0B}}}",
         1,
         &format!(
@@ -52,7 +52,7 @@
 #[test]
 fn one_that_there_is_no_memory_for_is_refused_and_leaves_the_host_to_others() {
     let value = "v".repeat(600 << 10);
-    play_with(
+    play_with_operator_file(
         "memory: {purposes: {upstream-buffers: {cap: 128KiB, reserve: 0B}}}",
         1,
         &format!(
--- a/tests/sockets/leaving.rs
+++ b/tests/sockets/leaving.rs
@@ -1,7 +1,7 @@
 //! Clients that leave: what was not sent on for them by then never is. Each crossing is forced: a host holds back its
 //! greeting, an answer or a place, until the proxy's own counters show that the client has left.
 
-use crate::scenario::{play_in, settings_with};
+use crate::scenario::{play_with_settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
@@ -47,7 +47,7 @@
         c8 expect value there
         h1 take c8 read q3 2900
         proxy expect figures sent=4 moot=1 cancelled=0";
-    play_in(&patient(cancel), 1, &text.replace("LEAVES", leaves).replace("ASKS", asks));
+    play_with_settings(&patient(cancel), 1, &text.replace("LEAVES", leaves).replace("ASKS", asks));
 }
 
 /// It waits for one of the descriptors that all hosts share, of which the scenarios' limits leave nine.
@@ -74,7 +74,7 @@
         h1 close                            # a place becomes free
         h1 expect c=any                     # for the repeat of what was cut off
         h1 expect silence 400";
-    play_in(&patient(cancel), 1, text);
+    play_with_settings(&patient(cancel), 1, text);
 }
 
 /// It waits behind a write of its key that is out, and there is more behind it than is read ahead.
@@ -90,7 +90,7 @@
         h1 send value late primary
         h1 expect silence 400
         proxy expect figures sent=1";
-    play_in(&patient(false), 1, &text.replace("LEAVES", leaves));
+    play_with_settings(&patient(false), 1, &text.replace("LEAVES", leaves));
 }
 
 /// Of several that run beside each other each is withdrawn, and what waits behind them is not sent.
@@ -112,7 +112,7 @@
         h1 send value late primary
         h1 expect silence 400
         proxy expect figures taken=3 sent=3";
-    play_in(&patient(false), 1, &text.replace("LEAVES", leaves));
+    play_with_settings(&patient(false), 1, &text.replace("LEAVES", leaves));
 }
 
 /// It waits for the end of a penalty: the third statement that makes no sense costs 120 ms.
@@ -130,7 +130,7 @@
         c1 LEAVES
         h1 expect silence 500
         proxy expect figures sent=0";
-    play_in(&patient(false), 1, &text.replace("LEAVES", leaves));
+    play_with_settings(&patient(false), 1, &text.replace("LEAVES", leaves));
 }
 
 /// The module holds it, since no host of its group takes anything: first a host drains, then it is back.
@@ -152,7 +152,7 @@
         c2 start
         c2 send read q2 2900
         h1 expect id=q2";
-    play_in(&patient(false), 1, &text.replace("LEAVES", leaves));
+    play_with_settings(&patient(false), 1, &text.replace("LEAVES", leaves));
 }
 
 /// Between two attempts: the first was turned away, and all hosts there are rest.
@@ -172,7 +172,7 @@
         proxy expect figures lists=3
         h1 expect silence 400
         proxy expect figures sent=1";
-    play_in(&patient(false), 1, &text.replace("LEAVES", leaves));
+    play_with_settings(&patient(false), 1, &text.replace("LEAVES", leaves));
 }
 
 /// What a client calls off on another connection (CancelRequest) is withdrawn at once; its connection goes on.
@@ -201,7 +201,7 @@
         h1 serve c1 read q2 2900 = two primary
         proxy expect figures served=1 taken=2"
     );
-    play_in(&patient(false), 1, &text);
+    play_with_settings(&patient(false), 1, &text);
 }
 
 /// Only the first of several requests is called off: it is the one that runs, as PostgreSQL has it.
@@ -220,7 +220,7 @@
         h1 expect id=q3
         h1 answer c1 three primary
         proxy expect figures left=1 ok=2";
-    play_in(&patient(false), 1, text);
+    play_with_settings(&patient(false), 1, text);
 }
 
 /// A key that stands for nobody, and a session with nothing open: nothing is called off, then or later.
@@ -235,7 +235,7 @@
         c3 expect closed
         c1 expect silence 100
         h1 answer c1 one primary";
-    play_in(&patient(false), 1, text);
+    play_with_settings(&patient(false), 1, text);
 }
 
 /// The proxy is held up for 0.15 s (SIGSTOP). Meanwhile the client leaves, and then the connection to the host comes up: it
@@ -269,7 +269,7 @@
         proxy send CONT
         h1 expect silence 400
         proxy expect figures left=1 sent=3 moot=1";
-    play_in(&patient(false), 1, &text.replace("LEAVES", leaves).replace("ASKS", asks));
+    play_with_settings(&patient(false), 1, &text.replace("LEAVES", leaves).replace("ASKS", asks));
 }
 
 /// The same between two attempts: the client leaves and its host fails the first one while the proxy is held up.
@@ -290,5 +290,5 @@
         h1 expect silence 200
         h2 expect silence 200
         proxy expect figures left=1 sent=1";
-    play_in(&patient(true), 2, &text.replace("LEAVES", leaves).replace("FAILS", fails));
+    play_with_settings(&patient(true), 2, &text.replace("LEAVES", leaves).replace("FAILS", fails));
 }
--- a/tests/sockets/log.rs
+++ b/tests/sockets/log.rs
@@ -1,6 +1,6 @@
 //! The log goes to a pipe whose reader stalls: what clients get does not depend on it. It says when the proxy was held up.
 
-use crate::scenario::{play_faulty, play_traced, settings};
+use crate::scenario::{play_traced, play_with_faults, settings};
 use std::fmt::Write;
 
 /// Requests whose log lines are several times as long as a pipe and the lines that may wait for it.
@@ -54,5 +54,5 @@
     let text = "
         c1 start
         proxy expect log event loop did not wait for long busy_ms=15 processor_ms= run_queue_ms=";
-    play_faulty("write:client:hold=1500:1/1", &settings(), 1, text);
+    play_with_faults("write:client:hold=1500:1/1", &settings(), 1, text);
 }
--- a/tests/sockets/memory.rs
+++ b/tests/sockets/memory.rs
@@ -1,6 +1,6 @@
 //! Caps on memory on sockets: at each a refusal with a reason, and others go on.
 
-use crate::scenario::play_with;
+use crate::scenario::play_with_operator_file;
 use rstest::rstest;
 
 #[rstest]
@@ -43,14 +43,14 @@
     c5 expect ready"
 )]
 fn a_cap_is_hit(#[case] operator: &str, #[case] text: &str) {
-    play_with(operator, 1, text);
+    play_with_operator_file(operator, 1, text);
 }
 
 /// One has begun what it does not end and holds what it has borrowed; a client that is entitled to room is told to
 /// come again, and by then it is there.
 #[test]
 fn what_a_stranger_has_borrowed_is_taken_back_in_time() {
-    play_with(
+    play_with_operator_file(
         "memory: {purposes: {client-buffers: {cap: 200KiB, reserve: 0B}}}",
         1,
         "
@@ -76,7 +76,7 @@
 /// Those who begin and do not end hold their seats for long: whoever has asked for nothing yet makes room first.
 #[test]
 fn who_has_asked_for_nothing_makes_room_when_all_seats_are_taken() {
-    play_with(
+    play_with_operator_file(
         "",
         1,
         "
--- a/tests/sockets/pipelining.rs
+++ b/tests/sockets/pipelining.rs
@@ -1,7 +1,7 @@
 //! Requests that a client sends before it has the answers to earlier ones: each is answered once, in its turn and in its own
 //! time, and what is owed stays owed whatever ends meanwhile. Hosts answer in the order in which a scenario says so.
 
-use crate::scenario::{play, play_in, play_with, settings_with};
+use crate::scenario::{play, play_with_operator_file, play_with_settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
@@ -30,7 +30,7 @@
         c1 expect value two
         c1 expect value three
         proxy expect figures taken=3 served=3 pipelined=2";
-    play_in(&unhurried(), 1, text);
+    play_with_settings(&unhurried(), 1, text);
 }
 
 /// All of it comes in one segment, the startup included.
@@ -57,7 +57,7 @@
         c1 expect value two
         c1 expect value three
         c1 expect value four";
-    play_in(&unhurried(), 1, text);
+    play_with_settings(&unhurried(), 1, text);
 }
 
 /// What waits behind a conflict has its time from its own arrival on, and tells its host what is left of it.
@@ -71,7 +71,7 @@
         h1 answer c1 one primary
         h1 expect id=q2 ,d=5                # some 540 ms
         h1 answer c1 two primary";
-    play_in(&unhurried(), 1, text);
+    play_with_settings(&unhurried(), 1, text);
 }
 
 /// A host hangs: whoever stands ahead is answered in time for those behind. What may be repeated is refused, what may have
@@ -90,7 +90,7 @@
         c1 expect within 150 ANSWER
         c1 expect within 20 value two
         proxy expect log request or connection rejected reason=order";
-    play_in(&unhurried(), 1, &text.replace("SLOW", slow).replace("ANSWER", answer));
+    play_with_settings(&unhurried(), 1, &text.replace("SLOW", slow).replace("ANSWER", answer));
 }
 
 /// A write is not given up for a read behind it while both can still be answered in time.
@@ -106,7 +106,7 @@
         h1 send value one primary
         c1 expect within 100 value one
         c1 expect within 100 value two";
-    play_in(&unhurried(), 1, text);
+    play_with_settings(&unhurried(), 1, text);
 }
 
 /// What cannot be read ends the connection in its turn, and within 3 s though what is ahead may take longer.
@@ -121,7 +121,7 @@
         c1 expect silence 100
         c1 expect within 2700 error 53300
         c1 expect within 100 error CODE";
-    play_in(&unhurried(), 1, &text.replace("BAD", bad).replace("CODE", code));
+    play_with_settings(&unhurried(), 1, &text.replace("BAD", bad).replace("CODE", code));
 }
 
 /// Statements without sense make later ones wait, and not the answers to earlier ones.
@@ -144,7 +144,7 @@
         c1 expect within 80 error 42601
         h1 expect id=q2
         h1 answer c1 two primary";
-    play_in(&unhurried(), 1, text);
+    play_with_settings(&unhurried(), 1, text);
 }
 
 /// Whoever takes its leave behind its requests has their answers first.
@@ -160,7 +160,7 @@
         h1 answer c1 one primary
         c1 expect value two
         c1 expect closed";
-    play_in(&unhurried(), 1, text);
+    play_with_settings(&unhurried(), 1, text);
 }
 
 /// Empty queries and what only sets up a session keep their turn.
@@ -177,7 +177,7 @@
         c1 expect ready
         c1 expect empty
         c1 expect ready";
-    play_in(&unhurried(), 1, text);
+    play_with_settings(&unhurried(), 1, text);
 }
 
 /// SIGTERM with half a pipeline open: one request runs, one waits for it, one is half there. Each has its answer before
@@ -206,7 +206,11 @@
         true => "c1 expect error 53300",
         false => "h1 expect id=q2\nh1 send value two primary\nc1 expect value two",
     };
-    play_in(&unhurried(), 1, &text.replace("HOST", host).replace("FIRST", first).replace("SECOND", second));
+    play_with_settings(
+        &unhurried(),
+        1,
+        &text.replace("HOST", host).replace("FIRST", first).replace("SECOND", second),
+    );
 }
 
 /// A drain by the console leaves a pipeline its answers.
@@ -224,7 +228,7 @@
         h1 answer c1 one primary
         c1 expect value two
         c1 expect closed";
-    play_in(&unhurried(), 1, text);
+    play_with_settings(&unhurried(), 1, text);
 }
 
 /// However many come at once, no more than the bound run beside each other, and all are answered in their order.
@@ -241,7 +245,7 @@
     text += "proxy expect figures taken=17\n";
     (2..=60).for_each(|_| text += "c1 expect answer\n");
     text += "proxy expect figures taken=60\n";
-    play_in(&unhurried(), 1, &text);
+    play_with_settings(&unhurried(), 1, &text);
 }
 
 /// Where there is no memory for answers that wait, requests run one after the other.
@@ -255,7 +259,7 @@
         h1 answer c1 one primary
         h1 expect id=q2
         h1 answer c1 two primary";
-    play_with("memory: {purposes: {upstream-buffers: {cap: 64KiB, reserve: 0}}}", 1, text);
+    play_with_operator_file("memory: {purposes: {upstream-buffers: {cap: 64KiB, reserve: 0}}}", 1, text);
 }
 
 /// Where hosts hang, what waits for a conflict ends with it, in its own time.
--- a/tests/sockets/quiesce.rs
+++ b/tests/sockets/quiesce.rs
@@ -13,7 +13,7 @@
 //! has one more request out, always has half a statement there, or takes no answer and leaves the actor in its write.
 
 use crate::habits::{self, Habit, Wire};
-use crate::scenario::{settings_with, Steps};
+use crate::scenario::{settings_with, SteppedScenario};
 use rstest::rstest;
 use serde_json::json;
 use std::sync::{Arc, OnceLock};
@@ -31,17 +31,17 @@
 
 /// Plays a client of that habit against a program whose system calls fail so, and checks what is owed.
 fn check(habit: Habit, faults: &str) {
-    let mut steps = Steps::start_faulty(&unhurried(), faults);
+    let mut steps = SteppedScenario::start_with_faults(&unhurried(), faults);
     let bytes = if habit == Habit::TakesNothing { 60_000 } else { 8 };
     steps.play(&format!("h1 send serve 30 {bytes}"));
     let called = Arc::new(OnceLock::new());
-    let client = habits::start(steps.listen(), Wire::Postgres, habit, 2_900, &called);
+    let client = habits::start(steps.address(), Wire::Postgres, habit, 2_900, &called);
     std::thread::sleep(Duration::from_millis(400));
     called.set(Instant::now()).unwrap();
     steps.play("operator send quiesce\noperator expect 200");
     let ending = client.join().unwrap();
     assert!(!ending.is_held(HELD_AT_MOST), "{habit:?}: held for {:?}", ending.after);
-    let figures = steps.figures();
+    let figures = steps.console_counters();
     let ended = ["succeeded", "declined", "aborted"].map(|how| figures[&format!("results.any.{how}")]);
     assert_eq!(figures["outstanding"], 0);
     if matches!(habit, Habit::AlwaysOneMore | Habit::NoGap | Habit::Bursts | Habit::HalfBehindWhole) {
--- a/tests/sockets/reported_role.rs
+++ b/tests/sockets/reported_role.rs
@@ -3,7 +3,7 @@
 //!
 //! Hosts answer from what they have here: neither do they check reads nor can they be asked.
 
-use crate::scenario::{play_in, settings_with};
+use crate::scenario::{play_with_settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
@@ -42,7 +42,7 @@
         c10 send read q3 900
         h1 expect silence 200"
     );
-    play_in(&unchecked(), 1, &text);
+    play_with_settings(&unchecked(), 1, &text);
 }
 
 /// Two queries are out: the second is answered as a replica, then the first as the primary that its host was. Guards against a
@@ -62,7 +62,7 @@
         c10 send read q4 900
         h1 expect silence 200"
     );
-    play_in(&unchecked(), 1, &text);
+    play_with_settings(&unchecked(), 1, &text);
 }
 
 /// The process is stopped until after the time of a query that is out; a fresh read comes meanwhile. Guards against one that
@@ -80,7 +80,7 @@
         proxy send CONT
         h1 expect silence 300"
     );
-    play_in(&unchecked(), 1, &text);
+    play_with_settings(&unchecked(), 1, &text);
 }
 
 /// The answer is longer than what is held in memory, and tells the role behind its value: guards against a role that is not
@@ -98,7 +98,7 @@
         c10 send read q3 900
         h1 expect silence 200"
     );
-    play_in(&unchecked(), 1, &text);
+    play_with_settings(&unchecked(), 1, &text);
 }
 
 /// One answer of a replica is from ahead of all others, as a spoilt one may be: guards against an honest primary that counts as
@@ -125,5 +125,5 @@
         c10 start
         h1 serve c10 read q5 900 = five primary"
     );
-    play_in(&unchecked(), 2, &text);
+    play_with_settings(&unchecked(), 2, &text);
 }
--- a/tests/sockets/role.rs
+++ b/tests/sockets/role.rs
@@ -3,7 +3,9 @@
 //!
 //! Hosts answer from what they have here: neither do they check reads nor can they be asked.
 
-use crate::scenario::{play_faulty, play_in, play_tds_in, settings_with, Steps};
+use crate::scenario::{
+    play_tds_with_settings, play_with_faults, play_with_settings, settings_with, SteppedScenario,
+};
 use rstest::rstest;
 use serde_json::json;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -85,7 +87,7 @@
 /// Once this has happened to the primary no read of that class is sent to it, until it has answered as the primary.
 fn read_is_rejected_after(events: &str, asks: &str) {
     let text = format!("{PRIMARY}{events}\n{}{ROLE_CONFIRMED}", rejected_unsent(asks));
-    play_in(&single_attempts(), 1, &text);
+    play_with_settings(&single_attempts(), 1, &text);
 }
 
 /// The primary takes no connection, then one write whose answer is lost; so much later a read of this class comes.
@@ -117,7 +119,11 @@
     #[values(300, 1_500, 2_900, 3_300, 6_000)] later_ms: u64,
 ) {
     let read = read_at_a_primary_in_doubt("read", later_ms);
-    play_in(&unchecked(0.5, |_| {}), 1, &format!("{read}h1 expect silence 300\nc5 expect error 53300"));
+    play_with_settings(
+        &unchecked(0.5, |_| {}),
+        1,
+        &format!("{read}h1 expect silence 300\nc5 expect error 53300"),
+    );
 }
 
 /// The same for a session that may see its unanswered write, which is as long as a write may take.
@@ -126,7 +132,11 @@
     #[values(300, 1_500, 2_900)] later_ms: u64,
 ) {
     let read = read_at_a_primary_in_doubt("own", later_ms);
-    play_in(&unchecked(0.5, |_| {}), 1, &format!("{read}h1 expect silence 300\nc5 expect error 53300"));
+    play_with_settings(
+        &unchecked(0.5, |_| {}),
+        1,
+        &format!("{read}h1 expect silence 300\nc5 expect error 53300"),
+    );
 }
 
 /// Later the session has to see its acknowledged write alone, which the host has told to have applied: whatever its role, the
@@ -141,7 +151,7 @@
 ) {
     let read = read_at_a_primary_in_doubt("own", later_ms);
     let text = format!("{read}h1 expect id=q4\nh1 send value four replica {ahead}\nc5 expect {answer}");
-    play_in(&unchecked(0.5, |_| {}), 1, &text);
+    play_with_settings(&unchecked(0.5, |_| {}), 1, &text);
 }
 
 /// The same with hosts that speak TDS.
@@ -155,7 +165,7 @@
         {}{ROLE_CONFIRMED}",
         rejected_unsent("read")
     );
-    play_tds_in(&single_attempts(), 1, &text);
+    play_tds_with_settings(&single_attempts(), 1, &text);
 }
 
 /// Guards against a primary that a quiet process keeps its fresh reads from: nothing was lost, so a read may ask.
@@ -172,7 +182,7 @@
         c5 start
         h1 serve c5 {asks} q2 2900 = two primary"
     );
-    play_in(&unchecked(0.5, |_| {}), 1, &text);
+    play_with_settings(&unchecked(0.5, |_| {}), 1, &text);
 }
 
 /// A host takes queries and says nothing, and may go on as a replica: guards against the fresh read that is sent to it after
@@ -298,7 +308,7 @@
         c2 expect answer
         h1 serve c4 read q4 2900 = four primary"
     );
-    play_in(&single_attempts(), 1, &text);
+    play_with_settings(&single_attempts(), 1, &text);
 }
 
 /// The client leaves and its attempt is cancelled, or goes on and is never answered: guards against the fresh read after it.
@@ -323,7 +333,7 @@
         {}{ROLE_CONFIRMED}",
         rejected_unsent("read")
     );
-    play_in(&settings, 1, &text);
+    play_with_settings(&settings, 1, &text);
 }
 
 /// A hedged read was served by another host, and its attempt at the primary is cancelled: guards against a fresh read that
@@ -351,7 +361,7 @@
         h1 expect silence 300
         h2 expect silence 20
         c9 expect error 53300";
-    play_in(&settings, 2, text);
+    play_with_settings(&settings, 2, text);
 }
 
 /// A write that is rejected tells that its host is no primary, with a role or without: guards against the fresh read that is
@@ -359,13 +369,13 @@
 #[rstest]
 fn no_fresh_read_follows_a_write_that_was_rejected_without_a_role(#[values(0, 300, 3_500)] later_ms: u64) {
     let text = rejected_write("25006", later_ms);
-    play_in(&single_attempts(), 1, &text);
+    play_with_settings(&single_attempts(), 1, &text);
 }
 
 #[rstest]
 fn no_fresh_read_follows_a_write_that_was_rejected_over_tds(#[values(0, 300, 3_500)] later_ms: u64) {
     let text = rejected_write("3906", later_ms);
-    play_tds_in(&single_attempts(), 1, &text);
+    play_tds_with_settings(&single_attempts(), 1, &text);
 }
 
 fn rejected_write(code: &str, later_ms: u64) -> String {
@@ -383,7 +393,7 @@
 /// The process of the host is a new one: guards against a fresh read on what the former one was, 200 ms after its answer.
 #[test]
 fn no_fresh_read_goes_to_a_primary_that_was_started_again() {
-    let mut steps = Steps::start_faulty(&briefly_bounded(), "");
+    let mut steps = SteppedScenario::start_with_faults(&briefly_bounded(), "");
     steps.play(ANSWERED_200_MS_AGO);
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
     let entry = r#"{"name":"h1","address":"@h1","zone":"z","group":0,"status":"up""#;
@@ -405,7 +415,7 @@
         {}{ROLE_CONFIRMED}",
         rejected_unsent("read")
     );
-    play_in(&briefly_bounded(), 1, &text);
+    play_with_settings(&briefly_bounded(), 1, &text);
 }
 
 /// Reads may see data 0.1 s old, so that 200 ms after an answer only the role recommends its host; a started host is warm.
@@ -446,7 +456,7 @@
         h2 serve c9 read q9 2900 = nine primary
         h1 expect silence 50"
     );
-    play_in(&with_unbounded_reads(), 2, &text);
+    play_with_settings(&with_unbounded_reads(), 2, &text);
 }
 
 /// A read that may see data of any age tells the role as well as a write: guards against fresh reads that wait for a write.
@@ -464,7 +474,7 @@
         h1 serve c8 read r8 2900 = eight primary",
         rejected_unsent("read")
     );
-    play_in(&with_unbounded_reads(), 1, &text);
+    play_with_settings(&with_unbounded_reads(), 1, &text);
 }
 
 /// The role of its host falls into doubt while a read waits for its connection there: guards against the query that is
@@ -493,7 +503,7 @@
         h1 expect silence 300
         c9 expect {REFUSED}"
     );
-    play_in(&settings, 1, &text);
+    play_with_settings(&settings, 1, &text);
 }
 
 /// The same for a hedged read: the answer that the host owes may be lost, so that it does not even get a connection.
@@ -524,7 +534,7 @@
         h2 answer c9 nine replica -200
         h1 expect silence 50"
     );
-    play_in(&settings, 2, &text);
+    play_with_settings(&settings, 2, &text);
 }
 
 /// A host that calls itself the primary tells a position older than the bound, where others show that it is no longer the
@@ -548,7 +558,7 @@
         h1 send value old primary -5000
         c3 expect {REFUSED}"
     );
-    play_in(&settings, 2, &text);
+    play_with_settings(&settings, 2, &text);
 }
 
 /// The same with one host and with two that are asked in any order.
@@ -566,7 +576,7 @@
         1 => unchecked(2.0, |_| {}),
         _ => unchecked(2.0, |all| all["limits"]["maxAttempts"] = json!(1)),
     };
-    play_in(&settings, hosts, text);
+    play_with_settings(&settings, hosts, text);
 }
 
 /// The same where the session's own write is newer than the position.
@@ -583,7 +593,7 @@
         1 => unchecked(2.0, |_| {}),
         _ => unchecked(2.0, |all| all["limits"]["maxAttempts"] = json!(1)),
     };
-    play_in(&settings, hosts, text);
+    play_with_settings(&settings, hosts, text);
 }
 
 /// Guards against a check of positions by this machine's clock, which says nothing of the hosts': what a primary answers is
@@ -606,7 +616,7 @@
         0 => String::new(),
         _ => format!("clock::step={step_ms}:1/1"),
     };
-    play_faulty(&faults, &unchecked(0.5, |all| all["limits"]["maxAttempts"] = json!(1)), hosts, text);
+    play_with_faults(&faults, &unchecked(0.5, |all| all["limits"]["maxAttempts"] = json!(1)), hosts, text);
 }
 
 /// The clock steps while the program runs, between an answer and the next.
@@ -625,7 +635,7 @@
         h1 serve c3 {asks} q3 2900 = three primary"
     );
     let settings = unchecked(0.5, |all| all["limits"]["maxAttempts"] = json!(1));
-    play_faulty(&format!("clock::step={step_ms}@500:1/1"), &settings, 1, &text);
+    play_with_faults(&format!("clock::step={step_ms}@500:1/1"), &settings, 1, &text);
 }
 
 /// The same of an old answer: it is withheld, however far off this machine's clock is.
@@ -646,5 +656,5 @@
         c3 expect {REFUSED}"
     );
     let settings = unchecked(2.0, |all| all["limits"]["maxAttempts"] = json!(1));
-    play_faulty(&format!("clock::step={step_ms}:1/1"), &settings, 1, &text);
+    play_with_faults(&format!("clock::step={step_ms}:1/1"), &settings, 1, &text);
 }
--- a/tests/sockets/scenario/shorthand.rs
+++ b/tests/sockets/scenario/shorthand.rs
@@ -1,11 +1,11 @@
-//! Lines of the scenario language that stand for several others.
+//! Shorthand lines of the scenario language, each of which stands for several steps.
 
-/// Returns the lines that a line stands for: itself, unless it is one of these.
+/// Returns the steps that a line stands for. A line that is not one of these stands for itself:
 ///
-/// - `c1 start`: its startup, and the greeting
-/// - `h1 take c1 read q1 2900`: its request comes to that host
-/// - `h1 answer c1 V ROLE`: the host answers the request that it has taken last; the client gets the value
-/// - `h1 serve c1 read q1 2900 = V ROLE`: both
+/// - `c1 start`: the client starts a session and is greeted
+/// - `h1 take c1 read q1 2900`: the client sends a request, which reaches that host
+/// - `h1 answer c1 V ROLE`: the host answers its current request, and the client receives the value
+/// - `h1 serve c1 read q1 2900 = V ROLE`: both of the previous two
 pub fn expand(line: &str) -> Vec<String> {
     let mut words = line.splitn(3, ' ');
     let (who, verb, what) = (words.next().unwrap_or(""), words.next(), words.next().unwrap_or(""));
@@ -32,7 +32,7 @@
 }
 
 fn serve(host: &str, what: &str) -> Option<Vec<String>> {
-    let (asked, answered) = what.split_once(" = ")?;
-    let client = asked.split(' ').next()?;
-    Some([take(host, asked)?, answer(host, &format!("{client} {answered}"))?].concat())
+    let (request, response) = what.split_once(" = ")?;
+    let client = request.split(' ').next()?;
+    Some([take(host, request)?, answer(host, &format!("{client} {response}"))?].concat())
 }
--- a/tests/sockets/scenario/tds.rs
+++ b/tests/sockets/scenario/tds.rs
@@ -1,25 +1,27 @@
-//! TDS for the scenarios, on both sides of the proxy: what a client sends and expects, what a host says.
+//! The steps of the scenario language for clients and hosts that speak TDS.
 
-use super::{expects_either, unhex, unix_ms};
+use super::{decode_hex, expect_common, unix_ms};
 use bytes::BytesMut;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use wheelpier_tds::*;
 
-fn packed(kind: PacketType, payload: &[u8]) -> Vec<u8> {
+/// Returns the packets of a message of this type.
+fn packets(kind: PacketType, payload: &[u8]) -> Vec<u8> {
     let mut out = BytesMut::new();
     put_message(&mut out, kind, Status::default(), payload, PACKET_SIZE);
     out.to_vec()
 }
 
+/// Returns the bytes that `put` writes.
 fn payload(put: impl FnOnce(&mut BytesMut)) -> BytesMut {
     let mut out = BytesMut::new();
     put(&mut out);
     out
 }
 
-/// The next message, as its type and payload; none when the connection ends.
-pub fn read(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
+/// Reads a message: its type and payload. Returns `None` if the connection ends.
+pub fn read_message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
     let mut content = Vec::new();
     loop {
         let mut head = [0; HEADER];
@@ -37,32 +39,35 @@
     Parameter { name: name.to_owned(), output: false, kind, value }
 }
 
-fn call(text: &str, values: Vec<Parameter>) -> Vec<u8> {
+/// Returns a call of `sp_executesql` with this statement and these values.
+fn sql_call(text: &str, values: Vec<Parameter>) -> Vec<u8> {
     let words = |text: &str| parameter("", DataType::LongText, Value::Text(text.to_owned()));
     let mut parameters = vec![words(text), words("@P1 nvarchar(99), @P2 varbinary(max)")];
     parameters.extend(values);
     let call = Rpc { procedure: Procedure::Number(SP_EXECUTESQL), options: 0, parameters };
-    packed(PacketType::Rpc, &payload(|out| call.put(out)))
+    packets(PacketType::Rpc, &payload(|out| call.put(out)))
 }
 
+/// Returns a SQL batch.
 fn batch(text: &str) -> Vec<u8> {
     let content = payload(|out| {
         put_all_headers(out);
         put_text(out, text);
     });
-    packed(PacketType::SqlBatch, &content)
+    packets(PacketType::SqlBatch, &content)
 }
 
 fn prelogin(encryption: Encryption) -> Vec<u8> {
-    packed(PacketType::Prelogin, &payload(|out| Prelogin { encryption, ..Prelogin::default() }.put(out)))
+    packets(PacketType::Prelogin, &payload(|out| Prelogin { encryption, ..Prelogin::default() }.put(out)))
 }
 
 fn login(version: u32, integrated: bool) -> Vec<u8> {
     let user = "sa".to_owned();
     let login = Login { version, packet_size: 4096, user, integrated, ..Login::default() };
-    packed(PacketType::Login, &payload(|out| login.put(out)))
+    packets(PacketType::Login, &payload(|out| login.put(out)))
 }
 
+/// Returns the bytes of a client's `send` step.
 pub fn client_bytes(what: &str) -> Vec<u8> {
     let (kind, rest) = what.split_once(' ').unwrap_or((what, ""));
     let comment = |class: &str| {
@@ -80,29 +85,32 @@
         "login" if rest == "integrated" => login(version::V7_4, true),
         "login" if rest.is_empty() => login(version::V7_4, false),
         "login" => login(u32::from_str_radix(rest, 16).unwrap(), false),
-        "attention" => packed(PacketType::Attention, &[]),
-        "transaction" => packed(PacketType::Transaction, &[0; 24]),
-        "raw" => unhex(rest),
+        "attention" => packets(PacketType::Attention, &[]),
+        "transaction" => packets(PacketType::Transaction, &[0; 24]),
+        "raw" => decode_hex(rest),
         "text" => batch(rest),
         "read" => batch(&format!("SELECT content FROM kv WHERE name = 'k1' {}", comment("any"))),
         "own" => batch(&format!("SELECT content FROM kv WHERE name = 'k1' {}", comment("own"))),
-        "call" => call(&format!("SELECT content FROM kv WHERE name = @P1 {}", comment("any")), vec![key()]),
+        "call" => {
+            sql_call(&format!("SELECT content FROM kv WHERE name = @P1 {}", comment("any")), vec![key()])
+        }
         "write" => {
             let text = "INSERT INTO kv (name, content) VALUES (@P1, @P2) RETURNING content";
             let value = parameter("@P2", DataType::LongBinary, Value::Binary(vec![0, 0xff].into()));
-            call(&format!("{text} {}", comment("write")), vec![key(), value])
+            sql_call(&format!("{text} {}", comment("write")), vec![key(), value])
         }
         "procedure" => {
             let procedure = Procedure::Name(rest.to_owned());
             let call = Rpc { procedure, options: 0, parameters: Vec::new() };
-            packed(PacketType::Rpc, &payload(|out| call.put(out)))
+            packets(PacketType::Rpc, &payload(|out| call.put(out)))
         }
-        _ => panic!("sends what?"),
+        _ => panic!("unknown step of a client: send {what}"),
     }
 }
 
-pub fn client_expects(stream: &mut TcpStream, what: &str) {
-    if expects_either(stream, what, client_expects) {
+/// Carries out an `expect` step of a client.
+pub fn client_expect(stream: &mut TcpStream, what: &str) {
+    if expect_common(stream, what, client_expect) {
         return;
     }
     if what == "closed" {
@@ -111,17 +119,19 @@
             matches!(end, Ok(0)) || end.is_err_and(|e| e.kind() != std::io::ErrorKind::WouldBlock)
         );
     }
-    let (packet, content) = read(stream).unwrap_or_else(|| panic!("closed instead of {what}"));
+    let (packet, content) =
+        read_message(stream).unwrap_or_else(|| panic!("connection closed, expected `{what}`"));
     assert_eq!(packet, 4);
     if what == "prelogin" {
         let server = Prelogin::parse(&content).unwrap();
         return assert_eq!((server.encryption, server.mars), (Encryption::NotSupported, false));
     }
-    assert_eq!(heard(&content), what);
+    assert_eq!(describe(&content), what);
 }
 
-/// An answer in a few words: `value V`, `error NUMBER`, `done`, `attention` or `ready` (the login's).
-fn heard(content: &[u8]) -> String {
+/// Describes a response in the words of the scenario language: `value V`, `number N`, `error NUMBER`, `done`,
+/// `reset`, `attention` or `ready VERSION` (after the login).
+fn describe(content: &[u8]) -> String {
     let mut heard = String::new();
     for token in Tokens::new(content) {
         match token.expect("a token") {
@@ -143,21 +153,22 @@
     heard
 }
 
-/// A host's side of a new connection, up to the login.
-pub fn greet(stream: &mut TcpStream) -> Option<()> {
-    let (0x12, _) = read(stream)? else { return None };
+/// Carries out a host's side of the handshake on a new connection, up to the login.
+pub fn accept_login(stream: &mut TcpStream) -> Option<()> {
+    let (0x12, _) = read_message(stream)? else { return None };
     let answer = payload(|out| Prelogin::default().put(out));
-    stream.write_all(&packed(PacketType::Result, &answer)).ok()?;
-    let (0x10, _) = read(stream)? else { return None };
+    stream.write_all(&packets(PacketType::Result, &answer)).ok()?;
+    let (0x10, _) = read_message(stream)? else { return None };
     let answer = payload(|out| {
         put_login_ack(out, &LoginAck { version: version::V7_4, program: "host".to_owned() });
         put_done(out, DoneKind::Batch, Done::default());
     });
-    stream.write_all(&packed(PacketType::Result, &answer)).ok()
+    stream.write_all(&packets(PacketType::Result, &answer)).ok()
 }
 
-/// The text of a request that has come to a host, a write's value in digits behind it.
-pub fn request(kind: u8, content: &[u8]) -> Option<String> {
+/// Returns the statement of a request that a host received, followed by the value of a write in hexadecimal
+/// digits.
+pub fn request_text(kind: u8, content: &[u8]) -> Option<String> {
     if kind == 1 {
         return wheelpier_tds::batch(content).ok();
     }
@@ -171,8 +182,9 @@
     }
 }
 
-/// The tokens of an answer with its row.
-pub fn value(value: &str, role: &str, ahead: i64) -> BytesMut {
+/// Returns the payload of a response with one row, the role and a position `ahead` milliseconds after the
+/// present.
+pub fn row_response(value: &str, role: &str, ahead: i64) -> BytesMut {
     payload(|out| {
         let columns = [Column { name: "content".to_owned(), kind: DataType::LongBinary }];
         put_columns(out, &columns);
@@ -183,8 +195,8 @@
     })
 }
 
-/// What a host sends: `value V [ROLE AHEAD_MS]`, `cut N V` (so many bytes of that), `twice V`, `error NUMBER`,
-/// `raw HEX`.
+/// Returns the bytes of a host's `send` step: `value V [ROLE AHEAD_MS]`, `cut N V` (the first N bytes of that
+/// response), `twice V`, `error NUMBER` or `raw HEX`.
 pub fn host_bytes(what: &str) -> Vec<u8> {
     let mut words = what.split(' ');
     let (kind, first) = (words.next().unwrap(), words.next().unwrap());
@@ -192,14 +204,14 @@
         "value" => {
             let role = words.next().unwrap_or("replica");
             let ahead = words.next().map_or(0, |ms| ms.parse().unwrap());
-            packed(PacketType::Result, &value(first, role, ahead))
+            packets(PacketType::Result, &row_response(first, role, ahead))
         }
         "cut" => {
-            let mut whole = packed(PacketType::Result, &value(words.next().unwrap(), "primary", 0));
+            let mut whole = packets(PacketType::Result, &row_response(words.next().unwrap(), "primary", 0));
             whole.truncate(first.parse().unwrap());
             whole
         }
-        "twice" => packed(PacketType::Result, &value(first, "primary", 0)).repeat(2),
+        "twice" => packets(PacketType::Result, &row_response(first, "primary", 0)).repeat(2),
         "error" => {
             let message = "no".to_owned();
             let notice = Notice { number: first.parse().unwrap(), state: 1, class: 16, message };
@@ -207,13 +219,13 @@
                 put_error(out, &notice);
                 put_done(out, DoneKind::Batch, Done { error: true, ..Done::default() });
             });
-            packed(PacketType::Result, &answer)
+            packets(PacketType::Result, &answer)
         }
-        _ => unhex(first),
+        _ => decode_hex(first),
     }
 }
 
-/// A host's load report.
-pub fn load(report: &str) -> Vec<u8> {
-    packed(PacketType::Result, &value(report, "primary", 0))
+/// Returns the response to a query for the load report.
+pub fn load_report(report: &str) -> Vec<u8> {
+    packets(PacketType::Result, &row_response(report, "primary", 0))
 }
--- a/tests/sockets/upgrade.rs
+++ b/tests/sockets/upgrade.rs
@@ -1,7 +1,7 @@
 //! A new process beside the old one at the same address, while clients keep coming: each connection is answered by one of
 //! the two.
 
-use crate::scenario::{bytes_of, settings, settings_with, Program, Steps};
+use crate::scenario::{client_message, settings, settings_with, Program, SteppedScenario};
 use rstest::rstest;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
     };
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     sleep(ROUND_TRIP);
-    let heard = stream.write_all(&bytes_of("startup")).and_then(|()| stream.read(&mut [0]));
+    let heard = stream.write_all(&client_message("startup")).and_then(|()| stream.read(&mut [0]));
     match heard {
         Ok(0) => Ending::ClosedWithoutByte,
         Ok(_) => Ending::Answered,
@@ -82,9 +82,9 @@
 
 /// Upgrades under a flood; the old process has these faults and ends by then. Each connection has to be answered.
 fn upgrade_under_flood(settings: &str, faults: &str, end: &str) {
-    let mut steps = Steps::start_faulty(settings, faults);
+    let mut steps = SteppedScenario::start_with_faults(settings, faults);
     steps.play("new send start\nnew expect log console listener");
-    let flood = Flood::start(steps.listen());
+    let flood = Flood::start(steps.address());
     steps.play(&format!("wait 100\nproxy send TERM\nproxy expect exit 0 {end}\nwait 100"));
     let endings = flood.stop();
     assert!(endings.len() == 1 && endings.contains_key(&Ending::Answered), "{endings:?}");
@@ -112,9 +112,9 @@
 /// Guards against a handover to a process that listens and accepts nothing.
 #[test]
 fn a_process_that_accepts_nothing_takes_nothing_over() {
-    let mut steps = Steps::start_faulty(&settings(), "");
+    let mut steps = SteppedScenario::start_with_faults(&settings(), "");
     steps.play("new send start\nnew expect log console listener\nnew send STOP\nproxy send TERM\nwait 600");
-    let address = steps.listen();
+    let address = steps.address();
     let clients: Vec<_> = (0..20).map(|_| spawn(move || connect_once(address))).collect();
     let endings: Vec<Ending> = clients.into_iter().map(|client| client.join().unwrap()).collect();
     assert!(endings.contains(&Ending::Answered), "{endings:?}");
@@ -129,7 +129,8 @@
         format!("hosts: {{types: {{m9: tds}}}}\nlisteners: [{{protocol: tds, address: '{tds}'}}]\n");
     let config = json!({"settings": serde_json::from_str::<serde_json::Value>(&settings()).unwrap()});
     let start = || {
-        let program = Program::start_with(&config.to_string(), &listen, "127.0.0.1:9", Some(&operator));
+        let program =
+            Program::start_with_operator_file(&config.to_string(), &listen, "127.0.0.1:9", Some(&operator));
         program.log("listener for clients bound");
         program.log("listener for clients bound");
         program
--- a/tests/sockets/watching.rs
+++ b/tests/sockets/watching.rs
@@ -1,6 +1,6 @@
 //! Watches that die, and lists in every form: no drain is missed, and what is wrong with an entry costs that entry alone.
 
-use crate::scenario::{play, play_in, settings_with};
+use crate::scenario::{play, play_with_settings, settings_with};
 use rstest::rstest;
 
 const OPENS: &str = "
@@ -129,7 +129,7 @@
         all["balancers"] = routers.into();
         all["discovery"] = "on_request".into();
     });
-    play_in(&settings, 1, text);
+    play_with_settings(&settings, 1, text);
 }
 
 /// Whatever failed, and however many ask the same discovery: within 6 s of when it has a change and can be reached each has
