--- a/tests/sockets/ending.rs
+++ b/tests/sockets/ending.rs
@@ -1,25 +1,26 @@
-//! The end of the process: what it has taken is answered before SIGKILL, whatever the deadlines, and no connection is
-//! closed on a request that it has read.
+//! The graceful shutdown: every request that was read is answered before SIGKILL, whatever the deadlines, and
+//! no connection is closed while a request that was read from it is unanswered.
 
 use crate::scenario::{play, play_with_settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
-/// The scenarios' settings with that longest deadline, in milliseconds.
-fn within(longest: u64) -> String {
+/// Returns the default settings with this longest deadline for all request classes.
+fn with_max_deadline(max_deadline_ms: u64) -> String {
     settings_with(|all| {
         for grade in all["grades"].as_array_mut().unwrap() {
-            grade["deadline"] = json!(longest as f64 / 1e3);
-            grade["onTime"] = json!(longest as f64 / 2e3);
+            grade["deadline"] = json!(max_deadline_ms as f64 / 1e3);
+            grade["onTime"] = json!(max_deadline_ms as f64 / 2e3);
         }
     })
 }
 
-/// A host hangs. A request that waits for it, one that comes after SIGTERM, one whose client just connects, one that is
-/// half there and one that is never whole: each has its answer or its close before SIGKILL has to be expected.
+/// A host hangs. Some requests wait for it, one arrives after SIGTERM, one comes from a client that has just
+/// connected, and some messages are never complete. Each connection gets its response or is closed before
+/// SIGKILL is to be expected.
 #[rstest]
-fn all_is_answered_before_sigkill(#[values(150, 300, 600, 3_000, 10_000)] longest: u64) {
-    let killed = longest.min(3_000) + 700;
+fn every_request_is_answered_before_sigkill(#[values(150, 300, 600, 3_000, 10_000)] max_deadline_ms: u64) {
+    let exit_limit = max_deadline_ms.min(3_000) + 700;
     let text = format!(
         "
         c1-6 start
@@ -41,15 +42,16 @@
         c4 expect error
         c7 expect error
         c1-9 expect gone
-        proxy expect exit 0 by {killed}
+        proxy expect exit 0 by {exit_limit}
         proxy expect log counters totals= taken=3 served=0"
     );
-    play_with_settings(&within(longest), 1, &text);
+    play_with_settings(&with_max_deadline(max_deadline_ms), 1, &text);
 }
 
-/// Who asks on an open connection shortly before it would be closed has all the time that the settings give.
+/// A request on an idle connection that arrives shortly before the connection would be closed keeps its whole
+/// deadline.
 #[rstest]
-fn a_late_request_has_its_whole_time(#[values(150, 300, 600)] longest: u64) {
+fn a_late_request_keeps_its_whole_deadline(#[values(150, 300, 600)] max_deadline_ms: u64) {
     let text = format!(
         "
         c1 start
@@ -57,33 +59,34 @@
         c1 expect empty
         proxy send TERM
         wait 420
-        c1 send read q1 {longest}
-        h1 expect ,d={}                      # of which 10 ms or so are kept for the way back
+        c1 send read q1 {max_deadline_ms}
+        h1 expect ,d={}                      # about 10 ms are kept for the way back
         h1 answer c1 late primary",
-        match longest {
+        match max_deadline_ms {
             150 => "d=1",
             300 => "d=2",
             _ => "d=5",
         }
         .trim_start_matches("d="),
     );
-    play_with_settings(&within(longest), 1, &text);
+    play_with_settings(&with_max_deadline(max_deadline_ms), 1, &text);
 }
 
-/// Half a query when the connection would be closed as idle: its rest still comes, and it is answered.
+/// Half a query has arrived when the connection would be closed as idle. Its rest is still read, and it is
+/// answered.
 #[test]
-fn the_rest_of_a_query_is_waited_for() {
+fn the_rest_of_a_split_query_is_read() {
     let text = "
         c1 start
         proxy send TERM
         wait 420
-        c1 send raw 510000000a5345          # the first bytes of `SET a`,
-        wait 230                            # idle connections are closed by now,
-        c1 send raw 54206100                # and the others
+        c1 send raw 510000000a5345          # the first bytes of `SET a`
+        wait 230                            # idle connections are closed by now
+        c1 send raw 54206100                # and the rest
         c1 expect ready
         c1 expect closed
         proxy expect exit 0 by 850";
-    play_with_settings(&within(150), 1, text);
+    play_with_settings(&with_max_deadline(150), 1, text);
 }
 
 #[rstest]
@@ -92,12 +95,12 @@
 #[case::right_before_sighup("proxy send TERM\nproxy send HUP")]
 #[case::while_quiesced("operator send quiesce\nproxy send TERM")]
 #[case::before_the_end_of_a_quiesce("operator send quiesce\nproxy send TERM\noperator send resume")]
-fn sigterm_ends_it(#[case] told: &str) {
+fn sigterm_ends_the_process(#[case] signals: &str) {
     let text = format!(
         "
         c1 start
         h1 take c1 read q1 900
-        {told}
+        {signals}
         h1 answer c1 one primary
         c1 expect closed
         proxy expect exit 0 by 3700
@@ -106,13 +109,13 @@
     play(1, &text);
 }
 
-/// A new file gives requests another longest deadline: a drain after it goes by that one.
+/// A reload changes the longest deadline. A drain after it uses the new one.
 #[rstest]
 #[case::shorter(10_000, 300)]
 #[case::longer(300, 3_000)]
-fn a_drain_goes_by_the_settings_in_force(#[case] before: u64, #[case] after: u64) {
-    let file = format!(r#"{{"seed":"8c1f","settings":{}}}"#, within(after));
-    let killed = after + 700;
+fn a_drain_uses_the_settings_in_force(#[case] before: u64, #[case] after: u64) {
+    let file = format!(r#"{{"seed":"8c1f","settings":{}}}"#, with_max_deadline(after));
+    let exit_limit = after + 700;
     let text = format!(
         "
         c1 start
@@ -123,8 +126,8 @@
         proxy send TERM
         c1 expect error
         c1 expect closed
-        proxy expect exit 0 by {killed}
+        proxy expect exit 0 by {exit_limit}
         proxy expect log counters totals= taken=1 served=0"
     );
-    play_with_settings(&within(before), 1, &text);
+    play_with_settings(&with_max_deadline(before), 1, &text);
 }
--- a/tests/sockets/every_end.rs
+++ b/tests/sockets/every_end.rs
@@ -1,66 +1,67 @@
-//! Each state that a client can keep its connection in, against each order that ends it: the connection is let go in time,
-//! and what was read of it has its one answer, whether hosts answer or hang.
+//! Drains against clients in every state that can keep a connection open. Whatever starts the drain, each
+//! connection is closed in time, and each request that was read gets exactly one response, whether hosts
+//! answer or hang.
 
-use crate::habits::{self, Ending, Habit, Wire};
+use crate::habits::{self, Behavior, Outcome, Protocol};
 use crate::scenario::{settings_with, SteppedScenario};
 use rstest::rstest;
 use serde_json::json;
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
 
-/// A client sees the end of its connection so much later at the most: it looks ten times a second. That the process has
-/// ended in time is asked of the process itself.
-const SEEN_LATER: Duration = Duration::from_millis(150);
-/// Clients that take their answers, so that what was read of them can be counted.
-const READERS: [Habit; 11] = [
-    Habit::AlwaysOneMore,
-    Habit::NoGap,
-    Habit::Bursts,
-    Habit::OneByOne,
-    Habit::HalfBehindWhole,
-    Habit::Senseless,
-    Habit::OnlySync,
-    Habit::EmptyQueries,
-    Habit::Rests,
-    Habit::NeverAsks,
-    Habit::Startup,
+/// How much later than the proxy a client may see the end of its connection: it checks ten times a second.
+/// The exit of the process is checked on the process itself.
+const CLIENT_POLL_DELAY: Duration = Duration::from_millis(150);
+/// Clients that read their responses, so that the responses can be counted.
+const READERS: [Behavior; 11] = [
+    Behavior::SteadyRequests,
+    Behavior::BackToBack,
+    Behavior::Bursts,
+    Behavior::SlowStatement,
+    Behavior::SplitStatements,
+    Behavior::InvalidStatements,
+    Behavior::OnlySync,
+    Behavior::EmptyQueries,
+    Behavior::IdleAfterRequest,
+    Behavior::IdleAfterLogin,
+    Behavior::SlowStartup,
 ];
-/// Clients that take nothing, or have ended their side.
-const OTHERS: [Habit; 3] = [Habit::TakesNothing, Habit::Garbage, Habit::HalfClosed];
-/// Clients of TDS, which ask for one thing at a time.
-const TDS: [Habit; 8] = [
-    Habit::NoGap,
-    Habit::TakesNothing,
-    Habit::OneByOne,
-    Habit::HalfBehindWhole,
-    Habit::Senseless,
-    Habit::Rests,
-    Habit::NeverAsks,
-    Habit::Startup,
+/// Clients that read nothing, or have shut down the sending side of their connection.
+const NON_READERS: [Behavior; 3] = [Behavior::NeverReads, Behavior::Garbage, Behavior::HalfClosed];
+/// Clients that speak TDS, which have one request open at a time.
+const TDS_CLIENTS: [Behavior; 8] = [
+    Behavior::BackToBack,
+    Behavior::NeverReads,
+    Behavior::SlowStatement,
+    Behavior::SplitStatements,
+    Behavior::InvalidStatements,
+    Behavior::IdleAfterRequest,
+    Behavior::IdleAfterLogin,
+    Behavior::SlowStartup,
 ];
 
-/// What ends the connections.
+/// Event that starts the drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Order {
-    /// A call at the console.
+enum Trigger {
+    /// A quiesce at the console.
     Quiesce,
-    /// One that was taken back, and made again.
+    /// A quiesce that was resumed, and a second quiesce.
     QuiesceAgain,
     /// SIGTERM.
     Term,
     /// SIGTERM a second into a quiesce.
     QuiesceThenTerm,
-    /// Two new configurations and SIGTERM in a row.
+    /// Two reloads of the configuration, and SIGTERM right after them.
     HupHupTerm,
 }
 
-impl Order {
+impl Trigger {
     fn ends_the_process(self) -> bool {
         matches!(self, Self::Term | Self::QuiesceThenTerm | Self::HupHupTerm)
     }
 
-    /// What comes before the order that counts.
-    fn before(self) -> &'static str {
+    /// Returns the scenario lines that precede the event from which the time is counted.
+    fn preceding_steps(self) -> &'static str {
         match self {
             Self::QuiesceAgain => "operator send quiesce\nwait 100\noperator send resume\nwait 100",
             Self::QuiesceThenTerm => "operator send quiesce\nwait 1000",
@@ -70,82 +71,85 @@
     }
 }
 
-/// The scenarios' settings with that longest deadline, in milliseconds.
-fn within(longest: u64) -> String {
+/// Returns the default settings with this longest deadline for all request classes.
+fn with_max_deadline(max_deadline_ms: u64) -> String {
     settings_with(|all| {
         for grade in all["grades"].as_array_mut().unwrap() {
-            grade["deadline"] = json!(longest as f64 / 1e3);
-            grade["onTime"] = json!(longest as f64 / 1.1e3);
+            grade["deadline"] = json!(max_deadline_ms as f64 / 1e3);
+            grade["onTime"] = json!(max_deadline_ms as f64 / 1.1e3);
         }
     })
 }
 
-/// Whether hosts answer.
+/// Behavior of the ledger hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Hosts {
-    /// With a value of so many bytes, after 30 ms.
+    /// They answer after 30 ms with a value of this number of bytes.
     Serve(usize),
-    /// They take requests and say nothing.
+    /// They accept requests and never answer.
     Hang,
 }
 
 struct Case {
-    wire: Wire,
-    habits: &'static [Habit],
-    order: Order,
-    longest: u64,
+    protocol: Protocol,
+    behaviors: &'static [Behavior],
+    trigger: Trigger,
+    max_deadline_ms: u64,
     hosts: Hosts,
 }
 
-/// Plays the clients of a case beside each other; how each ended, the counters if the process has, and where the time went
-/// until then.
-fn play(case: &Case) -> (Vec<Ending>, Option<String>, String) {
-    let settings = within(case.longest);
-    let mut steps = match case.wire {
-        Wire::Postgres => SteppedScenario::start_with_faults(&settings, ""),
-        Wire::Tds => SteppedScenario::start_tds(&settings),
+/// Runs the clients of a case at the same time. Returns how each ended, the counters if the process has
+/// exited, and a description of where the time went until its exit.
+fn play(case: &Case) -> (Vec<Outcome>, Option<String>, String) {
+    let settings = with_max_deadline(case.max_deadline_ms);
+    let mut steps = match case.protocol {
+        Protocol::Postgres => SteppedScenario::start_with_faults(&settings, ""),
+        Protocol::Tds => SteppedScenario::start_tds(&settings),
     };
     if let Hosts::Serve(bytes) = case.hosts {
         steps.play(&format!("h1 send serve 30 {bytes}"));
     }
-    let address = if case.wire == Wire::Tds { steps.tds_address() } else { steps.address() };
-    let ordered = Arc::new(OnceLock::new());
+    let address = if case.protocol == Protocol::Tds { steps.tds_address() } else { steps.address() };
+    let triggered_at = Arc::new(OnceLock::new());
     let clients: Vec<_> = case
-        .habits
+        .behaviors
         .iter()
-        .map(|habit| habits::start(address, case.wire, *habit, case.longest, &ordered))
+        .map(|behavior| habits::start(address, case.protocol, *behavior, case.max_deadline_ms, &triggered_at))
         .collect();
     std::thread::sleep(Duration::from_millis(400));
-    steps.play(case.order.before());
-    ordered.set(Instant::now()).unwrap();
-    let killed = case.longest.min(3_000) + 700;
-    let counters = if case.order.ends_the_process() {
-        steps.play(&format!("proxy send TERM\nproxy expect exit 0 by {killed}"));
+    steps.play(case.trigger.preceding_steps());
+    triggered_at.set(Instant::now()).unwrap();
+    let exit_limit = case.max_deadline_ms.min(3_000) + 700;
+    let counters = if case.trigger.ends_the_process() {
+        steps.play(&format!("proxy send TERM\nproxy expect exit 0 by {exit_limit}"));
         Some(steps.last_log_line("counters totals="))
     } else {
         steps.play("operator send quiesce\noperator expect 200");
         None
     };
-    let end = ordered.get().map(|at| steps.exit_timing(*at)).unwrap_or_default();
+    let end = triggered_at.get().map(|at| steps.exit_timing(*at)).unwrap_or_default();
     (clients.into_iter().map(|client| client.join().unwrap()).collect(), counters, end)
 }
 
+/// Checks that each connection was closed in time and, if the process has exited, that each request that was
+/// read was answered once.
 fn check(case: &Case) {
-    let (endings, counters, end) = play(case);
-    let killed = Duration::from_millis(case.longest.min(3_000) + 700);
-    let most = if case.order.ends_the_process() { killed + SEEN_LATER } else { Duration::from_secs(4) };
-    for ending in &endings {
+    let (outcomes, counters, end) = play(case);
+    let exit_limit = Duration::from_millis(case.max_deadline_ms.min(3_000) + 700);
+    let allowed =
+        if case.trigger.ends_the_process() { exit_limit + CLIENT_POLL_DELAY } else { Duration::from_secs(4) };
+    for outcome in &outcomes {
         assert!(
-            !ending.is_held(most),
-            "{:?}, {} ms, {:?}: {:?} after {:?}; its client's thread waited {:?} for a processor, its \
+            !outcome.is_held_open(allowed),
+            "{:?}, {} ms, {:?}: {:?} closed after {:?}; the client's thread waited {:?} for a processor, its \
              pauses ended {:?} late; {end}",
-            case.order,
-            case.longest,
+            case.trigger,
+            case.max_deadline_ms,
             case.hosts,
-            ending.habit,
-            ending.after,
-            ending.queued,
-            ending.timers_late
+            outcome.behavior,
+            outcome.closed_after,
+            outcome.cpu_wait,
+            outcome.timers_late
         );
     }
     let Some(counters) = counters else { return };
@@ -156,41 +160,66 @@
     let ended: u64 = ["served", "refused", "failed", "left"].iter().map(|name| count(name)).sum();
     assert_eq!(count("taken"), ended, "{counters}");
     if case
-        .habits
+        .behaviors
         .iter()
-        .all(|habit| !matches!(habit, Habit::TakesNothing | Habit::Garbage | Habit::HalfClosed))
+        .all(|behavior| !matches!(behavior, Behavior::NeverReads | Behavior::Garbage | Behavior::HalfClosed))
     {
-        let answers: u64 = endings.iter().map(|ending| ending.answers).sum();
-        let by_habit: Vec<_> = endings.iter().map(|ending| (ending.habit, ending.answers)).collect();
-        assert_eq!(answers, ended, "each request that was read is answered: {counters} {by_habit:?}");
+        let answers: u64 = outcomes.iter().map(|outcome| outcome.answers).sum();
+        let by_behavior: Vec<_> =
+            outcomes.iter().map(|outcome| (outcome.behavior, outcome.answers)).collect();
+        assert_eq!(answers, ended, "each request that was read is answered: {counters} {by_behavior:?}");
     }
 }
 
 #[rstest]
-fn clients_that_take_their_answers_are_let_go(
-    #[values(Order::Quiesce, Order::QuiesceAgain, Order::Term, Order::QuiesceThenTerm, Order::HupHupTerm)]
-    order: Order,
-    #[values(200, 1_000, 10_000)] longest: u64,
+fn clients_that_read_their_responses_are_closed_in_time(
+    #[values(
+        Trigger::Quiesce,
+        Trigger::QuiesceAgain,
+        Trigger::Term,
+        Trigger::QuiesceThenTerm,
+        Trigger::HupHupTerm
+    )]
+    trigger: Trigger,
+    #[values(200, 1_000, 10_000)] max_deadline_ms: u64,
     #[values(Hosts::Serve(8), Hosts::Hang)] hosts: Hosts,
 ) {
-    check(&Case { wire: Wire::Postgres, habits: &READERS, order, longest, hosts });
+    check(&Case { protocol: Protocol::Postgres, behaviors: &READERS, trigger, max_deadline_ms, hosts });
 }
 
 #[rstest]
-fn clients_that_take_nothing_are_let_go(
-    #[values(Order::Quiesce, Order::QuiesceAgain, Order::Term, Order::QuiesceThenTerm, Order::HupHupTerm)]
-    order: Order,
-    #[values(200, 1_000, 10_000)] longest: u64,
+fn clients_that_read_nothing_are_closed_in_time(
+    #[values(
+        Trigger::Quiesce,
+        Trigger::QuiesceAgain,
+        Trigger::Term,
+        Trigger::QuiesceThenTerm,
+        Trigger::HupHupTerm
+    )]
+    trigger: Trigger,
+    #[values(200, 1_000, 10_000)] max_deadline_ms: u64,
 ) {
-    check(&Case { wire: Wire::Postgres, habits: &OTHERS, order, longest, hosts: Hosts::Serve(60_000) });
+    check(&Case {
+        protocol: Protocol::Postgres,
+        behaviors: &NON_READERS,
+        trigger,
+        max_deadline_ms,
+        hosts: Hosts::Serve(60_000),
+    });
 }
 
 #[rstest]
-fn clients_of_tds_are_let_go(
-    #[values(Order::Quiesce, Order::QuiesceAgain, Order::Term, Order::QuiesceThenTerm, Order::HupHupTerm)]
-    order: Order,
-    #[values(200, 1_000, 10_000)] longest: u64,
+fn clients_that_speak_tds_are_closed_in_time(
+    #[values(
+        Trigger::Quiesce,
+        Trigger::QuiesceAgain,
+        Trigger::Term,
+        Trigger::QuiesceThenTerm,
+        Trigger::HupHupTerm
+    )]
+    trigger: Trigger,
+    #[values(200, 1_000, 10_000)] max_deadline_ms: u64,
     #[values(Hosts::Serve(8), Hosts::Hang)] hosts: Hosts,
 ) {
-    check(&Case { wire: Wire::Tds, habits: &TDS, order, longest, hosts });
+    check(&Case { protocol: Protocol::Tds, behaviors: &TDS_CLIENTS, trigger, max_deadline_ms, hosts });
 }
--- a/tests/sockets/habits.rs
+++ b/tests/sockets/habits.rs
@@ -1,4 +1,4 @@
-//! Clients with habits that make a connection hard to end, on real sockets.
+//! Clients whose behavior makes it hard to close their connection during a drain, on real sockets.
 
 use crate::scenario::{client_message, tds_client_message, ProcessorTime, TimerLateness};
 use std::io::{ErrorKind, Read, Write};
@@ -7,104 +7,121 @@
 use std::thread::{sleep, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// When a client gives up, from the order to end on.
-pub const PATIENCE: Duration = Duration::from_secs(7);
+/// How long after the trigger a client gives up waiting for the end of its connection.
+pub const GIVE_UP_AFTER: Duration = Duration::from_secs(7);
 
-/// The protocol that a client speaks.
+/// Wire protocol of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wire {
+pub enum Protocol {
     Postgres,
     Tds,
 }
 
-/// What a client does with its connection, from before the order to end on and for as long as it is open.
+/// Behavior of a client on its connection, from before the trigger (the signal or console call that starts a
+/// drain) until the connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Habit {
-    /// Sends a request every 10 ms, so that one is always out.
-    AlwaysOneMore,
-    /// Sends a request as soon as it has the answer to the one before.
-    NoGap,
-    /// Sends twenty requests ten times a second, whatever has been answered.
+pub enum Behavior {
+    /// Sends a request every 10 ms, so that one is always unanswered.
+    SteadyRequests,
+    /// Sends the next request as soon as it has the response to the previous one.
+    BackToBack,
+    /// Sends twenty requests about ten times a second, without waiting for responses.
     Bursts,
-    /// Sends requests and takes no answer.
-    TakesNothing,
-    /// Sends one statement byte by byte.
-    OneByOne,
-    /// Sends the end of one statement and the beginning of the next, again and again.
-    HalfBehindWhole,
-    /// Sends statements without sense.
-    Senseless,
-    /// Has said who it is and sends messages that ask for nothing.
+    /// Sends requests and never reads a response.
+    NeverReads,
+    /// Sends one statement a byte at a time.
+    SlowStatement,
+    /// Sends each statement in two halves, the second together with the first half of the next statement.
+    SplitStatements,
+    /// Sends invalid statements.
+    InvalidStatements,
+    /// Logs in and sends only Sync messages, which request nothing.
     OnlySync,
     /// Sends empty queries, two at a time.
     EmptyQueries,
-    /// Has asked once and rests.
-    Rests,
-    /// Has said who it is and never asks.
-    NeverAsks,
-    /// Sends a request and ends its side.
+    /// Sends one request and then stays idle.
+    IdleAfterRequest,
+    /// Logs in and never sends a request.
+    IdleAfterLogin,
+    /// Sends a request and shuts down the sending side of its connection.
     HalfClosed,
-    /// Sends its startup byte by byte, from just after the order on.
-    Startup,
-    /// Sends bytes that cannot be read and takes no answer.
+    /// Connects after the trigger and sends its startup message a byte at a time.
+    SlowStartup,
+    /// Sends bytes of no valid message and never reads a response.
     Garbage,
 }
 
-impl Habit {
-    /// What would not last until the order begins right after it.
-    fn comes_late(self) -> bool {
-        matches!(self, Self::Startup | Self::Garbage | Self::Senseless | Self::OneByOne | Self::HalfClosed)
+impl Behavior {
+    /// Whether the client starts this behavior only after the trigger: if it started earlier, the proxy would
+    /// close its connection before the trigger.
+    fn starts_after_trigger(self) -> bool {
+        matches!(
+            self,
+            Self::SlowStartup
+                | Self::Garbage
+                | Self::InvalidStatements
+                | Self::SlowStatement
+                | Self::HalfClosed
+        )
     }
 
-    fn takes_nothing(self) -> bool {
-        matches!(self, Self::TakesNothing | Self::Garbage)
+    fn never_reads(self) -> bool {
+        matches!(self, Self::NeverReads | Self::Garbage)
     }
 }
 
-/// How a client's connection ended.
-pub struct Ending {
-    /// Whose it was.
-    pub habit: Habit,
-    /// When, from the order on; none if it was still open when the client gave up.
-    pub after: Option<Duration>,
-    /// Answers to requests that it had by then.
+/// How a client's connection ended, with evidence on the client's own delays.
+pub struct Outcome {
+    /// Behavior of the client.
+    pub behavior: Behavior,
+    /// Time from the trigger to the end; `None` if the connection was still open when the client gave up.
+    pub closed_after: Option<Duration>,
+    /// Number of requests that were answered.
     pub answers: u64,
-    /// Whether all that it had sent was older than 2 s at 4 s after the order.
-    pub waits_for_old: bool,
-    /// How long the client's own thread was without a processor since then, if the system tells.
-    pub queued: Option<Duration>,
-    /// How late its own pauses ended, all together.
+    /// Whether a request is unanswered and the last one was sent less than 2 s after the trigger, so that 4 s
+    /// after the trigger everything sent is older than 2 s.
+    pub awaits_old_request: bool,
+    /// Time that the client's thread waited for a processor since the trigger, if the system reports it.
+    pub cpu_wait: Option<Duration>,
+    /// Total lateness of the client's own pauses.
     pub timers_late: Duration,
 }
 
-impl Ending {
-    /// Whether operators would find the connection held, so long after their order.
-    pub fn is_held(&self, most: Duration) -> bool {
-        self.after.is_none_or(|after| after >= most) && !self.waits_for_old
+impl Outcome {
+    /// Whether operators would find the connection still open at `most` after the trigger.
+    pub fn is_held_open(&self, most: Duration) -> bool {
+        self.closed_after.is_none_or(|after| after >= most) && !self.awaits_old_request
     }
 }
 
 /// A client on one connection.
 pub struct Client {
-    wire: Wire,
-    habit: Habit,
-    wait_ms: u64,
+    protocol: Protocol,
+    behavior: Behavior,
+    deadline_ms: u64,
     name: String,
     stream: TcpStream,
-    read: Vec<u8>,
-    sent: u64,
+    unparsed: Vec<u8>,
+    requests_sent: u64,
     last_sent: Instant,
     answers: u64,
     is_closed: bool,
-    /// How late its own pauses ended.
+    /// Lateness of its own pauses.
     timers: TimerLateness,
 }
 
 impl Client {
-    /// Connects; with the least room for answers if it takes none. Its requests are told by the name.
-    fn connect(address: SocketAddr, wire: Wire, habit: Habit, wait_ms: u64, name: &str) -> Self {
+    /// Connects, with the smallest receive buffer if the client never reads. `name` begins the ids of its
+    /// requests.
+    fn connect(
+        address: SocketAddr,
+        protocol: Protocol,
+        behavior: Behavior,
+        deadline_ms: u64,
+        name: &str,
+    ) -> Self {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        if habit.takes_nothing() {
+        if behavior.never_reads() {
             socket.set_recv_buffer_size(4096).unwrap();
         }
         socket.connect(&address.into()).unwrap();
@@ -112,17 +129,17 @@
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(Duration::from_millis(2))).unwrap();
         stream.set_write_timeout(Some(Duration::from_millis(2))).unwrap();
-        let (read, last_sent) = (Vec::new(), Instant::now());
+        let (unparsed, last_sent) = (Vec::new(), Instant::now());
         let name = name.to_owned();
         let timers = TimerLateness::default();
         Self {
-            wire,
-            habit,
-            wait_ms,
+            protocol,
+            behavior,
+            deadline_ms,
             name,
             stream,
-            read,
-            sent: 0,
+            unparsed,
+            requests_sent: 0,
             last_sent,
             answers: 0,
             is_closed: false,
@@ -130,236 +147,248 @@
         }
     }
 
-    /// Writes what the connection takes of these bytes.
+    /// Writes these bytes as far as the connection accepts them without blocking for long.
     fn send(&mut self, bytes: &[u8]) {
         self.last_sent = Instant::now();
         match self.stream.write_all(bytes) {
             Ok(()) => {}
             Err(problem) if matches!(problem.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            // What was answered before the connection was reset is still there to be read.
+            // Responses that arrived before the reset can still be read.
             Err(_) => {
-                while !self.is_closed && !self.habit.takes_nothing() {
-                    self.hear();
+                while !self.is_closed && !self.behavior.never_reads() {
+                    self.read_available();
                 }
                 self.is_closed = true;
             }
         }
     }
 
-    /// Reads what is there and counts the answers.
-    fn hear(&mut self) {
+    /// Reads what has arrived and counts the responses.
+    fn read_available(&mut self) {
         let mut bytes = [0; 64 * 1024];
         match self.stream.read(&mut bytes) {
             Ok(0) => self.is_closed = true,
-            Ok(length) => self.read.extend_from_slice(&bytes[..length]),
+            Ok(length) => self.unparsed.extend_from_slice(&bytes[..length]),
             Err(problem) if matches!(problem.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(_) => self.is_closed = true,
         }
-        while let Some((length, is_last)) = self.first_message() {
-            self.read.drain(..length);
+        while let Some((length, is_last)) = self.first_whole_message() {
+            self.unparsed.drain(..length);
             self.answers += u64::from(is_last);
         }
     }
 
-    /// The length of the first message that is there as a whole, and whether it ends an answer: ReadyForQuery, or the last
-    /// packet of a message of TDS.
-    fn first_message(&self) -> Option<(usize, bool)> {
-        let (length, is_last) = match (self.wire, &self.read[..]) {
-            (Wire::Postgres, [kind, a, b, c, d, ..]) => {
+    /// Returns the length of the first message that has arrived whole, and whether it ends a response:
+    /// ReadyForQuery, or the last packet of a TDS message.
+    fn first_whole_message(&self) -> Option<(usize, bool)> {
+        let (length, is_last) = match (self.protocol, &self.unparsed[..]) {
+            (Protocol::Postgres, [kind, a, b, c, d, ..]) => {
                 (u32::from_be_bytes([*a, *b, *c, *d]) as usize + 1, *kind == b'Z')
             }
-            (Wire::Tds, [_, status, a, b, ..]) => {
+            (Protocol::Tds, [_, status, a, b, ..]) => {
                 (usize::from(u16::from_be_bytes([*a, *b])), status & 1 == 1)
             }
             _ => return None,
         };
-        (self.read.len() >= length).then_some((length, is_last))
+        (self.unparsed.len() >= length).then_some((length, is_last))
     }
 
-    /// Opens its session; the greeting is no answer.
-    fn open(&mut self) {
-        let (greeting, answers) = match self.wire {
-            Wire::Postgres => (client_message("startup"), 1),
-            Wire::Tds => ([tds_client_message("prelogin"), tds_client_message("login")].concat(), 2),
+    /// Logs in. The greeting does not count as a response.
+    fn log_in(&mut self) {
+        let (greeting, answers) = match self.protocol {
+            Protocol::Postgres => (client_message("startup"), 1),
+            Protocol::Tds => ([tds_client_message("prelogin"), tds_client_message("login")].concat(), 2),
         };
         self.send(&greeting);
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + GIVE_UP_AFTER;
         while self.answers < answers && Instant::now() < until {
-            self.hear();
+            self.read_available();
         }
-        assert_eq!(self.answers, answers, "greeted");
+        assert_eq!(self.answers, answers, "responses to the login");
         self.answers = 0;
     }
 
+    /// Returns the next request.
     fn request(&mut self) -> Vec<u8> {
-        self.sent += 1;
-        let id = format!("{}{}", self.name, self.sent);
-        let class = if self.habit.takes_nothing() { "own" } else { "read" };
-        match self.wire {
-            Wire::Postgres => client_message(&format!("{class} {id} {} {id}", self.wait_ms)),
-            Wire::Tds => tds_client_message(&format!("{class} {id} {}", self.wait_ms)),
+        self.requests_sent += 1;
+        let id = format!("{}{}", self.name, self.requests_sent);
+        let class = if self.behavior.never_reads() { "own" } else { "read" };
+        match self.protocol {
+            Protocol::Postgres => client_message(&format!("{class} {id} {} {id}", self.deadline_ms)),
+            Protocol::Tds => tds_client_message(&format!("{class} {id} {}", self.deadline_ms)),
         }
     }
 
-    fn senseless(&self) -> Vec<u8> {
-        match self.wire {
-            Wire::Postgres => client_message("text SELECT nothing"),
-            Wire::Tds => tds_client_message("text SELECT nothing"),
+    fn invalid_statement(&self) -> Vec<u8> {
+        match self.protocol {
+            Protocol::Postgres => client_message("text SELECT nothing"),
+            Protocol::Tds => tds_client_message("text SELECT nothing"),
         }
     }
 
-    /// Does once what its habit is.
+    /// Carries out one round of the behavior.
     #[expect(clippy::too_many_lines)]
-    fn act(&mut self, turn: usize) {
-        match self.habit {
-            Habit::AlwaysOneMore => self.ask_and_pause(Duration::from_millis(10)),
-            Habit::NoGap => {
-                if self.sent == self.answers {
+    fn run_once(&mut self, round: usize) {
+        match self.behavior {
+            Behavior::SteadyRequests => self.request_and_pause(Duration::from_millis(10)),
+            Behavior::BackToBack => {
+                if self.requests_sent == self.answers {
                     let request = self.request();
                     self.send(&request);
                 }
-                self.hear();
+                self.read_available();
             }
-            Habit::Bursts => {
-                if turn.is_multiple_of(20) {
+            Behavior::Bursts => {
+                if round.is_multiple_of(20) {
                     let burst: Vec<u8> = (0..20).flat_map(|_| self.request()).collect();
                     self.send(&burst);
                 }
-                self.hear();
+                self.read_available();
             }
-            Habit::TakesNothing => {
+            Behavior::NeverReads => {
                 let request = self.request();
                 self.send(&request);
                 self.pause(Duration::from_millis(5));
             }
-            Habit::OneByOne => match self.wire {
-                Wire::Postgres => self.trickle(&[&b"Q\0\0\xff\xff"[..], &[b' '; 200]].concat(), turn),
-                Wire::Tds => self.trickle(&[&b"\x01\x01\x00\xff\0\0\x01\0"[..], &[0; 200]].concat(), turn),
+            Behavior::SlowStatement => match self.protocol {
+                Protocol::Postgres => {
+                    self.send_one_byte(&[&b"Q\0\0\xff\xff"[..], &[b' '; 200]].concat(), round)
+                }
+                Protocol::Tds => {
+                    self.send_one_byte(&[&b"\x01\x01\x00\xff\0\0\x01\0"[..], &[0; 200]].concat(), round)
+                }
             },
-            Habit::Startup => match self.wire {
-                Wire::Postgres => self.trickle(&[&b"\0\0\x01\0"[..], &[0; 200]].concat(), turn),
-                Wire::Tds => self.trickle(&[&b"\x12\x01\x00\xff\0\0\x01\0"[..], &[0; 200]].concat(), turn),
+            Behavior::SlowStartup => match self.protocol {
+                Protocol::Postgres => self.send_one_byte(&[&b"\0\0\x01\0"[..], &[0; 200]].concat(), round),
+                Protocol::Tds => {
+                    self.send_one_byte(&[&b"\x12\x01\x00\xff\0\0\x01\0"[..], &[0; 200]].concat(), round)
+                }
             },
-            Habit::HalfBehindWhole => {
-                // The first half of a statement is always there, the second comes with the next one's first.
+            Behavior::SplitStatements => {
+                // The proxy always holds the first half of a statement: its second half arrives together with
+                // the first half of the next one.
                 let request = self.request();
                 let half = request.len() / 2;
                 self.send(&request[..half]);
                 self.pause(Duration::from_millis(100));
-                self.hear();
+                self.read_available();
                 self.send(&request[half..]);
             }
-            Habit::Senseless => {
-                let statement = self.senseless();
+            Behavior::InvalidStatements => {
+                let statement = self.invalid_statement();
                 self.send(&statement);
                 self.pause(Duration::from_millis(20));
-                self.hear();
+                self.read_available();
             }
-            Habit::OnlySync => {
+            Behavior::OnlySync => {
                 self.send(&client_message("sync"));
                 self.pause(Duration::from_millis(50));
-                self.hear();
+                self.read_available();
             }
-            Habit::EmptyQueries => {
-                while self.sent < self.answers + 2 {
-                    self.sent += 1;
+            Behavior::EmptyQueries => {
+                while self.requests_sent < self.answers + 2 {
+                    self.requests_sent += 1;
                     self.send(&client_message("text"));
                 }
-                self.hear();
+                self.read_available();
             }
-            Habit::Rests | Habit::NeverAsks => {
-                if self.habit == Habit::Rests && self.sent == 0 {
+            Behavior::IdleAfterRequest | Behavior::IdleAfterLogin => {
+                if self.behavior == Behavior::IdleAfterRequest && self.requests_sent == 0 {
                     let request = self.request();
                     self.send(&request);
                 }
-                self.hear();
+                self.read_available();
             }
-            Habit::HalfClosed => {
-                if self.sent == 0 {
+            Behavior::HalfClosed => {
+                if self.requests_sent == 0 {
                     let request = self.request();
                     self.send(&request);
                     let _ = self.stream.shutdown(Shutdown::Write);
                 }
-                self.hear();
+                self.read_available();
             }
-            Habit::Garbage => {
+            Behavior::Garbage => {
                 self.send(&[0; 4096]);
                 self.pause(Duration::from_millis(5));
             }
         }
     }
 
-    fn ask_and_pause(&mut self, pause: Duration) {
+    fn request_and_pause(&mut self, pause: Duration) {
         let request = self.request();
         self.send(&request);
         self.pause(pause);
-        self.hear();
+        self.read_available();
     }
 
-    fn pause(&self, span: Duration) {
-        self.timers.sleeps(span);
-        sleep(span);
+    fn pause(&self, duration: Duration) {
+        self.timers.sleeps(duration);
+        sleep(duration);
         self.timers.woke();
     }
 
-    /// Sends the byte whose turn it is, ten times a second.
-    fn trickle(&mut self, bytes: &[u8], turn: usize) {
-        self.send(&bytes[turn % bytes.len()..][..1]);
+    /// Sends the byte of this round, ten times a second.
+    fn send_one_byte(&mut self, bytes: &[u8], round: usize) {
+        self.send(&bytes[round % bytes.len()..][..1]);
         self.pause(Duration::from_millis(100));
-        self.hear();
+        self.read_available();
     }
 
-    /// Goes on until its connection is closed, or long after the order.
-    fn go_on(&mut self, ordered: &OnceLock<Instant>) -> Ending {
-        let queued = || ProcessorTime::of_this_thread().map(|time| time.queued);
-        let mut queued_before = None;
-        let gives_up = || ordered.get().is_some_and(|at| at.elapsed() > PATIENCE);
-        for turn in 0.. {
+    /// Repeats the behavior until the connection is closed or the client gives up.
+    fn run(&mut self, triggered_at: &OnceLock<Instant>) -> Outcome {
+        let cpu_wait = || ProcessorTime::of_this_thread().map(|time| time.queued);
+        let mut cpu_wait_before = None;
+        let gives_up = || triggered_at.get().is_some_and(|at| at.elapsed() > GIVE_UP_AFTER);
+        for round in 0.. {
             if self.is_closed || gives_up() {
                 break;
             }
-            if queued_before.is_none() && ordered.get().is_some() {
-                queued_before = queued();
+            if cpu_wait_before.is_none() && triggered_at.get().is_some() {
+                cpu_wait_before = cpu_wait();
             }
-            self.act(turn);
+            self.run_once(round);
         }
-        let counts = !matches!(self.habit, Habit::OnlySync | Habit::EmptyQueries | Habit::Senseless);
-        let at = ordered.get().copied();
-        Ending {
-            habit: self.habit,
-            // It may have ended before the order that counts.
-            after: self.is_closed.then(|| at.map_or(Duration::ZERO, |at| at.elapsed())),
+        let counts = !matches!(
+            self.behavior,
+            Behavior::OnlySync | Behavior::EmptyQueries | Behavior::InvalidStatements
+        );
+        let at = triggered_at.get().copied();
+        Outcome {
+            behavior: self.behavior,
+            // Zero if the connection ended before the trigger.
+            closed_after: self.is_closed.then(|| at.map_or(Duration::ZERO, |at| at.elapsed())),
             answers: if counts { self.answers } else { 0 },
-            waits_for_old: self.sent > self.answers
+            awaits_old_request: self.requests_sent > self.answers
                 && at.is_some_and(|at| self.last_sent < at + Duration::from_secs(2)),
             timers_late: self.timers.total(),
-            queued: queued().zip(queued_before).map(|(now, before)| now - before),
+            cpu_wait: cpu_wait().zip(cpu_wait_before).map(|(now, before)| now - before),
         }
     }
 }
 
-/// Starts a client of that habit; it goes on until its connection ends, and knows of the order once that is set.
+/// Starts a client with this behavior in a thread of its own. It runs until its connection ends.
+/// `triggered_at` is set when the drain starts.
 pub fn start(
     address: SocketAddr,
-    wire: Wire,
-    habit: Habit,
-    wait_ms: u64,
-    ordered: &Arc<OnceLock<Instant>>,
-) -> JoinHandle<Ending> {
-    let ordered = Arc::clone(ordered);
+    protocol: Protocol,
+    behavior: Behavior,
+    deadline_ms: u64,
+    triggered_at: &Arc<OnceLock<Instant>>,
+) -> JoinHandle<Outcome> {
+    let triggered_at = Arc::clone(triggered_at);
     std::thread::spawn(move || {
-        // Names of requests may hold letters and digits.
-        let name = format!("{habit:?}").to_lowercase();
-        while habit == Habit::Startup && ordered.get().is_none() {
+        // A request id may contain letters and digits only.
+        let name = format!("{behavior:?}").to_lowercase();
+        while behavior == Behavior::SlowStartup && triggered_at.get().is_none() {
             sleep(Duration::from_millis(1));
         }
-        let mut client = Client::connect(address, wire, habit, wait_ms, &name);
-        if habit != Habit::Startup {
-            client.open();
+        let mut client = Client::connect(address, protocol, behavior, deadline_ms, &name);
+        if behavior != Behavior::SlowStartup {
+            client.log_in();
         }
-        while habit.comes_late() && ordered.get().is_none() {
+        while behavior.starts_after_trigger() && triggered_at.get().is_none() {
             sleep(Duration::from_millis(1));
         }
-        client.go_on(&ordered)
+        client.run(&triggered_at)
     })
 }
--- a/tests/sockets/log.rs
+++ b/tests/sockets/log.rs
@@ -1,13 +1,16 @@
-//! The log goes to a pipe whose reader stalls: what clients get does not depend on it. It says when the proxy was held up.
+//! The log goes to a pipe whose reader stalls: clients are served all the same. The log also reports when the
+//! event loop was held up.
 
 use crate::scenario::{play_traced, play_with_faults, settings};
 use std::fmt::Write;
 
-/// Requests whose log lines are several times as long as a pipe and the lines that may wait for it.
+/// Number of requests whose log lines exceed, several times over, the capacity of the pipe and of the queue
+/// before it.
 const REQUESTS: usize = 1_000;
 
-/// So many writes of one client, each served by the one host. (Reads are kept from a primary by chance.)
-fn served(requests: usize) -> String {
+/// Returns the lines for this number of writes of one client, each served by the only host. (Reads may by
+/// chance not go to a primary.)
+fn served_requests(requests: usize) -> String {
     (0..requests).fold(String::new(), |mut text, n| {
         let _ = writeln!(text, "c1 send write q{n}. 2900\nh1 expect id=q{n}.");
         let _ = writeln!(text, "h1 send value v{n} primary\nc1 expect within 2000 value v{n}");
@@ -15,10 +18,11 @@
     })
 }
 
-/// Guards against a proxy that answers nobody while its log is not read, and against lines that are lost untold.
+/// Guards against a proxy that answers no client while its log is not read, and against lines that are
+/// dropped without a notice.
 #[test]
 fn requests_are_served_while_nobody_reads_the_log() {
-    let requests = served(REQUESTS);
+    let requests = served_requests(REQUESTS);
     let text = format!(
         "
         c1 start
@@ -35,7 +39,7 @@
 /// Guards against a shutdown that waits for the reader of the log.
 #[test]
 fn a_shutdown_ends_in_time_while_nobody_reads_the_log() {
-    let requests = served(REQUESTS);
+    let requests = served_requests(REQUESTS);
     let text = format!(
         "
         c1 start
@@ -48,7 +52,8 @@
     play_traced(1, &text);
 }
 
-/// Guards against a hold-up of the proxy that its log tells nothing of, or not what the time was spent on.
+/// Guards against a hold-up of the event loop that the log does not report, or reports without where the time
+/// went.
 #[test]
 fn the_log_says_when_the_proxy_was_held_up() {
     let text = "
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! The program on sockets: conversations in the language of `scenario`.
+//! Tests of the whole program on real sockets, mostly written in the scenario language (see `scenario`).
 
 mod clock;
 mod crossing;
--- a/tests/sockets/memory.rs
+++ b/tests/sockets/memory.rs
@@ -1,4 +1,5 @@
-//! Caps on memory on sockets: at each a refusal with a reason, and others go on.
+//! Caps on memory, on sockets: a request or connection over the cap is rejected with a reason, and others go
+//! on.
 
 use crate::scenario::play_with_operator_file;
 use rstest::rstest;
@@ -12,7 +13,7 @@
     wait 100
     c5 send read q5 2900
     c5 expect within 200 error 53300 500
-    c6 send write w1 2900               # a quarter is kept for those that write
+    c6 send write w1 2900               # a quarter is reserved for classes that write
     h1 expect id=q
     h1 expect id=q
     h1 expect id=q
@@ -21,7 +22,7 @@
     h1 answer c6 done primary
     proxy expect log memory reservations rejected purpose=requests"
 )]
-#[case::who_begins_more_than_there_is_room_for_is_told_and_hurts_nobody(
+#[case::a_message_larger_than_the_cap_is_rejected_and_harms_no_other_client(
     "memory: {purposes: {client-buffers: {cap: 48KiB, reserve: 0B}}}",
     "
     c1-2 start
@@ -30,10 +31,10 @@
     c1 expect closed
     h1 serve c2 read q1 900 = fine primary"
 )]
-#[case::connections_without_room_are_closed_and_come_again(
+#[case::connections_over_the_cap_are_closed_and_may_come_again(
     "memory: {purposes: {connections: {cap: 20KiB, reserve: 0B}}}",
     "
-    wait 200                            # whoever looked whether the proxy listens has left
+    wait 200                            # the connection that checked whether the proxy listens is closed
     c1-3 start
     c4 expect within 500 closed
     c1 send terminate
@@ -46,16 +47,16 @@
     play_with_operator_file(operator, 1, text);
 }
 
-/// One has begun what it does not end and holds what it has borrowed; a client that is entitled to room is told to
-/// come again, and by then it is there.
+/// A client that has sent no request yet holds borrowed memory for a message that it does not complete. A
+/// client that has sent requests is told to retry later, and by then the memory has been reclaimed.
 #[test]
-fn what_a_stranger_has_borrowed_is_taken_back_in_time() {
+fn memory_borrowed_by_an_unknown_client_is_reclaimed_in_time() {
     play_with_operator_file(
         "memory: {purposes: {client-buffers: {cap: 200KiB, reserve: 0B}}}",
         1,
         "
         c1-3 start
-        c2-3 send read q@ 900           # so that they are known by their class
+        c2-3 send read q@ 900           # so that their class is known
         h1 expect id=q
         h1 send value fine primary
         h1 expect id=q
@@ -73,9 +74,10 @@
     );
 }
 
-/// Those who begin and do not end hold their seats for long: whoever has asked for nothing yet makes room first.
+/// Clients that begin a message and do not complete it hold their connection slots for long. Clients that
+/// have not sent a request yet are evicted first.
 #[test]
-fn who_has_asked_for_nothing_makes_room_when_all_seats_are_taken() {
+fn clients_without_a_request_are_evicted_when_all_slots_are_taken() {
     play_with_operator_file(
         "",
         1,
--- a/tests/sockets/quiesce.rs
+++ b/tests/sockets/quiesce.rs
@@ -1,90 +1,96 @@
-//! A quiesced process lets go of its clients, whatever they do.
+//! A quiesced process closes its client connections in time, whatever the clients do.
 //!
-//! Symptom: a process that was quiesced through the console still held client connections 4 s later, a few of some
-//! thirty, each with a request sent in the last 2 s.
+//! Guards against this failure: 4 s after a quiesce through the console, a process still held a few of some
+//! thirty client connections, each with a request sent in the last 2 s. For example, with the quiesce at
+//! 9.594 s: at 11.276 s a client opened a connection and sent a request; at 13.216 s it got its response, and
+//! its next request on the same connection arrived in the same turn of the event loop in which that response
+//! was written; at 13.6 s this request was unanswered.
 //!
-//! Sequence: 9.594 s `POST /admin/quiesce`. 11.276 a client opens connection 128 and asks. 13.216 it has its answer and
-//! asks again on the same connection, in the very turn in which the answer was written. 13.6 the request is out:
-//! `quiesce: 4005 ms on, connection 128 answering, open for 2324 ms, last read 385 ms ago, 1 unanswered`.
-//!
-//! Cause: the drain closed a connection only where it was found idle, with nothing open and nothing unread, and asked for
-//! that in one of the waits of a connection's actor. A client that leaves no gap is never found so: it asks again as the
-//! answer comes (here the proxy is held up for 3 ms after each write, so that the next request is always there), always
-//! has one more request out, always has half a statement there, or takes no answer and leaves the actor in its write.
+//! The drain closed a connection only where it found it idle, with no open request and no unread input, and
+//! checked this in only one of the waits of the connection's actor. A client that sends without pause is
+//! never found idle: its next request arrives together with the response (forced here by a hold-up of 3 ms
+//! after each write of the proxy), or it always has another request or half a statement open, or it reads no
+//! response and leaves the actor in its write.
 
-use crate::habits::{self, Habit, Wire};
+use crate::habits::{self, Behavior, Protocol};
 use crate::scenario::{settings_with, SteppedScenario};
 use rstest::rstest;
 use serde_json::json;
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
 
-/// An operator's rule: so long after the call no connection is held.
-const HELD_AT_MOST: Duration = Duration::from_secs(4);
+/// Time after the call by which operators require all connections to be closed.
+const MAX_HELD: Duration = Duration::from_secs(4);
 
-/// The scenarios' settings where one client's requests do not hold each other up.
-fn unhurried() -> String {
+/// Returns the default settings with a lax latency objective, so that one client's requests do not delay each
+/// other.
+fn with_lax_latency_objective() -> String {
     settings_with(|all| {
         all["grades"].as_array_mut().unwrap().iter_mut().for_each(|grade| grade["onTime"] = json!(2.9));
     })
 }
 
-/// Plays a client of that habit against a program whose system calls fail so, and checks what is owed.
-fn check(habit: Habit, faults: &str) {
-    let mut steps = SteppedScenario::start_with_faults(&unhurried(), faults);
-    let bytes = if habit == Habit::TakesNothing { 60_000 } else { 8 };
+/// Runs a client with this behavior against a program with these faults. Checks that its connection is closed
+/// in time and that each request that was read was answered.
+fn check(behavior: Behavior, faults: &str) {
+    let mut steps = SteppedScenario::start_with_faults(&with_lax_latency_objective(), faults);
+    let bytes = if behavior == Behavior::NeverReads { 60_000 } else { 8 };
     steps.play(&format!("h1 send serve 30 {bytes}"));
-    let called = Arc::new(OnceLock::new());
-    let client = habits::start(steps.address(), Wire::Postgres, habit, 2_900, &called);
+    let triggered_at = Arc::new(OnceLock::new());
+    let client = habits::start(steps.address(), Protocol::Postgres, behavior, 2_900, &triggered_at);
     std::thread::sleep(Duration::from_millis(400));
-    called.set(Instant::now()).unwrap();
+    triggered_at.set(Instant::now()).unwrap();
     steps.play("operator send quiesce\noperator expect 200");
-    let ending = client.join().unwrap();
-    assert!(!ending.is_held(HELD_AT_MOST), "{habit:?}: held for {:?}", ending.after);
+    let outcome = client.join().unwrap();
+    assert!(!outcome.is_held_open(MAX_HELD), "{behavior:?}: held for {:?}", outcome.closed_after);
     let figures = steps.console_counters();
     let ended = ["succeeded", "declined", "aborted"].map(|how| figures[&format!("results.any.{how}")]);
     assert_eq!(figures["outstanding"], 0);
-    if matches!(habit, Habit::AlwaysOneMore | Habit::NoGap | Habit::Bursts | Habit::HalfBehindWhole) {
-        assert!(ending.answers > 0);
+    if matches!(
+        behavior,
+        Behavior::SteadyRequests | Behavior::BackToBack | Behavior::Bursts | Behavior::SplitStatements
+    ) {
+        assert!(outcome.answers > 0);
         assert_eq!(
             ended.iter().sum::<u64>(),
-            ending.answers,
-            "{habit:?}: each request that was read is answered"
+            outcome.answers,
+            "{behavior:?}: each request that was read is answered"
         );
     }
 }
 
-/// However its client behaves, a connection is closed in time, and what was read of it is answered.
+/// A connection is closed in time, and each request that was read is answered.
 #[rstest]
 fn no_connection_is_held(
     #[values(
-        Habit::NoGap,
-        Habit::Bursts,
-        Habit::OneByOne,
-        Habit::Senseless,
-        Habit::OnlySync,
-        Habit::EmptyQueries,
-        Habit::Startup,
-        Habit::Garbage
+        Behavior::BackToBack,
+        Behavior::Bursts,
+        Behavior::SlowStatement,
+        Behavior::InvalidStatements,
+        Behavior::OnlySync,
+        Behavior::EmptyQueries,
+        Behavior::SlowStartup,
+        Behavior::Garbage
     )]
-    habit: Habit,
+    behavior: Behavior,
 ) {
-    check(habit, "");
+    check(behavior, "");
 }
 
-/// The proxy is held up for some milliseconds after it has written an answer: by then the next request is there.
+/// The proxy is held up for 3 ms after each write of a response, so that the next request has arrived by
+/// then.
 #[test]
-fn no_connection_is_held_by_a_client_without_a_gap() {
-    check(Habit::NoGap, "write:client:hold=3:1/1");
-    check(Habit::AlwaysOneMore, "");
+fn no_connection_is_held_by_a_client_that_sends_without_pause() {
+    check(Behavior::BackToBack, "write:client:hold=3:1/1");
+    check(Behavior::SteadyRequests, "");
 }
 
 #[test]
-fn no_connection_is_held_by_a_client_that_takes_no_answer() {
-    check(Habit::TakesNothing, "");
+fn no_connection_is_held_by_a_client_that_reads_no_response() {
+    check(Behavior::NeverReads, "");
 }
 
 #[test]
-fn no_connection_is_held_by_a_client_that_always_has_half_a_statement_more() {
-    check(Habit::HalfBehindWhole, "");
+fn no_connection_is_held_by_a_client_that_has_always_sent_half_a_statement() {
+    check(Behavior::SplitStatements, "");
 }
