--- a/tests/sockets/crossing.rs
+++ b/tests/sockets/crossing.rs
@@ -1,44 +1,48 @@
-//! What comes in one turn of the program with what would end it. The program is stopped (SIGSTOP) until both are there, and
-//! continued: it finds a request beside the eviction, the closing or the exit that was due.
+//! Events that reach the program in the same turn of its event loop. The program is stopped (SIGSTOP) until
+//! both are due and then continued, so that it finds a request together with the eviction, close or exit that
+//! would lose it.
 
 use crate::scenario::{play, play_with_settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
-/// The scenarios' settings where every class has that deadline, in milliseconds.
-fn within(longest: u64) -> String {
+/// Returns the default settings with this deadline for all request classes.
+fn with_max_deadline(max_deadline_ms: u64) -> String {
     settings_with(|all| {
         for grade in all["grades"].as_array_mut().unwrap() {
-            grade["deadline"] = json!(longest as f64 / 1e3);
-            // A host that is stopped with the program is late, and must not be spared for it.
-            grade["onTime"] = json!(longest as f64 / 1.1e3);
+            grade["deadline"] = json!(max_deadline_ms as f64 / 1e3);
+            // A lax latency objective: the host looks slow while the program is stopped, and must still get
+            // requests.
+            grade["onTime"] = json!(max_deadline_ms as f64 / 1.1e3);
         }
     })
 }
 
-/// All 22 seats are taken, and who has been here longest without asking for anything makes room for the next.
+/// All 22 client connection slots are taken. The oldest client that has not sent a request is evicted for the
+/// next one.
 #[test]
-fn a_request_beside_the_eviction_of_a_newcomer() {
+fn a_request_beside_the_eviction_of_its_client() {
     let text = "
         c1-22 start
-        wait 250                            # who means to ask has said so after 200 ms
+        wait 250                            # clients that send nothing for 200 ms may be evicted
         proxy send STOP
         c1 send read q1 2900
         c23 send startup
         proxy send CONT
         h1 expect id=q1
         h1 answer c1 one primary
-        c2 expect error 53300               # the next who has asked for nothing, once one more comes
+        c2 expect error 53300               # the next client without a request, as one more connects
         c2 expect closed";
     let (before, after) = text.split_once("c2 expect error").unwrap();
     play(1, &format!("{before}c24 send startup\nc2 expect error{after}"));
 }
 
-/// Half of the seats may go to those who have not said who they are: the one here longest makes room.
+/// At most half of the client connection slots go to clients that have not sent a startup message. The oldest
+/// of them is evicted.
 #[test]
-fn a_first_request_beside_the_eviction_of_a_stranger() {
+fn a_first_request_beside_the_eviction_of_its_unidentified_client() {
     let text = "
-        c1-11 send raw                      # they connect and say nothing
+        c1-11 send raw                      # they connect and send nothing
         wait 50
         proxy send STOP
         c1 send startup
@@ -53,9 +57,9 @@
     play(1, text);
 }
 
-/// Three quarters of the seats are taken: those who have been idle for 2 s are asked to leave.
+/// Three quarters of the client connection slots are taken: clients that have been idle for 2 s are evicted.
 #[test]
-fn a_request_beside_the_call_to_make_room() {
+fn a_request_beside_the_eviction_of_idle_clients() {
     let text = "
         c1-16 start
         c1-16 send text
@@ -71,7 +75,8 @@
     play(1, text);
 }
 
-/// Idle connections are closed 0.57 s after SIGTERM with these deadlines; the query was there before the turn that closes.
+/// With these deadlines idle connections are closed 0.57 s after SIGTERM. The query arrived before the turn
+/// of the event loop that closes.
 #[test]
 fn a_request_beside_the_close_of_its_idle_connection() {
     let text = "
@@ -89,10 +94,11 @@
         c1-2 expect closed
         proxy expect exit 0 by 1300
         proxy expect log counters totals= taken=1 served=1";
-    play_with_settings(&within(600), 1, text);
+    play_with_settings(&with_max_deadline(600), 1, text);
 }
 
-/// The program would end 0.75 s after SIGTERM; who came before that turn still waits to be accepted.
+/// The program would exit 0.75 s after SIGTERM. A client that connected before that turn is still in the
+/// accept queue.
 #[rstest]
 #[case::startup_alone("c2 send startup", "c2 send read q2 900")]
 #[case::startup_and_query("c2 send startup\nc2 send read q2 900", "")]
@@ -100,7 +106,7 @@
     "c2 send raw 000000",
     "c2 send raw 250003000075736572006261636b656e640064617461626173650073746f72650000\nc2 send read q2 900"
 )]
-fn a_client_in_the_listen_queue_as_the_program_would_end(#[case] before: &str, #[case] after: &str) {
+fn a_client_in_the_accept_queue_as_the_program_would_exit(#[case] before: &str, #[case] after: &str) {
     let text = format!(
         "
         c1 start
@@ -124,11 +130,12 @@
     play(1, &text);
 }
 
-/// The answer is there as its client's time runs out: one of the two is told, and the connection is right for the next.
+/// The response arrives in the same turn in which its request times out: the client gets one of the two, and
+/// the connection serves the next request.
 #[rstest]
 #[case::served("value late primary")]
 #[case::failed("error XX000")]
-fn an_answer_beside_the_time_out(#[case] answer: &str) {
+fn an_answer_beside_its_timeout(#[case] answer: &str) {
     let text = format!(
         "
         c1 start
@@ -142,22 +149,24 @@
         operator send stats
         operator expect gw.outstanding=0"
     );
-    play_with_settings(&within(3_000), 1, &text);
+    play_with_settings(&with_max_deadline(3_000), 1, &text);
 }
 
-/// And as its client leaves.
+/// The response arrives in the same turn in which its client leaves.
 #[rstest]
-fn an_answer_beside_the_leaving(#[values("close", "close half", "close reset")] leaves: &str) {
+fn an_answer_beside_the_departure_of_its_client(
+    #[values("close", "close half", "close reset")] departure: &str,
+) {
     let text = format!(
         "
         c1 start
         h1 take c1 read q1 2900
         proxy send STOP
         h1 send value late primary
-        c1 {leaves}
+        c1 {departure}
         proxy send CONT
         c2 start
-        c2 send read q1 2900                # the same name: the one before is over
+        c2 send read q1 2900                # the same id: the request before has ended
         h1 expect id=q1
         h1 answer c2 two primary
         operator send stats
@@ -166,7 +175,8 @@
     play(1, &text);
 }
 
-/// The host's connection ends in the turn in which a request would be written to it: another one is taken.
+/// The host's connection ends in the turn in which a request would be written to it: another connection is
+/// used.
 #[test]
 fn a_request_beside_the_end_of_an_idle_connection() {
     let text = "
@@ -183,7 +193,7 @@
     play(1, text);
 }
 
-/// A drain is told in the turn in which a request comes that would go to the host.
+/// The list reports a host as draining in the turn in which a request arrives that would go to that host.
 #[test]
 fn a_request_beside_a_drain() {
     let text = "
@@ -202,22 +212,22 @@
     play(2, text);
 }
 
-/// Who has not said who he is within 1.2 s, or has asked for nothing within 2.2 s, is closed on; what came before that turn
-/// is heard.
+/// A client that sends no startup message within 1.2 s, or no request within 2.2 s, is disconnected. What
+/// arrived before the turn that disconnects it is still read.
 #[rstest]
 #[case::startup("c1 send raw", 1_000, "c1 send startup\nc1 send read q1 2900")]
 #[case::first_statement("c1 send startup\nc1 expect ready", 2_000, "c1 send read q1 2900")]
-fn a_first_word_beside_the_end_of_patience(#[case] before: &str, #[case] waits: u32, #[case] says: &str) {
-    let hello = if before.contains("startup") { "" } else { "c1 expect ready" };
+fn a_first_message_beside_its_timeout(#[case] before: &str, #[case] wait_ms: u32, #[case] input: &str) {
+    let greeting = if before.contains("startup") { "" } else { "c1 expect ready" };
     let text = format!(
         "
         {before}
-        wait {waits}
+        wait {wait_ms}
         proxy send STOP
-        {says}
+        {input}
         wait 400
         proxy send CONT
-        {hello}
+        {greeting}
         h1 expect id=q1
         h1 answer c1 one primary"
     );
--- a/tests/sockets/deployments.rs
+++ b/tests/sockets/deployments.rs
@@ -1,11 +1,12 @@
-//! Installations that differ: whatever settings may leave out, clients are served, and who is turned away is told why.
+//! Deployments with different settings: whichever optional settings are left out, clients are served, and a
+//! rejected client is told the reason.
 
 use crate::scenario::{play_tds_with_settings, play_with_settings, settings};
 use rstest::rstest;
 use serde_json::{json, Value};
 
-/// What the settings of these tests may leave out, by path.
-const OPTIONAL: [&str; 33] = [
+/// JSON pointers of the optional settings.
+const OPTIONAL_SETTINGS: [&str; 33] = [
     "/goal",
     "/customers",
     "/overShareWorth",
@@ -41,8 +42,8 @@
     "/goal/worstClass",
 ];
 
-/// The scenarios' settings with every part that they may have.
-fn full() -> Value {
+/// Returns the default settings with every optional setting present.
+fn settings_with_all_parts() -> Value {
     let mut all: Value = serde_json::from_str(&settings()).unwrap();
     all["goal"] = json!({"whole": 0.6, "worstWindow": 0.2, "worstClass": 0.2, "worstTenant": 0});
     all["prices"] = json!({"crossZone": 0.02, "probe": 0.02, "waste": 0.08, "handshake": 0.0});
@@ -55,6 +56,7 @@
     all
 }
 
+/// Returns the settings without the one at this path.
 fn without(mut all: Value, path: &str) -> Value {
     let (parent, key) = path.rsplit_once('/').unwrap();
     let parent = all.pointer_mut(parent).and_then(Value::as_object_mut).expect("a part of the settings");
@@ -62,13 +64,15 @@
     all
 }
 
+/// Returns the settings with another value at this path.
 fn with(mut all: Value, path: &str, value: Value) -> Value {
     *all.pointer_mut(path).unwrap() = value;
     all
 }
 
-/// A read, a session's write and its read, each served by the primary alone, without a tenant where there is none.
-fn serves_a_client(settings: &Value) {
+/// Checks that a read, and a write and a read of one session, are served by the primary as the only host. The
+/// statements name a tenant only if the settings have tenants.
+fn assert_serves_a_client(settings: &Value) {
     let tenant = match settings.get("customers").and_then(Value::as_array) {
         Some(all) if !all.is_empty() => "t=acme,",
         _ => "",
@@ -93,20 +97,20 @@
     play_with_settings(&settings.to_string(), 1, &text);
 }
 
-/// Each optional part left out in turn, and all of them at once.
+/// Each optional setting left out in turn, and all of them at once.
 #[test]
-fn a_client_is_served_whatever_part_the_settings_leave_out() {
-    for path in OPTIONAL {
+fn a_client_is_served_whichever_setting_is_left_out() {
+    for path in OPTIONAL_SETTINGS {
         eprintln!("without {path}");
-        serves_a_client(&without(full(), path));
+        assert_serves_a_client(&without(settings_with_all_parts(), path));
     }
-    let (nested, whole): (Vec<&str>, Vec<&str>) =
-        OPTIONAL.into_iter().partition(|path| path.starts_with("/goal/"));
+    let (nested, top_level): (Vec<&str>, Vec<&str>) =
+        OPTIONAL_SETTINGS.into_iter().partition(|path| path.starts_with("/goal/"));
     assert_eq!(nested, ["/goal/worstClass"]);
-    serves_a_client(&whole.into_iter().fold(full(), without));
+    assert_serves_a_client(&top_level.into_iter().fold(settings_with_all_parts(), without));
 }
 
-/// Parts that stand there and say nothing, or something else than here.
+/// Settings that are present but empty, or have a value other than the default one of the scenarios.
 #[rstest]
 #[case("/customers", json!([]))]
 #[case("/customers", json!([{"name": "acme", "quotaPerS": 0}]))]
@@ -138,18 +142,18 @@
 #[case("/guarantees/removalNotBinding", json!(true))]
 #[case("/grades/2/repeat", json!("side_effect"))]
 #[case("/grades/2/group", json!("all"))]
-fn a_client_is_served_whatever_a_part_says(#[case] path: &str, #[case] value: Value) {
-    serves_a_client(&with(full(), path, value));
+fn a_client_is_served_whatever_a_setting_says(#[case] path: &str, #[case] value: Value) {
+    assert_serves_a_client(&with(settings_with_all_parts(), path, value));
 }
 
-fn no_tenants() -> String {
-    without(full(), "/customers").to_string()
+fn settings_without_tenants() -> String {
+    without(settings_with_all_parts(), "/customers").to_string()
 }
 
-/// Found on an installation without tenants: each statement was turned away, and nobody was told.
+/// Guards against a deployment without tenants where each statement was rejected without a report.
 #[test]
-fn without_tenants_a_statement_needs_none_and_with_tenants_its_lack_is_told_and_counted() {
-    serves_a_client(&without(full(), "/customers"));
+fn without_tenants_a_statement_needs_none_and_with_tenants_a_missing_one_is_reported_and_counted() {
+    assert_serves_a_client(&without(settings_with_all_parts(), "/customers"));
     play_with_settings(
         &settings(),
         1,
@@ -171,7 +175,7 @@
 #[test]
 fn clients_of_the_other_protocol_need_no_tenant_either() {
     play_tds_with_settings(
-        &no_tenants(),
+        &settings_without_tenants(),
         1,
         "
         t1 send prelogin
--- a/tests/sockets/descriptors.rs
+++ b/tests/sockets/descriptors.rs
@@ -1,15 +1,17 @@
-//! Descriptors run short: idle clients come by the hundred while discovery is silent, at both ports, and others at the
-//! console. What is needed to serve is kept free by count, so that the process never lacks a descriptor.
+//! A shortage of file descriptors: hundreds of idle clients connect to both ports, and others to the console,
+//! while discovery is silent. Limits on each kind of connection keep descriptors free, so that the process
+//! never runs out.
 
 use crate::scenario::{play_with_descriptor_limit, settings, settings_with};
 use rstest::rstest;
 use wheelpier::config::{Config, Listener, OperatorSettings, MAX_OVERFLOW_CONNECTIONS};
 use wheelpier::protocol::Protocol;
 
-/// Discovery is silent and its calls hang, idle clients and the console's callers fill what they may, all connections to
-/// ledger hosts are in use. The console answers, discovery's reopening succeeds, and no descriptor was ever lacking.
-fn all_at_their_bounds(hosts: u32) -> String {
-    let takes = "any expect c=any\n".repeat(hosts as usize);
+/// Returns a scenario where discovery calls hang, idle clients and callers of the console use up their
+/// limits, and all connections to ledger hosts are in use. The console still answers, and the watch of the
+/// endpoint list is reopened.
+fn all_connection_limits_reached(hosts: u32) -> String {
+    let expect_all = "any expect c=any\n".repeat(hosts as usize);
     let last = 500 + hosts;
     format!(
         "
@@ -21,20 +23,20 @@
         c501-{last} expect ready
         c501-{last} send text
         c501-{last} expect empty
-        c1-90 send startup                  # idle clients, all seats full and more
-        c91-150 send raw                    # others that have not said who they are, at both ports
+        c1-90 send startup                  # idle clients, more than there are slots for
+        c91-150 send raw                    # clients without a startup message, at both ports
         t1-60 send prelogin
-        c401-412 send raw 0000000400000000  # and such that are closed on for what they say
+        c401-412 send raw 0000000400000000  # clients that are disconnected for an invalid message
         silent send 40                      # callers of the console that send nothing
-        c501-{last} send read r@ 2900       # and hosts get as many connections as all may have
-        {takes}
+        c501-{last} send read r@ 2900       # all connections to hosts that are allowed
+        {expect_all}
         operator send health
         operator expect 200
         c151-250 send raw
         silent send 40
         operator send stats
         operator expect 200 discovered
-        proxy send HUP                      # the file is read
+        proxy send HUP                      # the configuration file is read again
         proxy expect log configuration reloaded
         list send speak                     # discovery returns
         list expect open
@@ -45,25 +47,28 @@
 }
 
 #[rstest]
-fn discovery_console_and_hosts_get_theirs(#[values((64, 9), (128, 28))] limits: (usize, u32)) {
+fn discovery_console_and_hosts_get_their_descriptors(#[values((64, 9), (128, 28))] limits: (usize, u32)) {
     let (sockets, upstream) = limits;
-    let text = format!("{}\nproxy expect descriptors {sockets}", all_at_their_bounds(upstream));
+    let text = format!("{}\nproxy expect descriptors {sockets}", all_connection_limits_reached(upstream));
     play_with_descriptor_limit(sockets, 3, "", &settings(), &text);
 }
 
-/// The same where discovery is asked.
+/// The same where the endpoint list is polled.
 #[rstest]
-fn and_where_discovery_is_asked(#[values((64, 9), (128, 28))] limits: (usize, u32)) {
+fn discovery_console_and_hosts_get_their_descriptors_where_discovery_is_polled(
+    #[values((64, 9), (128, 28))] limits: (usize, u32),
+) {
     let (sockets, upstream) = limits;
-    let text = format!("{}\nproxy expect descriptors {sockets}", all_at_their_bounds(upstream));
+    let text = format!("{}\nproxy expect descriptors {sockets}", all_connection_limits_reached(upstream));
     let settings = settings_with(|all| all["discovery"] = "on_request".into());
     play_with_descriptor_limit(sockets, 3, "", &settings, &text);
 }
 
-/// All parts at their bounds together, counted: standard streams and the runtime hold 9, discovery 5, and one is open
-/// within a turn.
+/// All connection limits together stay within the limit on file descriptors. Besides them, standard streams
+/// and the runtime hold 9 descriptors, discovery 5, and one is open temporarily within a turn of the event
+/// loop.
 #[rstest]
-fn all_bounds_together_fit(
+fn all_connection_limits_fit_the_descriptor_limit(
     #[values(64, 65, 128, 255, 256, 576, 1024, 4096)] sockets: usize,
     #[values(0, 1, 3)] more_listeners: usize,
     #[values(false, true)] peers: bool,
--- a/tests/sockets/faults.rs
+++ b/tests/sockets/faults.rs
@@ -1,18 +1,21 @@
-//! System calls fail in the ways that Linux documents (accept4(2), connect(2), socket(2), recv(2), send(2), epoll_wait(2)):
-//! what is this machine's own fault harms no host's record and no client beside the one concerned.
+//! System calls fail in the ways that Linux documents (accept4(2), connect(2), socket(2), recv(2), send(2),
+//! epoll_wait(2)). A local fault, one of the proxy's own machine, is not counted against a host and affects
+//! no other client.
 
 use crate::scenario::{play_with_faults, settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
-/// The scenarios' settings where a slow answer brings no second attempt.
-fn unhurried() -> String {
+/// Returns the default settings with a lax latency objective, so that a slow response causes no hedged
+/// request.
+fn with_lax_latency_objective() -> String {
     settings_with(|all| {
         all["grades"].as_array_mut().unwrap().iter_mut().for_each(|grade| grade["onTime"] = json!(2.9));
     })
 }
 
-/// Requests of one client, one after the other; each closes its host's connection, so that the next needs a new one.
+/// Returns the lines for this number of consecutive writes of one client. The host closes its connection
+/// after each, so that the next one needs a new connection.
 fn requests(count: usize) -> String {
     let one = |n| {
         format!(
@@ -26,10 +29,10 @@
     (0..count).map(one).collect()
 }
 
-/// This machine has no port, buffer or descriptor for a connection, every other time: the request waits a little, and
-/// nothing is held against its host.
+/// Half of the connection attempts find no local port, buffer or descriptor: the request waits a little, and
+/// nothing is counted against its host.
 #[rstest]
-fn a_lack_of_this_machine_is_not_the_hosts(
+fn a_local_fault_is_not_counted_against_the_host(
     #[values("connect:host", "socket:")] call: &str,
     #[values("EADDRNOTAVAIL", "ENOBUFS", "EMFILE", "ENFILE", "ENOMEM", "EINTR")] error: &str,
 ) {
@@ -40,12 +43,13 @@
         proxy expect figures served=8 connect_failed=0",
         requests(8)
     );
-    play_with_faults(&format!("seed=3;{call}:{error}:1/2"), &unhurried(), 1, &text);
+    play_with_faults(&format!("seed=3;{call}:{error}:1/2"), &with_lax_latency_objective(), 1, &text);
 }
 
-/// It has none for good: what comes is refused in time, as what never ran.
+/// No connection can be opened at all: requests are rejected in time, with the error for a request that never
+/// ran.
 #[test]
-fn without_ports_for_good_requests_are_refused_in_time() {
+fn with_a_lasting_local_fault_requests_are_rejected_in_time() {
     let text = "
         c1 start
         c1 send read q1 900
@@ -56,9 +60,9 @@
     play_with_faults("connect:host:EADDRNOTAVAIL:1/1", &settings(), 2, text);
 }
 
-/// The path to a host is broken: that is held against it, and others serve.
+/// The path to a host is broken: this is counted against the host, and other hosts serve.
 #[rstest]
-fn a_broken_path_is_the_hosts(
+fn a_broken_path_is_counted_against_the_host(
     #[values("ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT", "ECONNREFUSED")] error: &str,
 ) {
     let text = "
@@ -67,7 +71,7 @@
     play_with_faults(&format!("seed=5;connect:host:{error}:1/2"), &settings(), 3, text);
 }
 
-/// A connection that was aborted before it was accepted is nobody's fault: idle clients stay.
+/// A connection that is aborted before it is accepted does not mean a shortage: no idle client is evicted.
 #[rstest]
 fn an_aborted_connection_evicts_nobody(#[values("ECONNABORTED", "EPROTO", "EINTR", "ENETDOWN")] error: &str) {
     let text = "
@@ -81,9 +85,11 @@
     play_with_faults(&format!("seed=4;accept4:client:{error}:1/2"), &settings(), 1, text);
 }
 
-/// Nobody can be accepted for good: the process still ends in time, and who is here is served to the end.
+/// No connection can be accepted at all: the process still exits in time.
 #[rstest]
-fn a_process_that_can_accept_nobody_ends_in_time(#[values("EMFILE", "ENFILE", "ENOMEM")] error: &str) {
+fn a_process_that_can_accept_no_connection_exits_in_time(
+    #[values("EMFILE", "ENFILE", "ENOMEM")] error: &str,
+) {
     let text = "
         proxy send TERM
         wait 100
@@ -92,7 +98,7 @@
     play_with_faults(&format!("accept4:client:{error}:1/1"), &settings(), 1, text);
 }
 
-/// Calls are interrupted, or move a few bytes only though there are more.
+/// Calls are interrupted, or transfer fewer bytes than requested.
 #[rstest]
 fn interrupted_and_short_calls_change_nothing(
     #[values("client", "host", "discovery", "console")] kind: &str,
@@ -121,10 +127,10 @@
         proxy expect exit 0 by 3700",
         requests(4)
     );
-    play_with_faults(&fault.replace("KIND", kind), &unhurried(), 1, &text);
+    play_with_faults(&fault.replace("KIND", kind), &with_lax_latency_objective(), 1, &text);
 }
 
-/// Waits are interrupted over and over: timers and drains keep their time.
+/// Waits for events are interrupted over and over: timers and drains stay on time.
 #[test]
 fn interrupted_waits_change_nothing() {
     let text = "
@@ -137,12 +143,13 @@
         h1 answer c1 two primary
         c1 expect closed
         proxy expect exit 0 by 3700";
-    play_with_faults("seed=9;wait::EINTR:1/2", &unhurried(), 1, text);
+    play_with_faults("seed=9;wait::EINTR:1/2", &with_lax_latency_objective(), 1, text);
 }
 
-/// The system gives up on one client's connection: only that one ends, and what it had out is withdrawn.
+/// The system reports a client's connection as broken: only that connection ends, and its open request is
+/// withdrawn.
 #[rstest]
-fn one_clients_broken_connection_is_its_own(
+fn a_broken_client_connection_affects_that_client_only(
     #[values("ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET")] error: &str,
 ) {
     let text = "
@@ -155,7 +162,8 @@
     play_with_faults(&format!("read:client:{error}:1/1"), &settings(), 1, text);
 }
 
-/// Guards against a process that repeats one interrupted call for ever: nobody else was served, and it did not end.
+/// Guards against a process that repeats an interrupted call for ever: it served no other client and did not
+/// exit.
 #[rstest]
 #[case::reads_of_clients("read:client")]
 #[case::writes_to_clients("write:client")]
@@ -171,7 +179,7 @@
     play_with_faults(&format!("{call}:EINTR:1/1"), &settings(), 1, text);
 }
 
-/// The same at a ledger host: its request ends in time.
+/// The same at a ledger host: its request fails in time.
 #[rstest]
 fn a_host_whose_calls_are_always_interrupted_holds_up_nobody(
     #[values("read:host", "write:host")] call: &str,
