--- a/tests/sockets/large.rs
+++ b/tests/sockets/large.rs
@@ -1,14 +1,14 @@
-//! Values far beyond the usual length, from host to client.
+//! Values much longer than usual, from host to client.
 
 use crate::scenario::{play, play_with_operator_file};
 use rstest::rstest;
 
-/// Passed on to the letter, and the connections on both sides are good for what comes next.
+/// The value is passed on unchanged, and the connections on both sides serve the next request.
 #[rstest]
 #[case::just_beyond_the_usual_length(73 << 10)]
 #[case::a_quarter_of_a_mebibyte(256 << 10)]
 #[case::the_longest(4 << 20)]
-fn a_long_value_reaches_its_client_to_the_letter(#[case] length: usize) {
+fn a_long_value_reaches_its_client_unchanged(#[case] length: usize) {
     let value = "v".repeat(length);
     play(
         1,
@@ -21,9 +21,10 @@
     );
 }
 
-/// Where there is a place for one at a time, the others stay with their hosts until it has been written.
+/// Memory allows one long value at a time: the others stay in their hosts' connections until it has been
+/// written.
 #[test]
-fn many_long_values_share_the_places_that_there_are() {
+fn many_long_values_take_turns_for_the_buffer_memory() {
     let value = "v".repeat(1 << 20);
     play_with_operator_file(
         "memory: {purposes: {upstream-buffers: {cap: 400KiB, reserve: 0B}}}",
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn one_that_there_is_no_memory_for_is_refused_and_leaves_the_host_to_others() {
+fn a_value_larger_than_the_memory_cap_is_rejected_and_its_host_serves_others() {
     let value = "v".repeat(600 << 10);
     play_with_operator_file(
         "memory: {purposes: {upstream-buffers: {cap: 128KiB, reserve: 0B}}}",
@@ -68,20 +69,21 @@
     );
 }
 
-/// The description of a row and the beginning of one with a value of 3 MiB.
-const BEGUN: &str =
+/// A RowDescription message and the start of a row with a value of 3 MiB, in hexadecimal digits.
+const ROW_START: &str =
     "54000000200001636f6e74656e740000000000000000000011ffffffffffff0001440030000a000100300000767676";
 
-/// The client has a part of it already: only the end of its connection can say that there is no more.
+/// The client already has a part of the value. Only the end of its connection can show that the rest will not
+/// come.
 #[test]
-fn a_long_value_that_breaks_off_ends_its_clients_connection() {
+fn a_truncated_long_value_ends_its_clients_connection() {
     play(
         1,
         &format!(
             "
             c1-2 start
             h1 take c1 read q1 2900
-            h1 send raw {BEGUN}
+            h1 send raw {ROW_START}
             h1 close
             c1 expect gone
             h1 serve c2 read q2 900 = fine primary"
@@ -89,24 +91,24 @@
     );
 }
 
-/// A host must not make a client wait for good.
+/// A host must not make a client wait for ever.
 #[test]
-fn a_long_value_that_stands_still_ends_its_clients_connection() {
+fn a_stalled_long_value_ends_its_clients_connection() {
     play(
         1,
         &format!(
             "
             c1 start
             h1 take c1 read q1 2900
-            h1 send raw {BEGUN}
+            h1 send raw {ROW_START}
             c1 expect within 4000 gone"
         ),
     );
 }
 
-/// Its first bytes are not held back until the last have come.
+/// The first bytes reach the client before the last have arrived.
 #[test]
-fn a_long_value_begins_at_its_client_before_it_is_whole() {
+fn a_long_value_is_streamed_before_it_is_complete() {
     let part = "76".repeat(1000);
     play(
         1,
@@ -114,16 +116,17 @@
             "
             c1 start
             h1 take c1 read q1 2900
-            h1 send raw {BEGUN}{part}
-            c1 expect within 500 bytes {BEGUN}{part}
+            h1 send raw {ROW_START}{part}
+            c1 expect within 500 bytes {ROW_START}{part}
             c1 close"
         ),
     );
 }
 
-/// What has been read of the row stays, though the buffer has grown beyond what an idle connection keeps.
+/// The part of the row that has been read is kept, although the buffer has grown beyond what an idle
+/// connection keeps.
 #[test]
-fn a_long_value_behind_a_long_notice_is_whole() {
+fn a_long_value_after_a_long_notice_is_complete() {
     let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
     let message =
         |kind: u8, content: &[u8]| [&[kind][..], &(content.len() as u32 + 4).to_be_bytes(), content].concat();
@@ -132,14 +135,14 @@
     let row = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value.as_bytes()].concat();
     let end = [message(b'C', b"SELECT 1\0"), message(b'Z', b"I")].concat();
     let (notice, row, end) = (hex(&notice), hex(&message(b'D', &row)), hex(&end));
-    let described = &BEGUN[..66];
+    let description = &ROW_START[..66];
     play(
         1,
         &format!(
             "
             c1 start
             h1 take c1 read q1 2900
-            h1 send raw {notice}{described}{row}{end}
+            h1 send raw {notice}{description}{row}{end}
             c1 expect value {value}"
         ),
     );
--- a/tests/sockets/leaving.rs
+++ b/tests/sockets/leaving.rs
@@ -1,27 +1,28 @@
-//! Clients that leave: what was not sent on for them by then never is. Each crossing is forced: a host holds back its
-//! greeting, an answer or a place, until the proxy's own counters show that the client has left.
+//! Clients that leave: a request that was not sent to a host before its client left is never sent. Each race
+//! is forced: a host holds back its greeting, an answer or a connection until the proxy's counters show that
+//! the client has left.
 
 use crate::scenario::{play_with_settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
-/// The scenarios' settings where connections may take their time, and where an attempt may be called off or not.
-fn patient(cancel: bool) -> String {
+/// Returns settings with a long connect timeout, where an attempt may be cancelled or not.
+fn with_cancellation(may_cancel: bool) -> String {
     settings_with(|all| {
         all["limits"]["connectTimeout"] = json!(6.0);
-        all["limits"]["mayCancel"] = json!(cancel);
+        all["limits"]["mayCancel"] = json!(may_cancel);
         all["limits"]["keepalive"] = json!(60.0);
-        // What a host is made to hold back is late, and must not keep others out.
+        // A lax latency objective: an answer that a host holds back must not keep other requests from it.
         all["grades"].as_array_mut().unwrap().iter_mut().for_each(|grade| grade["onTime"] = json!(2.9));
     })
 }
 
-/// Its connection to the host is still coming up.
+/// The connection to the host is still being established.
 #[rstest]
 fn not_sent_once_the_connection_is_up(
-    #[values("close", "close half", "close reset")] leaves: &str,
-    #[values(true, false)] cancel: bool,
-    #[values("read q1 2900", "write q1 2900")] asks: &str,
+    #[values("close", "close half", "close reset")] departure: &str,
+    #[values(true, false)] may_cancel: bool,
+    #[values("read q1 2900", "write q1 2900")] request: &str,
 ) {
     let text = "
         h1 send load x0=1.5,x1=1,util=0.1
@@ -30,9 +31,9 @@
         h1 expect id=q0
         h1 answer c9 zero primary
         h1 expect knock
-        wait 20                             # a connection rests for 3 ms after its answer
+        wait 20                             # a connection is not reused for 3 ms after its answer
         c8 start
-        c8 send read q00 2900               # holds the one connection there is
+        c8 send read q00 2900               # occupies the only connection
         h1 expect id=q00
         h1 send hold
         c1 start
@@ -43,16 +44,21 @@
         proxy expect figures left=1
         h1 send release
         h1 expect silence 400
-        h1 send value there primary         # the others do not suffer
+        h1 send value there primary         # other requests are not affected
         c8 expect value there
         h1 take c8 read q3 2900
         proxy expect figures sent=4 moot=1 cancelled=0";
-    play_with_settings(&patient(cancel), 1, &text.replace("LEAVES", leaves).replace("ASKS", asks));
+    play_with_settings(
+        &with_cancellation(may_cancel),
+        1,
+        &text.replace("LEAVES", departure).replace("ASKS", request),
+    );
 }
 
-/// It waits for one of the descriptors that all hosts share, of which the scenarios' limits leave nine.
+/// The request waits for one of the descriptors that all hosts share, of which the scenarios' limits leave
+/// nine.
 #[rstest]
-fn not_sent_once_there_is_a_place(#[values(true, false)] cancel: bool) {
+fn not_sent_once_a_connection_is_free(#[values(true, false)] may_cancel: bool) {
     let text = "
         c1-10 start
         h1 serve c1 read q1 5900 = one primary
@@ -71,15 +77,17 @@
         h1 expect silence 50
         c10 close
         proxy expect figures left=1
-        h1 close                            # a place becomes free
-        h1 expect c=any                     # for the repeat of what was cut off
+        h1 close                            # a descriptor becomes free
+        h1 expect c=any                     # the retry of the request that was cut off
         h1 expect silence 400";
-    play_with_settings(&patient(cancel), 1, text);
+    play_with_settings(&with_cancellation(may_cancel), 1, text);
 }
 
-/// It waits behind a write of its key that is out, and there is more behind it than is read ahead.
+/// The request waits for an unanswered write of its key, and more input follows than the proxy reads ahead.
 #[rstest]
-fn not_sent_from_behind_another(#[values("close", "close half", "close reset")] leaves: &str) {
+fn not_sent_after_a_request_that_it_waits_for(
+    #[values("close", "close half", "close reset")] departure: &str,
+) {
     let text = "
         c1 start
         h1 take c1 write q1 2900
@@ -90,12 +98,12 @@
         h1 send value late primary
         h1 expect silence 400
         proxy expect figures sent=1";
-    play_with_settings(&patient(false), 1, &text.replace("LEAVES", leaves));
+    play_with_settings(&with_cancellation(false), 1, &text.replace("LEAVES", departure));
 }
 
-/// Of several that run beside each other each is withdrawn, and what waits behind them is not sent.
+/// Each of several concurrent requests is withdrawn, and the one that waits for them is not sent.
 #[rstest]
-fn none_of_several_is_sent_again(#[values("close", "close half", "close reset")] leaves: &str) {
+fn none_of_several_requests_is_sent_again(#[values("close", "close half", "close reset")] departure: &str) {
     let text = "
         c1 start
         h1 take c1 write q1 2900
@@ -112,12 +120,12 @@
         h1 send value late primary
         h1 expect silence 400
         proxy expect figures taken=3 sent=3";
-    play_with_settings(&patient(false), 1, &text.replace("LEAVES", leaves));
+    play_with_settings(&with_cancellation(false), 1, &text.replace("LEAVES", departure));
 }
 
-/// It waits for the end of a penalty: the third statement that makes no sense costs 120 ms.
+/// The request waits for the end of a penalty: the third invalid statement delays the next one by 120 ms.
 #[rstest]
-fn not_sent_after_a_penalty(#[values("close", "close half", "close reset")] leaves: &str) {
+fn not_sent_after_a_penalty(#[values("close", "close half", "close reset")] departure: &str) {
     let text = "
         c1 start
         c1 send text SELECT 1
@@ -130,12 +138,13 @@
         c1 LEAVES
         h1 expect silence 500
         proxy expect figures sent=0";
-    play_with_settings(&patient(false), 1, &text.replace("LEAVES", leaves));
+    play_with_settings(&with_cancellation(false), 1, &text.replace("LEAVES", departure));
 }
 
-/// The module holds it, since no host of its group takes anything: first a host drains, then it is back.
+/// The router holds the request, since no host of its group is eligible: the host drains, and then is up
+/// again.
 #[rstest]
-fn not_sent_once_a_host_is_there(#[values("close", "close half", "close reset")] leaves: &str) {
+fn not_sent_once_a_host_is_eligible(#[values("close", "close half", "close reset")] departure: &str) {
     let text = "
         list expect follow
         list send h1 draining
@@ -152,12 +161,12 @@
         c2 start
         c2 send read q2 2900
         h1 expect id=q2";
-    play_with_settings(&patient(false), 1, &text.replace("LEAVES", leaves));
+    play_with_settings(&with_cancellation(false), 1, &text.replace("LEAVES", departure));
 }
 
-/// Between two attempts: the first was turned away, and all hosts there are rest.
+/// Between two attempts: the first one was rejected by its host, and no other host is eligible.
 #[rstest]
-fn not_sent_a_second_time(#[values("close", "close half", "close reset")] leaves: &str) {
+fn not_sent_a_second_time(#[values("close", "close half", "close reset")] departure: &str) {
     let text = "
         list expect follow
         c1 start
@@ -172,26 +181,27 @@
         proxy expect figures lists=3
         h1 expect silence 400
         proxy expect figures sent=1";
-    play_with_settings(&patient(false), 1, &text.replace("LEAVES", leaves));
+    play_with_settings(&with_cancellation(false), 1, &text.replace("LEAVES", departure));
 }
 
-/// What a client calls off on another connection (CancelRequest) is withdrawn at once; its connection goes on.
+/// A request that its client cancels on another connection (CancelRequest) is withdrawn at once; the client's
+/// connection stays open.
 #[rstest]
-#[case::while_its_connection_comes_up("h1 send hold", "h1 expect knock", "h1 send release")]
-#[case::while_it_is_out("", "h1 expect id=q1", "h1 send value late primary")]
+#[case::while_its_connection_is_established("h1 send hold", "h1 expect knock", "h1 send release")]
+#[case::while_its_attempt_is_in_flight("", "h1 expect id=q1", "h1 send value late primary")]
 #[case::between_two_attempts(
     "",
     "h1 expect id=q1\nlist send h1 draining\nproxy expect figures lists=2\nh1 send error 53300\nproxy expect figures full=1",
     "list send h1 up\nproxy expect figures lists=3"
 )]
-fn not_sent_once_it_is_called_off(#[case] before: &str, #[case] out: &str, #[case] after: &str) {
+fn not_sent_once_it_is_cancelled(#[case] before: &str, #[case] attempt_steps: &str, #[case] after: &str) {
     let text = format!(
         "
         list expect follow
         {before}
         c1 start
         c1 send read q1 2900
-        {out}
+        {attempt_steps}
         c2 send cancel c1
         c2 expect closed
         c1 expect within 100 error 57014
@@ -201,12 +211,12 @@
         h1 serve c1 read q2 2900 = two primary
         proxy expect figures served=1 taken=2"
     );
-    play_with_settings(&patient(false), 1, &text);
+    play_with_settings(&with_cancellation(false), 1, &text);
 }
 
-/// Only the first of several requests is called off: it is the one that runs, as PostgreSQL has it.
+/// Only the first of several requests is cancelled: in PostgreSQL it is the one that runs.
 #[test]
-fn those_behind_one_that_is_called_off_go_on() {
+fn requests_after_a_cancelled_one_go_on() {
     let text = "
         c1 start
         h1 take c1 write q1 2900
@@ -220,10 +230,11 @@
         h1 expect id=q3
         h1 answer c1 three primary
         proxy expect figures left=1 ok=2";
-    play_with_settings(&patient(false), 1, text);
+    play_with_settings(&with_cancellation(false), 1, text);
 }
 
-/// A key that stands for nobody, and a session with nothing open: nothing is called off, then or later.
+/// A cancel request with an unknown key, or for a session without an open request, cancels nothing, then or
+/// later.
 #[test]
 fn a_cancel_without_a_request_changes_nothing() {
     let text = "
@@ -235,15 +246,15 @@
         c3 expect closed
         c1 expect silence 100
         h1 answer c1 one primary";
-    play_with_settings(&patient(false), 1, text);
+    play_with_settings(&with_cancellation(false), 1, text);
 }
 
-/// The proxy is held up for 0.15 s (SIGSTOP). Meanwhile the client leaves, and then the connection to the host comes up: it
-/// finds both in one turn.
+/// The proxy is stopped for 0.15 s (SIGSTOP). Meanwhile the client leaves, and then the connection to the
+/// host is established: the proxy finds both in one turn of its event loop.
 #[rstest]
-fn not_sent_by_a_proxy_that_was_held_up_while_the_connection_came_up(
-    #[values("close", "close half", "close reset")] leaves: &str,
-    #[values("read q1 2900", "write q1 2900")] asks: &str,
+fn not_sent_by_a_proxy_that_was_stopped_while_the_connection_was_established(
+    #[values("close", "close half", "close reset")] departure: &str,
+    #[values("read q1 2900", "write q1 2900")] request: &str,
 ) {
     let text = "
         h1 send load x0=1.5,x1=1,util=0.1
@@ -254,7 +265,7 @@
         h1 expect knock
         wait 20
         c8 start
-        c8 send read q00 2900               # holds the one connection there is
+        c8 send read q00 2900               # occupies the only connection
         h1 expect id=q00
         h1 send hold
         c1 start
@@ -269,14 +280,19 @@
         proxy send CONT
         h1 expect silence 400
         proxy expect figures left=1 sent=3 moot=1";
-    play_with_settings(&patient(false), 1, &text.replace("LEAVES", leaves).replace("ASKS", asks));
+    play_with_settings(
+        &with_cancellation(false),
+        1,
+        &text.replace("LEAVES", departure).replace("ASKS", request),
+    );
 }
 
-/// The same between two attempts: the client leaves and its host fails the first one while the proxy is held up.
+/// The same between two attempts: the client leaves and its host fails the first one while the proxy is
+/// stopped.
 #[rstest]
-fn not_sent_again_by_a_proxy_that_was_held_up(
-    #[values("close", "close half", "close reset")] leaves: &str,
-    #[values("send error XX000", "send error 53300", "close")] fails: &str,
+fn not_sent_again_by_a_proxy_that_was_stopped(
+    #[values("close", "close half", "close reset")] departure: &str,
+    #[values("send error XX000", "send error 53300", "close")] failure: &str,
 ) {
     let text = "
         c1 start
@@ -290,5 +306,9 @@
         h1 expect silence 200
         h2 expect silence 200
         proxy expect figures left=1 sent=1";
-    play_with_settings(&patient(true), 2, &text.replace("LEAVES", leaves).replace("FAILS", fails));
+    play_with_settings(
+        &with_cancellation(true),
+        2,
+        &text.replace("LEAVES", departure).replace("FAILS", failure),
+    );
 }
--- a/tests/sockets/pipelining.rs
+++ b/tests/sockets/pipelining.rs
@@ -1,12 +1,14 @@
-//! Requests that a client sends before it has the answers to earlier ones: each is answered once, in its turn and in its own
-//! time, and what is owed stays owed whatever ends meanwhile. Hosts answer in the order in which a scenario says so.
+//! Pipelining: a client sends requests before it has the answers to earlier ones. Each is answered once, in
+//! order and within its own deadline, even if the process or the connection ends meanwhile. Hosts answer in
+//! the order of the scenario.
 
 use crate::scenario::{play, play_with_operator_file, play_with_settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
-/// The scenarios' settings where a slow answer does not keep other requests from its host.
-fn unhurried() -> String {
+/// Returns the default settings with a lax latency objective, so that a slow answer does not keep other
+/// requests from its host.
+fn with_lax_latency_objective() -> String {
     settings_with(|all| {
         all["grades"].as_array_mut().unwrap().iter_mut().for_each(|grade| grade["onTime"] = json!(2.9));
     })
@@ -30,7 +32,7 @@
         c1 expect value two
         c1 expect value three
         proxy expect figures taken=3 served=3 pipelined=2";
-    play_with_settings(&unhurried(), 1, text);
+    play_with_settings(&with_lax_latency_objective(), 1, text);
 }
 
 /// All of it comes in one segment, the startup included.
@@ -57,12 +59,13 @@
         c1 expect value two
         c1 expect value three
         c1 expect value four";
-    play_with_settings(&unhurried(), 1, text);
+    play_with_settings(&with_lax_latency_objective(), 1, text);
 }
 
-/// What waits behind a conflict has its time from its own arrival on, and tells its host what is left of it.
+/// The deadline of a request that waits for a conflicting one counts from its own arrival. Its host is sent
+/// the time that is left.
 #[test]
-fn the_time_of_a_request_runs_from_its_arrival() {
+fn the_deadline_of_a_request_runs_from_its_arrival() {
     let text = "
         c1 start
         h1 take c1 write q1 2900
@@ -71,11 +74,11 @@
         h1 answer c1 one primary
         h1 expect id=q2 ,d=5                # some 540 ms
         h1 answer c1 two primary";
-    play_with_settings(&unhurried(), 1, text);
+    play_with_settings(&with_lax_latency_objective(), 1, text);
 }
 
-/// A host hangs: whoever stands ahead is answered in time for those behind. What may be repeated is refused, what may have
-/// run and may not is failed.
+/// A host hangs: the first request is answered early enough for the one behind it. It is rejected if it may
+/// be repeated, and failed if it may have run and must not be repeated.
 #[rstest]
 #[case::a_read("read q1 2900 k1", "error 53300")]
 #[case::a_write("write q1 2900 k1", "error 58000")]
@@ -90,12 +93,16 @@
         c1 expect within 150 ANSWER
         c1 expect within 20 value two
         proxy expect log request or connection rejected reason=order";
-    play_with_settings(&unhurried(), 1, &text.replace("SLOW", slow).replace("ANSWER", answer));
+    play_with_settings(
+        &with_lax_latency_objective(),
+        1,
+        &text.replace("SLOW", slow).replace("ANSWER", answer),
+    );
 }
 
 /// A write is not given up for a read behind it while both can still be answered in time.
 #[test]
-fn a_write_is_waited_for_while_the_one_behind_it_has_time() {
+fn a_write_is_awaited_while_the_request_behind_it_has_time() {
     let text = "
         c1 start
         h1 take c1 write q1 2900
@@ -106,14 +113,17 @@
         h1 send value one primary
         c1 expect within 100 value one
         c1 expect within 100 value two";
-    play_with_settings(&unhurried(), 1, text);
+    play_with_settings(&with_lax_latency_objective(), 1, text);
 }
 
-/// What cannot be read ends the connection in its turn, and within 3 s though what is ahead may take longer.
+/// Invalid input is answered in order, and within 3 s even if the request before it may take longer.
 #[rstest]
 #[case::an_unknown_message("raw 7a00000004", "08P01")]
-#[case::a_statement_without_sense("text SELECT 1", "42601")]
-fn an_error_behind_a_request_has_its_turn_and_its_time(#[case] bad: &str, #[case] code: &str) {
+#[case::an_invalid_statement("text SELECT 1", "42601")]
+fn an_error_behind_a_request_is_reported_in_order_and_in_time(
+    #[case] invalid_input: &str,
+    #[case] code: &str,
+) {
     let text = "
         c1 start
         h1 take c1 read q1 20000
@@ -121,10 +131,14 @@
         c1 expect silence 100
         c1 expect within 2700 error 53300
         c1 expect within 100 error CODE";
-    play_with_settings(&unhurried(), 1, &text.replace("BAD", bad).replace("CODE", code));
+    play_with_settings(
+        &with_lax_latency_objective(),
+        1,
+        &text.replace("BAD", invalid_input).replace("CODE", code),
+    );
 }
 
-/// Statements without sense make later ones wait, and not the answers to earlier ones.
+/// Invalid statements delay later statements but not the answers to earlier ones.
 #[test]
 fn answers_are_written_while_statements_wait_after_an_error() {
     let text = "
@@ -140,16 +154,16 @@
         c1 send text SELECT 4
         c1 send read q2 2900 k2
         h1 send value one primary
-        c1 expect within 80 value one       # 160 ms from the error on nothing further is read
+        c1 expect within 80 value one       # for 160 ms from the error nothing more is read
         c1 expect within 80 error 42601
         h1 expect id=q2
         h1 answer c1 two primary";
-    play_with_settings(&unhurried(), 1, text);
+    play_with_settings(&with_lax_latency_objective(), 1, text);
 }
 
-/// Whoever takes its leave behind its requests has their answers first.
+/// A client that sends Terminate after its requests still gets their answers.
 #[test]
-fn a_farewell_waits_for_the_answers_before_it() {
+fn terminate_waits_for_the_answers_before_it() {
     let text = "
         c1 start
         h1 take c1 read q1 2900
@@ -160,12 +174,12 @@
         h1 answer c1 one primary
         c1 expect value two
         c1 expect closed";
-    play_with_settings(&unhurried(), 1, text);
+    play_with_settings(&with_lax_latency_objective(), 1, text);
 }
 
-/// Empty queries and what only sets up a session keep their turn.
+/// Empty queries and statements that only set up a session are answered in order.
 #[test]
-fn what_the_proxy_answers_by_itself_has_its_turn() {
+fn what_the_proxy_answers_itself_keeps_its_order() {
     let text = "
         c1 start
         h1 take c1 read q1 2900
@@ -177,15 +191,15 @@
         c1 expect ready
         c1 expect empty
         c1 expect ready";
-    play_with_settings(&unhurried(), 1, text);
+    play_with_settings(&with_lax_latency_objective(), 1, text);
 }
 
-/// SIGTERM with half a pipeline open: one request runs, one waits for it, one is half there. Each has its answer before
-/// SIGKILL has to be expected.
+/// SIGTERM with several pipelined requests: one runs, one waits for it, one is already answered by its host,
+/// and one has arrived in part. Each gets its answer before SIGKILL is to be expected.
 #[rstest]
 #[case::a_host_that_answers("h1 send value one primary", "value one")]
 #[case::a_host_that_hangs("", "error 58000")]
-fn sigterm_owes_each_its_answer(#[case] host: &str, #[case] first: &str) {
+fn after_sigterm_each_request_is_answered(#[case] host: &str, #[case] first: &str) {
     let text = "
         c1 start
         h1 take c1 write q1 60000
@@ -199,7 +213,7 @@
         c1 expect FIRST
         SECOND
         c1 expect value three
-        c1 expect gone                      # with an error for the half that never became whole, where that took long
+        c1 expect gone                      # with an error for the incomplete message, if the connection is open long enough
         proxy expect exit 0 by 3700
         proxy expect log counters totals= taken=3";
     let second = match host.is_empty() {
@@ -207,15 +221,15 @@
         false => "h1 expect id=q2\nh1 send value two primary\nc1 expect value two",
     };
     play_with_settings(
-        &unhurried(),
+        &with_lax_latency_objective(),
         1,
         &text.replace("HOST", host).replace("FIRST", first).replace("SECOND", second),
     );
 }
 
-/// A drain by the console leaves a pipeline its answers.
+/// Pipelined requests are answered after a quiesce.
 #[test]
-fn quiesce_owes_each_its_answer() {
+fn after_a_quiesce_each_request_is_answered() {
     let text = "
         c1 start
         h1 take c1 read q1 2900
@@ -228,12 +242,13 @@
         h1 answer c1 one primary
         c1 expect value two
         c1 expect closed";
-    play_with_settings(&unhurried(), 1, text);
+    play_with_settings(&with_lax_latency_objective(), 1, text);
 }
 
-/// However many come at once, no more than the bound run beside each other, and all are answered in their order.
+/// However many requests arrive at once, only a limited number runs concurrently, and all are answered in
+/// order.
 #[test]
-fn a_flood_is_bounded_and_answered_in_order() {
+fn many_pipelined_requests_are_limited_and_answered_in_order() {
     let mut text = "
         c1 start
         h1 take c1 read q1 2900 k1
@@ -241,14 +256,14 @@
         c1 expect value v1\n"
         .to_owned();
     (2..=60).for_each(|n| text += &format!("c1 send read q{n} 5900 k{n}\n"));
-    // 16 run beside each other; the host answers none, and each ends once it finds no further connection.
+    // 16 run concurrently. The host answers none, and each ends once it gets no further connection.
     text += "proxy expect figures taken=17\n";
     (2..=60).for_each(|_| text += "c1 expect answer\n");
     text += "proxy expect figures taken=60\n";
-    play_with_settings(&unhurried(), 1, &text);
+    play_with_settings(&with_lax_latency_objective(), 1, &text);
 }
 
-/// Where there is no memory for answers that wait, requests run one after the other.
+/// Without memory for answers that wait for their turn, requests run one after the other.
 #[test]
 fn without_memory_for_their_answers_requests_run_one_by_one() {
     let text = "
@@ -262,16 +277,16 @@
     play_with_operator_file("memory: {purposes: {upstream-buffers: {cap: 64KiB, reserve: 0}}}", 1, text);
 }
 
-/// Where hosts hang, what waits for a conflict ends with it, in its own time.
+/// Where hosts hang, a request that waits for a conflicting one ends within its own deadline.
 #[test]
-fn what_waits_for_a_conflict_has_an_answer_in_its_time() {
+fn a_request_that_waits_for_a_conflict_is_answered_in_time() {
     let text = "
         c1 start
         h1 take c1 write q1 2900
         c1 send read q2 400
         c1 expect silence 300
         c1 expect within 150 error 58000
-        c1 expect within 20 error 53300     # it never went out
+        c1 expect within 20 error 53300     # it was never sent
         proxy expect figures sent=1";
     play(1, text);
 }
--- a/tests/sockets/reported_role.rs
+++ b/tests/sockets/reported_role.rs
@@ -1,14 +1,15 @@
-//! What a host told of its role counts by when it was written, not by when or whether it arrived: no read that must be fresh
-//! goes to a host that has told that it is no primary.
+//! The role that a host reports counts from when the host sent it, not from when it arrived or whether it
+//! did: no fresh read goes to a host that has reported not to be the primary.
 //!
-//! Hosts answer from what they have here: neither do they check reads nor can they be asked.
+//! In these tests hosts neither check the freshness of reads nor answer health checks.
 
 use crate::scenario::{play_with_settings, settings_with};
 use rstest::rstest;
 use serde_json::json;
 
-/// Settings where reads of the class `any` may see data 0.5 s old, those of `own` data of any age, and nothing is sent twice.
-fn unchecked() -> String {
+/// Returns settings where reads of the class `any` may see data 0.5 s old, those of `own` data of any age,
+/// and no request gets a second attempt.
+fn with_lag_policy_off() -> String {
     settings_with(|all| {
         all["familyInfo"]["freshness"] = json!(["bounded", "any", "write"]);
         all["familyInfo"]["classBound"] = json!([0.5, 0, 0]);
@@ -20,57 +21,57 @@
     })
 }
 
-/// The only host has answered as the primary, longer than a second ago.
-const QUIET_PRIMARY: &str = "
+/// The only host has answered as the primary, more than a second ago.
+const IDLE_PRIMARY: &str = "
     c1-3 start
     h1 serve c1 write q1 2900 = one primary
     wait 1200
 ";
 
-/// A query is out, and its answer, which counts as known after 100 ms, is lost without a sign: guards against a fresh read
-/// that goes to the same host on what it was before.
+/// The answer to a query is lost without a sign; after 100 ms it is overdue. Guards against a fresh read that
+/// goes to the same host because of its earlier role.
 #[rstest]
-fn no_fresh_read_goes_beside_an_answer_that_does_not_come(
-    #[values("own", "write", "read")] out: &str,
-    #[values(150, 400)] later_ms: u64,
+fn no_fresh_read_is_sent_while_an_answer_is_overdue(
+    #[values("own", "write", "read")] request: &str,
+    #[values(150, 400)] delay_ms: u64,
 ) {
     let text = format!(
-        "{QUIET_PRIMARY}
-        h1 take c2 {out} q2 2900
-        wait {later_ms}
+        "{IDLE_PRIMARY}
+        h1 take c2 {request} q2 2900
+        wait {delay_ms}
         c10 start
         c10 send read q3 900
         h1 expect silence 200"
     );
-    play_with_settings(&unchecked(), 1, &text);
+    play_with_settings(&with_lag_policy_off(), 1, &text);
 }
 
-/// Two queries are out: the second is answered as a replica, then the first as the primary that its host was. Guards against a
-/// fresh read that goes by the order of arrival.
+/// Two queries are unanswered: the second is answered as a replica, then the first as the primary that the
+/// host was before. Guards against a fresh read that is routed by the order in which the answers arrive.
 #[rstest]
-fn no_fresh_read_follows_an_older_answer_that_arrives_last(#[values(400, 700)] later_ms: u64) {
+fn no_fresh_read_follows_an_older_answer_that_arrives_last(#[values(400, 700)] delay_ms: u64) {
     let text = format!(
-        "{QUIET_PRIMARY}
+        "{IDLE_PRIMARY}
         h1 take c2 own q2 2900
         h1 take c3 own q3 2900
         wait 200
         h1 answer c3 three replica -5000
         h1 expect again id=q2
         h1 answer c2 two primary -200
-        wait {later_ms}
+        wait {delay_ms}
         c10 start
         c10 send read q4 900
         h1 expect silence 200"
     );
-    play_with_settings(&unchecked(), 1, &text);
+    play_with_settings(&with_lag_policy_off(), 1, &text);
 }
 
-/// The process is stopped until after the time of a query that is out; a fresh read comes meanwhile. Guards against one that
-/// goes to its host before the end of the query is seen.
+/// The process is stopped until after the timeout of an unanswered query, and a fresh read arrives meanwhile.
+/// Guards against a fresh read that is sent to the host before that timeout is processed.
 #[test]
-fn no_fresh_read_goes_out_before_an_end_that_is_seen_late() {
+fn no_fresh_read_is_sent_before_a_late_timeout_is_processed() {
     let text = format!(
-        "{QUIET_PRIMARY}
+        "{IDLE_PRIMARY}
         c10 start
         h1 take c2 own q2 500
         proxy send STOP
@@ -80,16 +81,16 @@
         proxy send CONT
         h1 expect silence 300"
     );
-    play_with_settings(&unchecked(), 1, &text);
+    play_with_settings(&with_lag_policy_off(), 1, &text);
 }
 
-/// The answer is longer than what is held in memory, and tells the role behind its value: guards against a role that is not
-/// read there.
+/// The answer is longer than what is held in memory, and reports the role after its value. Guards against a
+/// role that is not read there.
 #[test]
 fn no_fresh_read_follows_a_long_answer_as_a_replica() {
     let value = "v".repeat(256 << 10);
     let text = format!(
-        "{QUIET_PRIMARY}
+        "{IDLE_PRIMARY}
         h1 take c2 own q2 2900
         h1 send value {value} replica -5000
         c2 expect answer
@@ -98,13 +99,13 @@
         c10 send read q3 900
         h1 expect silence 200"
     );
-    play_with_settings(&unchecked(), 1, &text);
+    play_with_settings(&with_lag_policy_off(), 1, &text);
 }
 
-/// One answer of a replica is from ahead of all others, as a spoilt one may be: guards against an honest primary that counts as
-/// replaced since, and gets no fresh read after a quiet time.
+/// One answer of a replica reports a position ahead of all others, as a corrupt one may. Guards against a
+/// real primary that counts as replaced because of it, and gets no fresh read after a time without requests.
 #[rstest]
-fn an_honest_primary_is_served_after_one_answer_from_ahead(#[values(0, 1_000)] ahead_ms: u64) {
+fn a_real_primary_serves_reads_after_one_position_ahead_of_all_others(#[values(0, 1_000)] ahead_ms: u64) {
     let text = format!(
         "
         list expect follow
@@ -125,5 +126,5 @@
         c10 start
         h1 serve c10 read q5 900 = five primary"
     );
-    play_with_settings(&unchecked(), 2, &text);
+    play_with_settings(&with_lag_policy_off(), 2, &text);
 }
--- a/tests/sockets/watching.rs
+++ b/tests/sockets/watching.rs
@@ -1,15 +1,16 @@
-//! Watches that die, and lists in every form: no drain is missed, and what is wrong with an entry costs that entry alone.
+//! Discovery: watches that end or fall silent, and endpoint lists in every form. No drain is missed, and an
+//! invalid entry affects only itself.
 
 use crate::scenario::{play, play_with_settings, settings_with};
 use rstest::rstest;
 
-const OPENS: &str = "
+const WATCH_OPEN: &str = "
     list expect follow
     c1 start
 ";
 
-/// `h1` drains: what its clients ask from then on goes to the other host.
-fn drained(lists: u32) -> String {
+/// Returns the lines that check that `h1` drains: new requests go to `h2` only.
+fn expect_h1_drained(lists: u32) -> String {
     format!(
         "
     proxy expect figures lists={lists}
@@ -74,12 +75,13 @@
     list send chunk {"index":9,"snapshot":false,"endpoints":[{"name":"h1","address":"@h1","status":"removed"}]}
     "#
 )]
-fn a_drain_is_heard(#[case] lists: u32, #[case] told: &str) {
-    // `lists` counts the one that the configuration holds.
-    play(2, &format!("list expect follow\n{told}\n{}", drained(lists)));
+fn a_drain_is_applied(#[case] lists: u32, #[case] events: &str) {
+    // `lists` includes the list in the configuration.
+    play(2, &format!("list expect follow\n{events}\n{}", expect_h1_drained(lists)));
 }
 
-/// Under the same name at another address: at the new one from then on, the old connections closed.
+/// A removed host comes back with the same name at another address: requests go to the new address, and the
+/// old connections are closed.
 #[test]
 fn a_host_that_was_removed_comes_back_elsewhere() {
     let text = r#"
@@ -95,23 +97,26 @@
     play(2, text);
 }
 
-/// The stand-in's watch shows no further sign of life. It trickles, within a value or within white space: that is none.
+/// A watch that shows no sign of life is reopened. Text that trickles within a value, or white space, is no
+/// sign of life.
 #[rstest]
 #[case::silence("")]
 #[case::after_the_first_bytes_of_a_value("list send chunk {")]
 #[case::within_a_value("list send chunk {\"index\":2,\"endpoints\":[\n    TRICKLE 5")]
 #[case::white_space("TRICKLE \\t")]
-fn a_watch_without_a_sign_of_life_is_opened_anew(#[case] before: &str) {
-    let (before, trickle) = before.split_once("TRICKLE ").unwrap_or((before, ""));
-    let one = if trickle.is_empty() { String::new() } else { format!("list send chunk {trickle}\n") };
-    let waits = format!("wait 480\n{one}").repeat(5);
-    let text = format!("{OPENS}{before}\n{waits}list expect within 900 follow since=1\n");
+fn a_watch_without_a_sign_of_life_is_reopened(#[case] before: &str) {
+    let (before, trickled_text) = before.split_once("TRICKLE ").unwrap_or((before, ""));
+    let one =
+        if trickled_text.is_empty() { String::new() } else { format!("list send chunk {trickled_text}\n") };
+    let pauses = format!("wait 480\n{one}").repeat(5);
+    let text = format!("{WATCH_OPEN}{before}\n{pauses}list expect within 900 follow since=1\n");
     play(1, &text);
 }
 
-/// Its silence is heard, and its reopening hangs: within 6 s of the last sign of life another call has brought the list.
+/// A silent watch is reopened and that call hangs: within 6 s of the last sign of life another call has
+/// delivered the list.
 #[test]
-fn a_reopening_that_hangs_does_not_stand_in_the_way() {
+fn a_reopening_that_hangs_does_not_block_the_next_one() {
     let text = r#"
         list expect follow
         list send mute
@@ -123,8 +128,8 @@
     play(1, text);
 }
 
-/// Plays a scenario in a proxy that asks one discovery, as one of so many.
-fn play_among(routers: u32, text: &str) {
+/// Plays a scenario with a proxy that polls discovery as one of this number of routers.
+fn play_with_routers(routers: u32, text: &str) {
     let settings = settings_with(|all| {
         all["balancers"] = routers.into();
         all["discovery"] = "on_request".into();
@@ -132,15 +137,15 @@
     play_with_settings(&settings, 1, text);
 }
 
-/// Whatever failed, and however many ask the same discovery: within 6 s of when it has a change and can be reached each has
-/// heard it. That leaves 4 s between two calls, and 2 s for the call.
+/// Whatever failed, and however many routers poll the same discovery: each applies a change within 6 s of
+/// when discovery has it and can be reached. That leaves 4 s between two calls, and 2 s for the call.
 #[rstest]
-fn one_of_many_asks_in_time(#[values(1, 3, 30, 300)] routers: u32) {
-    play_among(
+fn one_of_many_routers_polls_in_time(#[values(1, 3, 30, 300)] routers: u32) {
+    play_with_routers(
         routers,
         "
         list expect follow
-        list close                          # its watch was reset
+        list close                          # the watch ends
         list expect within 4200 follow
         list send fail
         list close
@@ -154,10 +159,10 @@
     );
 }
 
-/// Its watch falls silent, and its reopening hangs.
+/// The watch falls silent, and the call that reopens it hangs.
 #[rstest]
-fn one_of_many_asks_in_time_after_silence(#[values(3, 30, 300)] routers: u32) {
-    play_among(
+fn one_of_many_routers_polls_in_time_after_silence(#[values(3, 30, 300)] routers: u32) {
+    play_with_routers(
         routers,
         "
         list expect follow
@@ -170,10 +175,11 @@
     );
 }
 
-/// A call that is not answered in its time is kept while another is placed: where calls queue, its turn may be next.
+/// A call that is not answered in time is kept open while another is made: where discovery queues calls, it
+/// may be the next one to be answered.
 #[test]
-fn a_call_that_queues_is_kept_while_another_is_placed() {
-    play_among(
+fn a_queued_call_is_kept_while_another_is_made() {
+    play_with_routers(
         30,
         "
         list expect follow
@@ -181,16 +187,17 @@
         list close
         list expect within 3200 follow
         list expect within 2400 follow
-        list send first                     # that which came first is answered, and the watch is its
+        list send first                     # the first call is answered, and becomes the watch
         list send h1 draining
         proxy expect figures lists=2",
     );
 }
 
-/// New settings name another discovery, which leaves 2 s for a call within 4 s; where the first hangs, another follows.
+/// New settings name another discovery service. It is called within 2 s, and if that call hangs, another one
+/// follows.
 #[rstest]
-fn a_new_address_is_asked_in_time(#[values(3, 300)] routers: u32) {
-    play_among(
+fn a_new_address_is_called_in_time(#[values(3, 300)] routers: u32) {
+    play_with_routers(
         routers,
         "
         list expect follow
@@ -205,22 +212,23 @@
     );
 }
 
-/// Discovery is away, and its agent is silent. What that gets when discovery returns counts at once, and the grace after
-/// a drain may be half a second: however long it was away, the list is asked for within a part of that.
+/// Discovery is unavailable and its local agent does not answer. An event that the agent gets when discovery
+/// returns counts at once, and the grace period after a drain may be half a second: however long the outage,
+/// the list is requested within a part of that.
 #[rstest]
 #[case::the_call_that_waits_is_answered("answer")]
 #[case::only_later_calls_are("speak")]
-fn what_discovery_tells_at_its_return_is_heard_at_once(#[case] returns: &str) {
-    let later = if returns == "speak" { "list expect within 420 follow" } else { "" };
-    let away = "list expect follow\n".repeat(12);
+fn events_of_discovery_after_an_outage_are_applied_at_once(#[case] reply: &str) {
+    let later_call = if reply == "speak" { "list expect within 420 follow" } else { "" };
+    let unanswered_calls = "list expect follow\n".repeat(12);
     let text = format!(
         "
         list expect follow
         list send mute
         list close
-        {away}
-        list send {returns}
-        {later}
+        {unanswered_calls}
+        list send {reply}
+        {later_call}
         wait 20
         list send h1 draining
         proxy expect figures lists=2"
@@ -228,9 +236,9 @@
     play(1, &text);
 }
 
-/// What waits for a connection that comes up late goes nowhere once its host drains.
+/// A request that waits for a connection to be established is not sent once its host drains.
 #[test]
-fn a_drain_told_while_a_connection_comes_up() {
+fn a_drain_reported_while_a_connection_is_established() {
     let text = "
         list expect follow
         h1 send hold
@@ -242,22 +250,23 @@
         proxy expect figures lists=2 connect_failed=1
         h1 send release
         h1 expect silence 300
-        list send h1 up                     # and goes there once it is back
+        list send h1 up                     # and is sent there once the host is up again
         h1 expect id=q1";
     play(1, text);
 }
 
-/// What waits for one of the nine descriptors that all hosts share goes nowhere once its host drains.
+/// A request that waits for one of the nine descriptors that all hosts share is not sent once its host
+/// drains.
 #[test]
-fn a_drain_told_while_a_place_is_awaited() {
-    let takes = "h1 expect c=any\n".repeat(9);
+fn a_drain_reported_while_a_connection_is_awaited() {
+    let expect_all = "h1 expect c=any\n".repeat(9);
     let text = format!(
         "
         list expect follow
         c1-10 start
         h1 serve c1 read q1 2900 = one primary
         c1-9 send read r@ 2900
-        {takes}
+        {expect_all}
         c10 send read q10 2900
         proxy expect figures sent=11
         list send h1 draining
@@ -268,8 +277,8 @@
     play(1, &text);
 }
 
-/// An answer without a length, whose connection is reset on the way: what came whole counts, a reset ends no list, and the
-/// watch is opened anew from what was heard.
+/// A response without a length, whose connection is reset before the end: events that arrived whole are
+/// applied, an incomplete list is not, and the watch is reopened from the last event that was applied.
 #[test]
 fn a_list_in_an_answer_without_a_length() {
     let text = r#"
@@ -285,5 +294,5 @@
         proxy expect figures lists=2
         list send chunk {"index":4,"endpoints":[{"name":"h1","address":"@h1","status":"draining"}]}
         "#;
-    play(2, &format!("{text}\n{}", drained(3)));
+    play(2, &format!("{text}\n{}", expect_h1_drained(3)));
 }
