--- a/tests/sockets/pipelining.rs
+++ b/tests/sockets/pipelining.rs
@@ -213,7 +213,7 @@
         c1 expect FIRST
         SECOND
         c1 expect value three
-        c1 expect gone                      # with an error for the incomplete message, if the connection is open long enough
+        c1 expect gone                      # possibly after an error for the incomplete message
         proxy expect exit 0 by 3700
         proxy expect log counters totals= taken=3";
     let second = match host.is_empty() {
--- a/tests/sockets/proxy.rs
+++ b/tests/sockets/proxy.rs
@@ -1,10 +1,10 @@
-//! PostgreSQL on sockets: each conversation with what it guards against.
+//! Clients and ledger hosts that speak PostgreSQL, on sockets. The name of each scenario says what it checks.
 
 use crate::scenario::{play, settings, Program};
 use rstest::rstest;
 
 #[rstest]
-#[case::a_read_is_served_to_the_letter(
+#[case::a_read_is_served_unchanged(
     1,
     "
     c1 start
@@ -14,7 +14,7 @@
     c1 send text ;
     c1 expect empty"
 )]
-#[case::what_is_split_and_pipelined_is_answered_in_order(
+#[case::split_and_pipelined_messages_are_answered_in_order(
     1,
     "
     c1 start
@@ -25,9 +25,9 @@
     c1 expect empty
     h1 take c1 read q1 900
     c1 send read q2 900
-    h1 expect id=q2                     # beside the one before
+    h1 expect id=q2                     # concurrently with the first
     h1 send value two primary
-    c1 expect silence 50                # but its answer waits for that one's
+    c1 expect silence 50                # its answer waits for that of the first
     h1 expect again id=q1
     h1 answer c1 one primary
     c1 expect value two"
@@ -52,7 +52,7 @@
     c1 send text
     c1 expect empty"
 )]
-#[case::a_message_of_no_protocol_ends_the_connection(
+#[case::an_invalid_message_ends_the_connection(
     1,
     "
     c1 start
@@ -64,13 +64,13 @@
     c2 expect error 08P01
     c2 expect closed
     c3 start
-    c3 send raw 517fffffff              # larger than is taken
+    c3 send raw 517fffffff              # larger than the limit
     c3 expect error 54000
     c3 expect closed
     c4 send raw 000000080002000000      # protocol 2
     c4 expect error 0A000"
 )]
-#[case::requests_that_make_no_sense_fail_and_are_not_refused(
+#[case::invalid_requests_fail_and_are_not_rejected(
     1,
     "
     c1 start
@@ -88,28 +88,28 @@
     c1 expect error 22023
     c2 start
     c2 send text INSERT INTO kv (name, content) VALUES ('a', '\\x00') RETURNING content /* id=1,c=write,t=acme,d=500,cluster=0 */
-    c2 expect error 42601               # without its key it could not be repeated
+    c2 expect error 42601               # without its key it could not be retried
     c2 send raw 5100000006ff00          # not UTF-8
     c2 expect error 22021
-    c2 send raw 510000000841004200      # a zero within
+    c2 send raw 510000000841004200      # a zero byte within
     c2 expect error 08P01
     c2 expect closed
     h1 expect silence 50"
 )]
-#[case::the_id_of_an_open_request_is_refused_to_others(
+#[case::the_id_of_an_open_request_cannot_be_used_again(
     1,
     "
     c1-2 start
     h1 take c1 read q1 2900
     c2 send read q1 2900
     c2 expect error 22023
-    h1 send value mine primary          # the one that was there first goes on
+    h1 send value mine primary          # the first request goes on
     c1 expect value mine
-    c2 send read q1 2900                # and has ended
+    c2 send read q1 2900                # the first request has ended
     h1 expect id=q1
     h1 answer c2 yours primary"
 )]
-#[case::who_brings_nothing_of_use_is_told_or_cut_off_within_three_seconds(
+#[case::a_client_that_sends_no_whole_message_is_disconnected_within_three_seconds(
     1,
     "
     c1 send raw 0000
@@ -119,7 +119,7 @@
     c2 expect within 2900 closed
     c3 expect within 2900 error 08P01"
 )]
-#[case::who_repeats_at_once_what_was_turned_away_has_to_wait(
+#[case::a_client_that_repeats_invalid_messages_at_once_is_delayed(
     1,
     "
     c1 start
@@ -137,7 +137,7 @@
     c1 expect error 08P01
     c1 expect closed"
 )]
-#[case::who_has_made_no_sense_too_often_is_closed_on_without_a_second_answer(
+#[case::a_client_with_too_many_invalid_statements_is_disconnected_without_a_further_answer(
     1,
     "
     c1 start
@@ -159,15 +159,15 @@
     c1 expect error 42601
     c1 expect closed"
 )]
-#[case::who_asks_once_and_stays_makes_room_before_others_are_refused(
+#[case::idle_clients_are_evicted_before_others_are_rejected(
     1,
     "
-    c1-18 send startup                  # of 22 seats
+    c1-18 send startup                  # of 22 client connection slots
     c1-18 expect ready
     c1-18 send text
     c1-18 expect empty
     wait 1200
-    c19 send startup                    # being asked too early does not start their time anew
+    c19 send startup                    # too early to evict them, and their idle time does not restart
     c19 expect ready
     wait 900
     c20 start
@@ -175,7 +175,7 @@
     c20 send text
     c20 expect empty"
 )]
-#[case::a_silent_crowd_takes_nobodys_seat(
+#[case::many_silent_clients_take_no_other_clients_slot(
     1,
     "
     c1-40 send raw 00                   # 64 descriptors leave 22 for clients
@@ -183,7 +183,7 @@
     c41 expect within 500 ready
     h1 serve c41 read q1 900 = x primary"
 )]
-#[case::a_value_that_looks_like_a_comment_is_none(
+#[case::a_value_that_looks_like_a_comment_is_not_parsed_as_one(
     1,
     "
     c1 start
@@ -200,7 +200,7 @@
     any expect id=q1
     any answer c1 second primary"
 )]
-#[case::a_write_turned_away_is_not_failed(
+#[case::a_write_rejected_by_a_replica_is_retried(
     1,
     "
     c1 start
@@ -210,15 +210,15 @@
     h1 expect INSERT id=w1
     h1 answer c1 done primary"
 )]
-#[case::a_silent_host_leaves_an_answer_before_the_client_goes(
+#[case::a_silent_host_leaves_time_for_an_answer_within_the_deadline(
     1,
     "
     c1 start
     h1 take c1 read q1 400
     c1 expect silence 300
-    c1 expect within 200 error 53300 500    # at 385 ms; the rest is for a busy machine"
+    c1 expect within 200 error 53300 500    # at 385 ms; the rest allows for a busy machine"
 )]
-#[case::an_error_of_a_host_is_no_value(
+#[case::an_error_of_a_host_is_not_passed_on_as_a_value(
     1,
     "
     c1 start
@@ -228,7 +228,7 @@
     h1 send error XX000
     c1 expect error 53300"
 )]
-#[case::the_attempt_of_a_client_that_left_is_called_off(
+#[case::the_attempt_of_a_client_that_left_is_cancelled(
     1,
     "
     c1 start
@@ -238,7 +238,7 @@
     proxy send USR1
     proxy expect log counters totals= taken=1 left=1 sent=1 cancelled=1"
 )]
-#[case::a_client_that_ends_its_side_hears_one_answer(
+#[case::a_client_that_shuts_down_its_sending_side_gets_one_answer(
     1,
     "
     c1 start
@@ -258,7 +258,7 @@
     proxy send USR1
     proxy expect log counters totals= sent=2 ok=2 reset=0"
 )]
-#[case::a_garbled_answer_is_none(
+#[case::a_malformed_answer_is_an_error(
     2,
     "
     c1 start
@@ -271,7 +271,7 @@
     any expect id=q1
     any answer c1 good"
 )]
-#[case::a_line_with_no_end_is_none(
+#[case::an_incomplete_row_is_an_error(
     1,
     "
     c1 start
@@ -282,7 +282,7 @@
     proxy send USR1
     proxy expect log counters totals= error=1 reset=0 timeout=0 cancelled=0"
 )]
-#[case::a_second_copy_is_not_the_next_answer(
+#[case::a_duplicate_answer_is_not_taken_for_the_next_one(
     1,
     "
     c1 start
@@ -290,33 +290,33 @@
     h1 send parts TDCZTDCZ one
     c1 expect value one
     h1 serve c1 read q2 900 = two primary
-    h1 send parts TDCZ two              # behind the answer, as the next request comes
+    h1 send parts TDCZ two              # after the answer, as the next request arrives
     h1 serve c1 read q3 900 = three primary"
 )]
-#[case::a_report_that_cannot_be_read_tells_nothing(
+#[case::a_malformed_load_report_is_ignored(
     1,
     "
     h1 send load x0=12,x1=1,util=##
     c1 start
     c1 send write w1 2900
-    h1 expect silence 300               # nobody is known to be the primary
+    h1 expect silence 300               # no host is known to be the primary
     h1 send load true
     h1 expect id=w1"
 )]
-#[case::a_read_follows_the_write_of_its_session(
+#[case::a_read_sees_the_write_of_its_session(
     2,
     "
     h2 send load x0=1,x1=0,util=0.1     # far behind
     c1 start
     h1 serve c1 write w1 900 = done primary
     c1 send read q1 900
-    h2 expect id=q1                     # a host never heard of would be tried: it checks reads itself
+    h2 expect id=q1                     # a host not known to be fresh is tried: it checks reads itself
     h2 answer c1 x replica -60000
     h1 take c1 write w2 900
-    h1 send value done primary          # committed where no replica is known to be
+    h1 send value done primary          # at a position that no replica has reported
     c1 expect value done
     c1 send own r1 900
-    h1 expect id=r1                     # so only the primary will do
+    h1 expect id=r1                     # so only the primary is eligible
     h1 answer c1 mine primary
     h2 expect silence 20"
 )]
@@ -331,7 +331,7 @@
     h2 take c1 read q1 900
     list send h2 draining
     wait 50
-    h2 send value finished              # what it has it finishes
+    h2 send value finished              # its open request is finished
     c1 expect value finished
     h1 serve c1 read q2 900 = other primary
     list send h2 up
@@ -347,7 +347,7 @@
     wait 1100                           # the host would close it after 1500 ms
     h1 expect closed"
 )]
-#[case::clients_beyond_the_limit_are_refused_and_not_cut_off(
+#[case::clients_over_the_limit_are_rejected_with_an_error(
     1,
     "
     c1-22 send startup                  # 64 descriptors leave 22 for clients
@@ -359,12 +359,12 @@
     c1-22 send text
     c1-22 expect empty
     wait 2050
-    c24 send startup                    # by now the others are idle for long: they make room
+    c24 send startup                    # the others have been idle for long and are evicted
     c24 expect ready
     c1-22 expect closed
     h1 serve c24 read q2 900 = x primary"
 )]
-#[case::a_wait_beyond_all_measure_is_taken(
+#[case::an_excessive_deadline_is_accepted(
     1,
     "
     c1 start
@@ -374,7 +374,7 @@
     c1 send read q2 0
     c1 expect error 53300"
 )]
-#[case::a_position_beyond_all_measure_is_taken(
+#[case::an_excessive_position_is_accepted(
     1,
     "
     c1 start
@@ -398,19 +398,19 @@
     c1 send read q1 900
     h2 expect id=q1"
 )]
-#[case::a_watch_that_falls_silent_is_given_up(
+#[case::a_watch_that_falls_silent_is_reopened(
     1,
     "
     list expect since=1
     list expect since=1"
 )]
-#[case::the_list_is_followed_where_the_new_file_says(
+#[case::the_watch_moves_to_the_address_in_the_new_file(
     2,
     "
     list expect since=1
     list send h2 draining
     wait 50
-    file send moved                     # the old address is silent, and the environment still names it
+    file send moved                     # the old address is silent; the environment still names it
     proxy send HUP
     list expect follow=1 since=2
     file send text {\"seed\":\"xyz\",\"discovery\":\"127.0.0.1:1\",\"settings\":{}}
@@ -433,7 +433,7 @@
     h2 answer c1 x
     proxy expect exit 0"
 )]
-#[case::new_settings_bring_a_class_and_take_one_away_while_requests_keep_theirs(
+#[case::new_settings_add_and_remove_a_class_while_open_requests_keep_theirs(
     1,
     "
     c1 start
@@ -441,7 +441,7 @@
     file send renamed any fast
     proxy send HUP
     proxy expect log configuration reloaded classes=4
-    h1 send value old primary           # what came before keeps its class
+    h1 send value old primary           # an open request keeps its class
     c1 expect value old
     c2 start
     c2 send text SELECT content FROM kv WHERE name = 'k1' /* id=q2,c=fast,t=acme,d=900,cluster=0 */
@@ -455,7 +455,7 @@
     c2 send text SELECT content FROM kv WHERE name = 'k1' /* id=q4,c=fast,t=acme,d=900,cluster=0 */
     h1 expect id=q4"
 )]
-#[case::a_quiesced_proxy_says_no_closes_what_is_idle_answers_what_it_holds_and_comes_back(
+#[case::a_quiesced_proxy_fails_health_checks_closes_idle_connections_answers_open_requests_and_resumes(
     1,
     "
     c1-3 start
@@ -467,11 +467,11 @@
     operator send health
     operator expect 503
     c2 send raw 510000000500            # the empty query
-    c2 expect error 57P03               # the front's check hears no
+    c2 expect error 57P03               # the load balancer's check fails
     c3 expect within 1000 closed        # idle: closed from 0.4 s on
     h1 send value held primary
-    c1 expect value held                # what it held is answered
-    c1 expect within 200 closed         # and then it is idle
+    c1 expect value held                # the open request is answered
+    c1 expect within 200 closed         # then its connection is idle
     operator send quiesce               # twice is harmless
     operator expect 200
     operator send resume
@@ -480,7 +480,7 @@
     operator expect 200
     c4 start
     c4 send raw 510000000500
-    c4 expect empty                     # the front's check hears yes again
+    c4 expect empty                     # the load balancer's check succeeds again
     c4 expect silence 500               # and a connection stays
     operator send stats
     operator expect gw.results.any.succeeded=1 gw.outstanding=0 gw.forwards=1
@@ -496,16 +496,16 @@
     new expect log console listener
     proxy send TERM
     h1 send value old primary
-    c1 expect value old                 # what the old one held is answered
+    c1 expect value old                 # the old process answers its open request
     proxy expect exit 0
     c2 start
     h1 take c2 read q2 2000
     h1 send value new primary
-    c2 expect value new                 # and the new one serves where the old one did
+    c2 expect value new                 # the new process serves the same address
     new send TERM
     new expect exit 0"
 )]
-#[case::after_sigterm_all_is_answered_and_who_comes_is_served(
+#[case::after_sigterm_open_requests_are_answered_and_new_clients_served(
     1,
     "
     c1 start
@@ -515,18 +515,18 @@
     c3 start
     h1 serve c3 read q3 900 = late primary
     wait 1500
-    c2 send read q2 60000               # other proxies may be down: who has a connection is served on it,
-    h1 expect id=q2,c=any,t=acme,d=1    # though not for longer than this one lives
+    c2 send read q2 60000               # other proxies may be down: a client is still served
+    h1 expect id=q2,c=any,t=acme,d=1    # on its connection, as long as this process lives
     h1 answer c2 later primary
-    c2 expect within 1500 closed        # and goes elsewhere before SIGKILL
+    c2 expect within 1500 closed        # it can connect elsewhere before SIGKILL
     c3 expect within 1500 closed
-    c4 send startup                     # still there for the one that waits
+    c4 send startup                     # the process still runs for the open request
     c4 expect ready
     c1 expect error 53300
     c1 expect closed
     proxy expect exit 0"
 )]
-#[case::a_client_that_never_says_who_it_is_holds_up_no_drain(
+#[case::a_client_without_a_startup_message_does_not_delay_a_drain(
     1,
     "
     c1 send raw 0000
@@ -534,7 +534,7 @@
     proxy send TERM
     proxy expect exit 0"
 )]
-#[case::a_crowd_at_a_silent_host_is_answered_in_time(
+#[case::many_requests_at_a_silent_host_are_answered_in_time(
     2,
     "
     c1-16 start
@@ -551,12 +551,12 @@
     c1 start
     h1 serve c1 write w0 900 = ok primary
     list send h1 removed
-    h1 expect closed                    # idle connections to what is gone are of no use
+    h1 expect closed                    # idle connections to a removed host are closed
     list send h1 up
     wait 50
     h1 serve c1 write w1 900 = back primary"
 )]
-#[case::counters_are_told_on_request_and_at_the_end(
+#[case::counters_are_logged_on_request_and_at_exit(
     1,
     "
     c1 start
@@ -573,10 +573,11 @@
     play(hosts, text);
 }
 
-/// One description, one row of one column, one completion, then ready: any other answer is none, though it
-/// may have run. It counts as an error of the request and not as a fault of its host, which all hosts share.
+/// An answer consists of one RowDescription, one row of one column, one CommandComplete and ReadyForQuery.
+/// Any other answer is an error, although the request may have run. It counts as an error of the request and
+/// not as a fault of the host, since all hosts would answer alike.
 #[rstest]
-fn an_answer_of_other_parts_is_none(
+fn an_answer_with_other_messages_is_an_error(
     #[values("DTCZ", "TTDCZ", "TDDCZ", "TNCZ", "TCZ", "TDZ", "CZ", "Z", "TDCCZ", "TDC!Z", "RTDCZ")]
     parts: &str,
 ) {
@@ -595,7 +596,7 @@
     );
 }
 
-/// A few hundred statements at their longest would be more than all the memory there is.
+/// A few hundred statements of the greatest length would exceed the memory limit.
 #[rstest]
 #[case(256, 32, (156, 67))]
 #[case(256, 1024, (156, 67))]
@@ -603,15 +604,16 @@
 fn connections_are_bounded_by_descriptors_and_memory(
     #[case] sockets: u32,
     #[case] memory: u32,
-    #[case] sides: (usize, usize),
+    #[case] connection_limits: (usize, usize),
 ) {
     let limits = format!(r#"{{"sockets":{sockets},"memory_mb":{memory}}}"#);
     let text = format!(r#"{{"limits":{limits},"settings":{}}}"#, settings());
     let config = wheelpier::config::Config::read(&text, |_| Some("127.0.0.1:1".to_owned())).unwrap();
-    assert_eq!((config.limits.clients, config.limits.upstream), sides);
+    assert_eq!((config.limits.clients, config.limits.upstream), connection_limits);
 }
 
-/// A proxy that cannot work says why in one line that names the key, and does not start.
+/// A proxy with an invalid configuration does not start, and reports the reason in one line that names the
+/// key.
 #[rstest]
 #[case::not_json("{", "GW_CONFIG")]
 #[case::no_settings(r#"{"seed":"1"}"#, "settings")]
@@ -623,7 +625,7 @@
     r#"{"known":{"index":1,"endpoints":[{"name":"a","address":"x","status":"up"}]},"settings":SETTINGS}"#,
     "known"
 )]
-fn a_faulty_configuration_is_named(#[case] config: &str, #[case] key: &str) {
+fn an_invalid_configuration_key_is_named(#[case] config: &str, #[case] key: &str) {
     let config = config.replace("SETTINGS", &settings());
     let mut program = Program::start(&config, "127.0.0.1:1", "127.0.0.1:1");
     assert!(program.log(&format!("`{key}`")).starts_with("wheelpier: configuration key"));
@@ -631,14 +633,14 @@
 }
 
 #[test]
-fn a_faulty_address_is_named() {
+fn an_invalid_address_is_named() {
     let mut program = Program::start(&format!(r#"{{"settings":{}}}"#, settings()), "nowhere", "127.0.0.1:1");
     program.log("`GW_LISTEN` nowhere");
     assert_ne!(program.exit(), 0);
 }
 
-/// New settings at SIGHUP: a tenant keeps its number and has its new quota, a new one comes behind, one left out has
-/// none and may come back; without any a statement needs none.
+/// Reloaded settings: a tenant keeps its number and gets its new quota, a new tenant gets the next number,
+/// and an omitted tenant gets no quota and may return later. Without tenants a statement needs none.
 #[test]
 fn new_settings_keep_the_numbers_of_tenants() {
     let text = |customers: &str| {
@@ -659,14 +661,15 @@
     assert_eq!(back.settings.tenant_quotas, [100.0, 0.0]);
 }
 
-/// New settings at SIGHUP: a class keeps its number, a new one comes behind, one left out takes no new requests and
-/// may come back; fewer attempts hold; a faulty file is turned down whole.
+/// Reloaded settings: a class keeps its number, a new class gets the next number, and an omitted class takes
+/// no new requests and may return later. A lower limit on attempts applies. An invalid file is rejected as a
+/// whole.
 #[test]
 fn new_settings_keep_the_numbers_of_classes() {
     let text = |settings: String| format!(r#"{{"settings":{settings}}}"#);
     let config =
         wheelpier::config::Config::read(&text(settings()), |_| Some("127.0.0.1:1".to_owned())).unwrap();
-    let open = |config: &wheelpier::config::Config| -> Vec<(String, bool)> {
+    let configured_classes = |config: &wheelpier::config::Config| -> Vec<(String, bool)> {
         config.names.classes.iter().map(|class| (class.name.clone(), class.is_configured)).collect()
     };
     let renamed = settings()
@@ -674,13 +677,13 @@
         .replace(r#""maxAttempts":8"#, r#""maxAttempts":2"#);
     let new = config.reload_from(&text(renamed)).unwrap();
     let expected = [("any", false), ("own", true), ("write", true), ("fast", true)];
-    assert_eq!(open(&new), expected.map(|(name, open)| (name.to_owned(), open)));
+    assert_eq!(configured_classes(&new), expected.map(|(name, open)| (name.to_owned(), open)));
     assert_eq!(new.settings.classes.len(), 4);
     assert_eq!((new.max_attempts, new.settings.max_attempts), (2, 2));
     let back = new.reload_from(&text(settings())).unwrap();
     let expected = [("any", true), ("own", true), ("write", true), ("fast", false)];
-    assert_eq!(open(&back), expected.map(|(name, open)| (name.to_owned(), open)));
-    for faulty in [
+    assert_eq!(configured_classes(&back), expected.map(|(name, open)| (name.to_owned(), open)));
+    for invalid in [
         String::new(),
         text(settings())[..40].to_owned(),
         text(settings().replace(r#""deadline":3.0,"#, "")),
@@ -688,7 +691,7 @@
         text(settings().replace(r#""maxAttempts":8"#, r#""maxAttempts":0"#)),
         text(settings().replace(r#""maxAttempts":8"#, r#""maxAttempts":"many""#)),
     ] {
-        let problem = config.reload_from(&faulty).expect_err(&faulty);
+        let problem = config.reload_from(&invalid).expect_err(&invalid);
         assert!(!problem.key.is_empty(), "{problem}");
     }
 }
--- a/tests/sockets/scenario/mod.rs
+++ b/tests/sockets/scenario/mod.rs
@@ -647,8 +647,8 @@
     }
 
     /// Carries out an `expect` step of the scenario language.
-    fn expect(&mut self, what: &str) {
-        match what.split_once(' ') {
+    fn expect(&mut self, args: &str) {
+        match args.split_once(' ') {
             Some(("exit", code)) => {
                 let (code, by) = code.split_once(" by ").unwrap_or((code, "8000"));
                 let (status, delays) = self.exit_with_delays();
@@ -677,7 +677,7 @@
                     std::thread::sleep(Duration::from_millis(5));
                 }
             }
-            _ => panic!("unknown step: expect {what}"),
+            _ => panic!("unknown step: expect {args}"),
         }
     }
 
@@ -864,10 +864,10 @@
     }
 
     /// Makes a call to the console on a connection of its own, and returns the response.
-    fn call_console(&self, what: &str) -> String {
-        let method = if matches!(what, "quiesce" | "resume") { "POST" } else { "GET" };
+    fn call_console(&self, args: &str) -> String {
+        let method = if matches!(args, "quiesce" | "resume") { "POST" } else { "GET" };
         let mut stream = TcpStream::connect(self.console).expect("the console listens");
-        let call = format!("{method} /admin/{what} HTTP/1.1\r\nHost: proxy\r\nContent-Length: 0\r\n\r\n");
+        let call = format!("{method} /admin/{args} HTTP/1.1\r\nHost: proxy\r\nContent-Length: 0\r\n\r\n");
         stream.write_all(call.as_bytes()).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
         let mut answer = String::new();
@@ -879,39 +879,39 @@
     #[expect(clippy::too_many_lines)]
     fn run_step(&mut self, line: &str) {
         let mut words = line.splitn(3, ' ');
-        let (who, verb, what) = (words.next().unwrap(), words.next().unwrap(), words.next().unwrap_or(""));
+        let (who, verb, args) = (words.next().unwrap(), words.next().unwrap(), words.next().unwrap_or(""));
         let number = || who[1..].parse::<usize>().unwrap() - 1;
         match (&who[..1], verb) {
             ("w", _) => std::thread::sleep(Duration::from_millis(verb.parse().unwrap())),
             ("s", "send") => {
                 let connect = |_| TcpStream::connect(self.console).expect("the console listens");
-                self.silent_console_connections.extend((0..what.parse().unwrap()).map(connect));
+                self.silent_console_connections.extend((0..args.parse().unwrap()).map(connect));
             }
-            ("o", "send") => self.console_response = self.call_console(what),
-            ("n", "send") if what == "start" => {
+            ("o", "send") => self.console_response = self.call_console(args),
+            ("n", "send") if args == "start" => {
                 let console = free_local_address().to_string();
                 let (listen, discovery) = (self.listen.to_string(), self.discovery.address.to_string());
                 let env = [("GW_CONSOLE", &console[..])];
                 self.second_program =
                     Some(Program::start_with_env(&self.config, &listen, &discovery, None, &env, None));
             }
-            ("n", "send") => self.second_program.as_ref().expect("a second program").signal(what),
-            ("n", "expect") => self.second_program.as_mut().expect("a second program").expect(what),
+            ("n", "send") => self.second_program.as_ref().expect("a second program").signal(args),
+            ("n", "expect") => self.second_program.as_mut().expect("a second program").expect(args),
             ("o", "expect") => {
                 assert!(
-                    what.split(' ').all(|word| self.console_response.contains(word)),
+                    args.split(' ').all(|word| self.console_response.contains(word)),
                     "{}",
                     self.console_response
                 );
             }
-            ("p", "send") if matches!(what, "unread" | "read") => {
-                self.program.unread.store(what == "unread", Relaxed);
+            ("p", "send") if matches!(args, "unread" | "read") => {
+                self.program.unread.store(args == "unread", Relaxed);
             }
-            ("p", "send") => self.program.signal(what),
-            ("p", "expect") => self.program.expect(what),
+            ("p", "send") => self.program.signal(args),
+            ("p", "expect") => self.program.expect(args),
             ("f", "send") => {
-                let renamed = what.strip_prefix("renamed ").and_then(|names| names.split_once(' '));
-                let text = match what.strip_prefix("text ") {
+                let renamed = args.strip_prefix("renamed ").and_then(|names| names.split_once(' '));
+                let text = match args.strip_prefix("text ") {
                     Some(text) => text.to_owned(),
                     None if renamed.is_some() => {
                         let (old, new) = renamed.unwrap_or_default();
@@ -928,27 +928,27 @@
                 };
                 std::fs::write(&self.program.file, text).unwrap();
             }
-            ("l", "send") if what.starts_with("chunk ") => {
-                let mut text = what["chunk ".len()..].replace("\\n", "\n");
+            ("l", "send") if args.starts_with("chunk ") => {
+                let mut text = args["chunk ".len()..].replace("\\n", "\n");
                 for (n, host) in self.hosts.iter().enumerate() {
                     text = text.replace(&format!("@h{}", n + 1), &host.address.to_string());
                 }
                 self.discovery.write_to_watch(&text);
             }
-            ("l", "send") if matches!(what, "answer" | "first") => {
-                self.discovery.answer_pending(what == "first")
+            ("l", "send") if matches!(args, "answer" | "first") => {
+                self.discovery.answer_pending(args == "first")
             }
-            ("l", "send") if what == "plain" => self.discovery.without_length.store(true, Relaxed),
-            ("l", "send") if matches!(what, "mute" | "speak" | "fail") => {
-                self.discovery.failing.store(what == "fail", Relaxed);
-                self.discovery.muted.store(what == "mute", Relaxed);
+            ("l", "send") if args == "plain" => self.discovery.without_length.store(true, Relaxed),
+            ("l", "send") if matches!(args, "mute" | "speak" | "fail") => {
+                self.discovery.failing.store(args == "fail", Relaxed);
+                self.discovery.muted.store(args == "mute", Relaxed);
             }
             ("l", "send") => {
-                let (name, status) = what.split_once(' ').unwrap();
+                let (name, status) = args.split_once(' ').unwrap();
                 let address = self.hosts[name[1..].parse::<usize>().unwrap() - 1].address;
                 self.discovery.send_event(&endpoint_json(name, address, status));
             }
-            ("l", "expect") if what == "open" => {
+            ("l", "expect") if args == "open" => {
                 let until = Instant::now() + STEP_TIMEOUT;
                 while self.discovery.watch.lock().unwrap().is_none() {
                     assert!(Instant::now() < until, "no call to discovery was answered");
@@ -956,16 +956,16 @@
                 }
             }
             ("l", "expect") => {
-                let within = what.strip_prefix("within ").and_then(|rest| rest.split_once(' '));
+                let within = args.strip_prefix("within ").and_then(|rest| rest.split_once(' '));
                 let ms = within.map(|(ms, _)| Duration::from_millis(ms.parse().unwrap()));
-                let what = within.map_or(what, |(_, what)| what);
+                let args = within.map_or(args, |(_, args)| args);
                 let request = self.discovery.requests.recv_timeout(ms.unwrap_or(STEP_TIMEOUT));
                 let request = request.expect("a request for the list");
-                assert!(what.split(' ').all(|word| request.contains(word)), "{request}");
+                assert!(args.split(' ').all(|word| request.contains(word)), "{request}");
             }
             ("l", "close") => {
                 let watch = self.discovery.watch.lock().unwrap().take().expect("a watch is open");
-                match what {
+                match args {
                     "reset" => socket2::SockRef::from(&watch).set_linger(Some(Duration::ZERO)).unwrap(),
                     _ => watch.shutdown(Shutdown::Both).unwrap(),
                 }
@@ -981,20 +981,20 @@
                     }
                 };
                 assert!(
-                    what.split(' ').all(|word| text.contains(word)),
-                    "`{text}` does not contain all of `{what}`"
+                    args.split(' ').all(|word| text.contains(word)),
+                    "`{text}` does not contain all of `{args}`"
                 );
                 self.any_host = n;
             }
-            ("a", _) => self.hosts[self.any_host].run_step(verb, what),
-            ("h", _) => self.hosts[number()].run_step(verb, what),
-            ("c" | "t", _) => self.run_client_step(who, verb, what),
+            ("a", _) => self.hosts[self.any_host].run_step(verb, args),
+            ("h", _) => self.hosts[number()].run_step(verb, args),
+            ("c" | "t", _) => self.run_client_step(who, verb, args),
             _ => panic!("unknown step: {line}"),
         }
     }
 
     /// Carries out a step of a client, which connects at its first step.
-    fn run_client_step(&mut self, who: &str, verb: &str, what: &str) {
+    fn run_client_step(&mut self, who: &str, verb: &str, args: &str) {
         let speaks_tds = who.starts_with('t');
         let address = if speaks_tds { self.listen_tds } else { self.listen };
         let stream = self.clients.entry(who.to_owned()).or_insert_with(|| {
@@ -1003,26 +1003,26 @@
             stream
         });
         match verb {
-            "send" if speaks_tds => stream.write_all(&tds::client_bytes(what)).unwrap(),
+            "send" if speaks_tds => stream.write_all(&tds::client_bytes(args)).unwrap(),
             "send" => {
-                let key = what.strip_prefix("cancel ").and_then(|client| self.cancel_keys.get(client));
-                let what = key.map_or_else(|| what.to_owned(), |key| format!("cancel {key}"));
-                stream.write_all(&client_bytes(&what)).unwrap();
+                let key = args.strip_prefix("cancel ").and_then(|client| self.cancel_keys.get(client));
+                let args = key.map_or_else(|| args.to_owned(), |key| format!("cancel {key}"));
+                stream.write_all(&client_bytes(&args)).unwrap();
             }
-            "close" if what == "half" => stream.shutdown(Shutdown::Write).unwrap(),
-            "close" if what == "reset" => {
+            "close" if args == "half" => stream.shutdown(Shutdown::Write).unwrap(),
+            "close" if args == "reset" => {
                 let stream = self.clients.remove(who).expect("a client");
                 socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
             }
             "close" => drop(self.clients.remove(who)),
-            "expect" if speaks_tds => tds::client_expect(stream, what),
+            "expect" if speaks_tds => tds::client_expect(stream, args),
             "expect" => {
-                if what == "ready" && !self.cancel_keys.contains_key(who) {
+                if args == "ready" && !self.cancel_keys.contains_key(who) {
                     self.cancel_keys.extend(peek_cancel_key(stream).map(|key| (who.to_owned(), key)));
                 }
-                client_expect(stream, what);
+                client_expect(stream, args);
             }
-            _ => panic!("unknown step: {who} {verb} {what}"),
+            _ => panic!("unknown step: {who} {verb} {args}"),
         }
     }
 }
@@ -1044,26 +1044,26 @@
     }
 
     /// Carries out a `send` step.
-    fn send(&mut self, what: &str) -> std::io::Result<()> {
-        if matches!(what, "hold" | "release") {
-            *self.greeting_held.0.lock().unwrap() = what == "hold";
+    fn send(&mut self, args: &str) -> std::io::Result<()> {
+        if matches!(args, "hold" | "release") {
+            *self.greeting_held.0.lock().unwrap() = args == "hold";
             self.greeting_held.1.notify_all();
             return Ok(());
         }
-        if let Some(load) = what.strip_prefix("load ") {
+        if let Some(load) = args.strip_prefix("load ") {
             *self.load_report.lock().unwrap() = Some(load.to_owned()).filter(|load| load != "true");
             return Ok(());
         }
-        if let Some((ms, bytes)) = what.strip_prefix("serve ").and_then(|rest| rest.split_once(' ')) {
+        if let Some((ms, bytes)) = args.strip_prefix("serve ").and_then(|rest| rest.split_once(' ')) {
             let delay = Duration::from_millis(ms.parse().unwrap());
             let value_length = bytes.parse().unwrap();
             *self.auto_reply.lock().unwrap() = Some(AutoReply { delay, value_length });
             return Ok(());
         }
         let stream = self.current.as_mut().expect("a query was received");
-        let mut words = what.split(' ');
+        let mut words = args.split(' ');
         if self.protocol == Protocol::Tds {
-            return stream.write_all(&tds::host_bytes(what));
+            return stream.write_all(&tds::host_bytes(args));
         }
         let bytes = match (words.next().unwrap(), words.next().unwrap()) {
             ("value", value) => {
@@ -1082,9 +1082,9 @@
     }
 
     /// Carries out a step of this host.
-    fn run_step(&mut self, verb: &str, what: &str) {
-        match (verb, what.split_once(' ')) {
-            ("expect", None) if what == "closed" => {
+    fn run_step(&mut self, verb: &str, args: &str) {
+        match (verb, args.split_once(' ')) {
+            ("expect", None) if args == "closed" => {
                 let stream = self.current.as_mut().expect("a query was received");
                 stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
                 // The thread that serves the connection reads too: either of the two may see the end.
@@ -1093,7 +1093,7 @@
                     matches!(end, Ok(0)) || end.is_err_and(|e| e.kind() != std::io::ErrorKind::WouldBlock)
                 );
             }
-            ("expect", None) if what == "knock" => {
+            ("expect", None) if args == "knock" => {
                 self.connections.recv_timeout(STEP_TIMEOUT).expect("a connection");
             }
             ("expect", Some(("silence", ms))) => {
@@ -1112,11 +1112,11 @@
             ("expect", _) => {
                 let text = self.next_query(STEP_TIMEOUT).expect("a query");
                 assert!(
-                    what.split(' ').all(|word| text.contains(word)),
-                    "`{text}` does not contain all of `{what}`"
+                    args.split(' ').all(|word| text.contains(word)),
+                    "`{text}` does not contain all of `{args}`"
                 );
             }
-            ("close", _) if what == "reset" => {
+            ("close", _) if args == "reset" => {
                 let stream = self.current.take().expect("a query");
                 let client = stream.peer_addr().unwrap();
                 socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
@@ -1125,13 +1125,13 @@
                 stream.shutdown(Shutdown::Read).unwrap();
             }
             ("close", _) => self.current.take().expect("a query").shutdown(Shutdown::Both).unwrap(),
-            ("send", _) => self.send(what).unwrap(),
+            ("send", _) => self.send(args).unwrap(),
             // The proxy may close the connection during the write; any other error fails the scenario.
             ("try", _) => {
-                let error = self.send(what).err().map(|problem| problem.kind());
+                let error = self.send(args).err().map(|problem| problem.kind());
                 assert!(matches!(error, None | Some(ErrorKind::ConnectionReset | ErrorKind::BrokenPipe)));
             }
-            _ => panic!("unknown step of a host: {verb} {what}"),
+            _ => panic!("unknown step of a host: {verb} {args}"),
         }
     }
 }
@@ -1152,8 +1152,8 @@
 }
 
 /// Returns the bytes of a client's `send` step.
-fn client_bytes(what: &str) -> Vec<u8> {
-    let (kind, rest) = what.split_once(' ').unwrap_or((what, ""));
+fn client_bytes(args: &str) -> Vec<u8> {
+    let (kind, rest) = args.split_once(' ').unwrap_or((args, ""));
     let query = |text: &str| message(b'Q', format!("{text}\0").as_bytes());
     let statement = |verb: &str, class: &str| {
         let mut words = rest.split(' ');
@@ -1178,14 +1178,14 @@
         "write" => {
             statement("INSERT INTO kv (name, content) VALUES ('KEY', '\\x00') RETURNING content", "write")
         }
-        _ => panic!("unknown step of a client: send {what}"),
+        _ => panic!("unknown step of a client: send {args}"),
     }
 }
 
 /// Carries out the `expect` steps that clients of both protocols have. Returns `false` for any other step.
 /// `expect_rest` carries out the step that follows `within MS`.
-fn expect_common(stream: &mut TcpStream, what: &str, expect_rest: fn(&mut TcpStream, &str)) -> bool {
-    let (kind, rest) = what.split_once(' ').unwrap_or((what, ""));
+fn expect_common(stream: &mut TcpStream, args: &str, expect_rest: fn(&mut TcpStream, &str)) -> bool {
+    let (kind, rest) = args.split_once(' ').unwrap_or((args, ""));
     match kind {
         "bytes" => {
             let mut received = vec![0; rest.len() / 2];
@@ -1199,9 +1199,9 @@
             stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
         }
         "within" => {
-            let (ms, what) = rest.split_once(' ').unwrap();
+            let (ms, args) = rest.split_once(' ').unwrap();
             stream.set_read_timeout(Some(Duration::from_millis(ms.parse().unwrap()))).unwrap();
-            expect_rest(stream, what);
+            expect_rest(stream, args);
             stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
         }
         _ => return false,
@@ -1210,11 +1210,11 @@
 }
 
 /// Carries out an `expect` step of a client.
-fn client_expect(stream: &mut TcpStream, what: &str) {
-    if expect_common(stream, what, client_expect) {
+fn client_expect(stream: &mut TcpStream, args: &str) {
+    if expect_common(stream, args, client_expect) {
         return;
     }
-    let (kind, rest) = what.split_once(' ').unwrap_or((what, ""));
+    let (kind, rest) = args.split_once(' ').unwrap_or((args, ""));
     match kind {
         "N" => {
             let mut byte = [0];
@@ -1229,7 +1229,7 @@
     let mut received = String::new();
     loop {
         match read_message(stream) {
-            None => panic!("connection closed after `{received}`, expected `{what}`"),
+            None => panic!("connection closed after `{received}`, expected `{args}`"),
             Some((b'Z', _)) => break,
             Some((b'E', fields)) => {
                 let fields: Vec<&str> = std::str::from_utf8(&fields).unwrap().split('\0').collect();
@@ -1248,7 +1248,7 @@
         "value" => assert_eq!(raw, row(rest), "another value, or none; received `{received}`"),
         "ready" => assert_eq!(received, ""),
         "answer" => {}
-        _ => assert!(received.starts_with(what), "received `{received}`, expected `{what}`"),
+        _ => assert!(received.starts_with(args), "received `{received}`, expected `{args}`"),
     }
 }
 
@@ -1310,13 +1310,13 @@
 }
 
 /// Returns the bytes of a client's `send` step.
-pub fn client_message(what: &str) -> Vec<u8> {
-    client_bytes(what)
+pub fn client_message(args: &str) -> Vec<u8> {
+    client_bytes(args)
 }
 
 /// Returns the bytes of the `send` step of a client that speaks TDS.
-pub fn tds_client_message(what: &str) -> Vec<u8> {
-    tds::client_bytes(what)
+pub fn tds_client_message(args: &str) -> Vec<u8> {
+    tds::client_bytes(args)
 }
 
 /// Plays a scenario with this number of ledger hosts.
--- a/tests/sockets/scenario/tds.rs
+++ b/tests/sockets/scenario/tds.rs
@@ -68,8 +68,8 @@
 }
 
 /// Returns the bytes of a client's `send` step.
-pub fn client_bytes(what: &str) -> Vec<u8> {
-    let (kind, rest) = what.split_once(' ').unwrap_or((what, ""));
+pub fn client_bytes(args: &str) -> Vec<u8> {
+    let (kind, rest) = args.split_once(' ').unwrap_or((args, ""));
     let comment = |class: &str| {
         let (id, d) = rest.split_once(' ').unwrap();
         format!("/* id={id},c={class},t=acme,d={d},k=7,cluster=0 */")
@@ -104,53 +104,53 @@
             let call = Rpc { procedure, options: 0, parameters: Vec::new() };
             packets(PacketType::Rpc, &payload(|out| call.put(out)))
         }
-        _ => panic!("unknown step of a client: send {what}"),
+        _ => panic!("unknown step of a client: send {args}"),
     }
 }
 
 /// Carries out an `expect` step of a client.
-pub fn client_expect(stream: &mut TcpStream, what: &str) {
-    if expect_common(stream, what, client_expect) {
+pub fn client_expect(stream: &mut TcpStream, args: &str) {
+    if expect_common(stream, args, client_expect) {
         return;
     }
-    if what == "closed" {
+    if args == "closed" {
         let end = stream.read(&mut [0]);
         return assert!(
             matches!(end, Ok(0)) || end.is_err_and(|e| e.kind() != std::io::ErrorKind::WouldBlock)
         );
     }
     let (packet, content) =
-        read_message(stream).unwrap_or_else(|| panic!("connection closed, expected `{what}`"));
+        read_message(stream).unwrap_or_else(|| panic!("connection closed, expected `{args}`"));
     assert_eq!(packet, 4);
-    if what == "prelogin" {
+    if args == "prelogin" {
         let server = Prelogin::parse(&content).unwrap();
         return assert_eq!((server.encryption, server.mars), (Encryption::NotSupported, false));
     }
-    assert_eq!(describe(&content), what);
+    assert_eq!(describe(&content), args);
 }
 
 /// Describes a response in the words of the scenario language: `value V`, `number N`, `error NUMBER`, `done`,
 /// `reset`, `attention` or `ready VERSION` (after the login).
 fn describe(content: &[u8]) -> String {
-    let mut heard = String::new();
+    let mut response = String::new();
     for token in Tokens::new(content) {
         match token.expect("a token") {
             Token::Row(values) => {
-                heard = match &values[..] {
+                response = match &values[..] {
                     [Value::Binary(value)] => format!("value {}", String::from_utf8_lossy(value)),
                     [Value::Int(number)] => format!("number {number}"),
                     other => format!("row {other:?}"),
                 }
             }
-            Token::Error(notice) => heard = format!("error {}", notice.number),
-            Token::LoginAck(ack) => heard = format!("ready {:x}", ack.version),
-            Token::Environment(Environment::Reset) => heard = "reset".to_owned(),
-            Token::Done(_, done) if done.attention => heard = "attention".to_owned(),
-            Token::Done(_, done) if heard.is_empty() && !done.error => heard = "done".to_owned(),
+            Token::Error(notice) => response = format!("error {}", notice.number),
+            Token::LoginAck(ack) => response = format!("ready {:x}", ack.version),
+            Token::Environment(Environment::Reset) => response = "reset".to_owned(),
+            Token::Done(_, done) if done.attention => response = "attention".to_owned(),
+            Token::Done(_, done) if response.is_empty() && !done.error => response = "done".to_owned(),
             _ => {}
         }
     }
-    heard
+    response
 }
 
 /// Carries out a host's side of the handshake on a new connection, up to the login.
@@ -197,8 +197,8 @@
 
 /// Returns the bytes of a host's `send` step: `value V [ROLE AHEAD_MS]`, `cut N V` (the first N bytes of that
 /// response), `twice V`, `error NUMBER` or `raw HEX`.
-pub fn host_bytes(what: &str) -> Vec<u8> {
-    let mut words = what.split(' ');
+pub fn host_bytes(args: &str) -> Vec<u8> {
+    let mut words = args.split(' ');
     let (kind, first) = (words.next().unwrap(), words.next().unwrap());
     match kind {
         "value" => {
--- a/tests/sockets/tds.rs
+++ b/tests/sockets/tds.rs
@@ -1,10 +1,9 @@
-//! TDS on sockets, clients and ledger hosts both: conversations in the language of `scenario`, each with what
-//! it guards against.
+//! Clients and ledger hosts that speak TDS, on sockets. The name of each scenario says what it checks.
 
 use crate::scenario::play_tds;
 use rstest::rstest;
 
-/// A client that is logged in, before each scenario's own lines.
+/// Lines that log in a client, before those of a scenario.
 const LOGGED_IN: &str = "
     t1 send prelogin
     t1 expect prelogin
@@ -34,13 +33,13 @@
     t1 expect value done
     h1 expect silence 50"
 )]
-#[case::both_protocols_meet_the_same_hosts(
+#[case::clients_of_both_protocols_reach_the_same_hosts(
     1,
     "
     c1 start
     h1 serve c1 read q1 900 = hello primary"
 )]
-#[case::the_nearest_driver_chatter_is_answered(
+#[case::common_session_statements_of_drivers_are_answered(
     1,
     "
     t1 send text
@@ -61,13 +60,13 @@
     t1 expect error 50010
     h1 expect silence 50"
 )]
-#[case::a_session_set_back_is_told_so(
+#[case::a_session_reset_is_acknowledged(
     1,
     "
     t1 send raw 01090028000001001600000012000000020000000000000000000100000053004500540020004100
     t1 expect reset"
 )]
-#[case::requests_that_make_no_sense_fail_and_are_not_refused(
+#[case::invalid_requests_fail_and_are_not_rejected(
     1,
     "
     t1 send text SELECT 2
@@ -98,7 +97,7 @@
     h1 expect id=q1
     t1 send attention
     t1 expect within 500 attention
-    h1 expect closed                    # the attempt is given up by a close
+    h1 expect closed                    # the attempt is cancelled by closing its connection
     t1 send read q2 900
     h1 expect id=q2
     h1 send value two primary
@@ -159,7 +158,7 @@
     t1 expect error 50010
     t1 expect closed"
 )]
-#[case::what_cannot_be_read_ends_the_connection_and_hurts_nobody(
+#[case::a_malformed_message_ends_the_connection_and_affects_no_other_client(
     1,
     "
     t2 send prelogin
@@ -175,14 +174,14 @@
     h1 send value fine primary
     t2 expect value fine"
 )]
-#[case::a_message_that_does_not_end_is_told_within_three_seconds(
+#[case::an_incomplete_message_is_reported_within_three_seconds(
     1,
     "
     t1 send raw 0101002600000100
     t1 expect within 2900 error 4002
     t1 expect closed"
 )]
-#[case::an_unpaired_surrogate_is_no_statement(
+#[case::an_unpaired_surrogate_is_an_invalid_statement(
     1,
     "
     t1 send raw 01010020000001001600000012000000020000000000000000000100000000d8
@@ -194,17 +193,17 @@
 }
 
 #[rstest]
-#[case::a_reset_write_goes_out_again_with_its_key(
+#[case::a_reset_write_is_retried_with_its_key(
     1,
     "
     t1 send write w1 2900
     h1 expect id=w1 k=7
-    h1 close                            # after its last byte: it may have run
+    h1 close                            # after the request's last byte: it may have run
     h1 expect k=7
     h1 send value done primary
     t1 expect value done"
 )]
-#[case::an_answer_cut_inside_a_token_is_none(
+#[case::an_answer_truncated_inside_a_token_is_an_error(
     1,
     "
     t1 send write w1 2900
@@ -216,7 +215,7 @@
     t1 expect value whole
     t1 expect silence 50"
 )]
-#[case::a_second_copy_behind_an_answer_spoils_the_connection_only(
+#[case::a_duplicate_answer_costs_only_the_connection(
     1,
     "
     t1 send read q1 900
@@ -238,7 +237,7 @@
     h1 send value two primary
     t1 expect value two"
 )]
-#[case::an_answer_said_to_have_3_gb_is_none(
+#[case::an_answer_with_a_length_of_3_gb_is_an_error(
     1,
     "
     t1 send read q1 900
@@ -254,12 +253,12 @@
     "
     t1 send write w1 2900
     any expect id=w1
-    any send error 3906                 # no primary any more
+    any send error 3906                 # the host is no longer the primary
     any expect id=w1
     any send value done primary
     t1 expect value done"
 )]
-#[case::a_full_host_sends_the_client_away_with_a_time(
+#[case::an_overloaded_host_has_the_client_retry_later(
     1,
     "
     t1 send read q1 300
@@ -284,14 +283,14 @@
 }
 
 #[rstest]
-#[case::encryption_is_declined_where_that_is_accepted(
+#[case::encryption_is_declined_for_clients_that_accept_that(
     "
     t1 send prelogin off
     t1 expect prelogin
     t1 send login 72090002
     t1 expect ready 72090002"
 )]
-#[case::who_insists_on_encryption_gets_a_readable_end(
+#[case::a_client_that_requires_encryption_gets_an_error(
     "
     t1 send prelogin required
     t1 expect prelogin
@@ -299,13 +298,13 @@
     t1 expect error 18456
     t1 expect closed"
 )]
-#[case::tls_from_the_first_byte_on_gets_an_alert(
+#[case::tls_from_the_first_byte_gets_an_alert(
     "
     t1 send raw 16030100050100000100
     t1 expect bytes 15030100020246
     t1 expect closed"
 )]
-#[case::old_versions_and_integrated_logins_are_turned_down(
+#[case::old_versions_and_integrated_logins_are_rejected(
     "
     t1-2 send prelogin
     t1-2 expect prelogin
@@ -316,13 +315,13 @@
     t2 expect error 18456
     t2 expect closed"
 )]
-#[case::a_login_before_the_handshake_is_none(
+#[case::a_login_before_the_handshake_is_rejected(
     "
     t1 send login
     t1 expect error 4002
     t1 expect closed"
 )]
-#[case::a_login_whose_table_runs_out_is_none(
+#[case::a_login_with_a_truncated_table_is_rejected(
     "
     t1 send prelogin
     t1 expect prelogin
@@ -330,19 +329,19 @@
     t1 expect error 4002
     t1 expect closed"
 )]
-#[case::postgres_on_the_port_of_tds_is_told_in_its_own_words(
+#[case::a_postgresql_client_on_the_tds_port_gets_an_error_in_its_protocol(
     "
     t1 send raw 0000002100030000757365720061
     t1 expect bytes 45                  # ErrorResponse
-    t2 send raw 0000000804d2162f        # and with a request for encryption first
+    t2 send raw 0000000804d2162f        # also after a request for encryption
     t2 expect bytes 45"
 )]
-#[case::tds_on_the_port_of_postgres_is_told_in_its_own_words(
+#[case::a_tds_client_on_the_postgresql_port_gets_an_error_in_its_protocol(
     "
     c1 send raw 1201002f00000100
     c1 expect bytes 0401"
 )]
-#[case::who_says_nothing_is_cut_off(
+#[case::a_silent_client_is_disconnected(
     "
     t1 send raw 12
     t1 expect within 2000 closed"
