--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -119,7 +119,7 @@
     /// was told of a drain is not known: where proxies ask for changes it counts as told to all only once it has to be
     /// known to each.
     pub fn shared(spec: &Spec) -> Self {
-        let is_asked = matches!(spec.discovery, Discovery::Asked { .. });
+        let is_asked = matches!(spec.discovery, Discovery::Polled { .. });
         let known = if is_asked { KNOWN_TO_ALL } else { 0 };
         Self { is_shared: true, grace: spec.drain_grace + known, ..Self::default() }
     }
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -1,160 +1,161 @@
-//! One ledger host: its cores, its queue, and how warm it is.
+//! A database host: its cores, its queue, and its slow start.
 
 use crate::spec::Spec;
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// What a host is up to.
+/// State of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Serves.
+    /// The host serves.
     Up,
-    /// Finishes what it has.
+    /// The host finishes the requests that it holds and rejects new ones.
     Draining,
-    /// Takes requests and answers none.
+    /// The host accepts requests and answers none.
     Hung,
-    /// The network has cut it off: nobody reaches it.
+    /// The network has cut the host off: nobody reaches it.
     Isolated,
-    /// Its process is gone.
+    /// The host's process is gone.
     Dead,
-    /// It was pushed over while it was cold, and stays down.
-    Fallen,
+    /// The host crashed because it was sent too much while it was cold, and stays down.
+    Crashed,
 }
 
-/// What becomes of an answer once its host has written it.
+/// Fate of an answer after its host has written it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It arrives.
+    /// The answer arrives.
     Complete,
-    /// It is lost, and its connection stays open and silent.
+    /// The answer is lost, and its connection stays open and silent.
     Silence,
-    /// It is lost, and its connection is reset.
+    /// The answer is lost, and its connection is reset.
     Reset,
 }
 
-/// The requests that a host holds, by number.
+/// A simulated host and the tickets of the requests that it holds.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// What it is up to.
+    /// The host's state.
     pub state: State,
-    /// When it last started, if that was lately.
+    /// The time of the host's last restart; none if it has run from the beginning.
     pub started: Option<Micros>,
-    /// Of its requests that share fails.
-    pub fails: f64,
-    /// Of its answers that share is lost on the way, and how.
-    pub loses: Option<(f64, Delivery)>,
-    /// Each request takes so many times longer.
-    pub slower: f64,
+    /// The share of its requests that fail, from 0 to 1.
+    pub error_share: f64,
+    /// The share of its answers that are lost on the way, and the way in which they are lost.
+    pub answer_loss: Option<(f64, Delivery)>,
+    /// The factor by which each request takes longer.
+    pub slowdown: f64,
     running: Vec<u64>,
-    waiting: VecDeque<u64>,
-    /// Work that has come since it started cold: when, and how much on one core.
-    sent: VecDeque<(Micros, Micros)>,
+    queued: VecDeque<u64>,
+    /// Work that arrived within the slow-start budget window, as arrival times and service times on one core.
+    /// Empty while the host is warm.
+    recent_work: VecDeque<(Micros, Micros)>,
     cores: usize,
-    queue: usize,
+    queue_limit: usize,
 }
 
-/// What happens to a request that has come.
+/// Result of admitting a request to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// A core takes it at once.
-    Runs,
-    /// It waits.
-    Waits,
-    /// There is no room.
+pub enum Admission {
+    /// A core processes the request at once.
+    Running,
+    /// The request is queued.
+    Queued,
+    /// The queue is full.
     Full,
 }
 
 impl Host {
-    /// A warm host that has nothing to do.
+    /// Creates a warm, idle host.
     pub fn new(spec: &Spec) -> Self {
         Self {
             state: State::Up,
             started: None,
-            fails: 0.0,
-            loses: None,
-            slower: 1.0,
+            error_share: 0.0,
+            answer_loss: None,
+            slowdown: 1.0,
             running: Vec::new(),
-            waiting: VecDeque::new(),
-            sent: VecDeque::new(),
+            queued: VecDeque::new(),
+            recent_work: VecDeque::new(),
             cores: spec.cores,
-            queue: spec.queue,
+            queue_limit: spec.queue,
         }
     }
 
-    /// Its capacity as a share of the full one.
+    /// Returns the host's present capacity as a fraction of its full capacity.
     pub fn warmth(&self, spec: &Spec, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let grown = (now - started) as f64 / spec.slow_start_window as f64;
-        (spec.slow_start_initial_fraction + (1.0 - spec.slow_start_initial_fraction) * grown)
+        let progress = (now - started) as f64 / spec.slow_start_window as f64;
+        (spec.slow_start_initial_fraction + (1.0 - spec.slow_start_initial_fraction) * progress)
             .clamp(spec.slow_start_initial_fraction, 1.0)
     }
 
-    /// How long so much work takes on one of its cores, as warm as it is now.
-    pub fn takes(&self, work: Micros, spec: &Spec, now: Micros) -> Micros {
-        (work as f64 * self.slower / self.warmth(spec, now)) as Micros
+    /// Returns the time that work takes on one of the host's cores with its present capacity.
+    pub fn service_time(&self, work: Micros, spec: &Spec, now: Micros) -> Micros {
+        (work as f64 * self.slowdown / self.warmth(spec, now)) as Micros
     }
 
-    /// Starts again, cold, with nothing in hand.
+    /// Restarts the host: cold and without requests.
     pub fn restart(&mut self, now: Micros) {
         self.state = State::Up;
         self.started = Some(now);
-        (self.fails, self.slower) = (0.0, 1.0);
-        self.sent.clear();
+        (self.error_share, self.slowdown) = (0.0, 1.0);
+        self.recent_work.clear();
         self.drop_all();
     }
 
-    /// Gives up all that it holds: the requests' numbers.
+    /// Drops all requests that the host holds and returns their tickets.
     pub fn drop_all(&mut self) -> Vec<u64> {
-        self.running.drain(..).chain(self.waiting.drain(..)).collect()
+        self.running.drain(..).chain(self.queued.drain(..)).collect()
     }
 
-    /// Counts work that has come, rejected or not; whether it has pushed the host over.
-    pub fn pushed_over(&mut self, work: Micros, spec: &Spec, now: Micros) -> bool {
+    /// Records arrived work, rejected or not, and returns whether a cold host crashes under it.
+    pub fn crashes_under(&mut self, work: Micros, spec: &Spec, now: Micros) -> bool {
         let warmth = self.warmth(spec, now);
         if warmth >= 1.0 {
-            self.sent.clear();
+            self.recent_work.clear();
             return false;
         }
-        self.sent.push_back((now, work));
-        while self.sent.front().is_some_and(|(at, _)| now - at > spec.slow_start_budget_window) {
-            self.sent.pop_front();
+        self.recent_work.push_back((now, work));
+        while self.recent_work.front().is_some_and(|(at, _)| now - at > spec.slow_start_budget_window) {
+            self.recent_work.pop_front();
         }
-        let sent: Micros = self.sent.iter().map(|(_, work)| work).sum();
-        // A tenth for chance, as the simulator's rule has it, and no more than the operators' bound.
+        let recent_work: Micros = self.recent_work.iter().map(|(_, work)| work).sum();
+        // As in the simulator's rule, 10 % are added for random excess, up to the operators' bound.
         let allowance = spec.cold_allowance(warmth);
-        sent as f64 > (allowance * 1.1).min(Spec::cold_bound(allowance)) * spec.mean_work()
+        recent_work as f64 > (allowance * 1.1).min(Spec::cold_bound(allowance)) * spec.mean_work()
     }
 
-    /// Takes a request in.
-    pub fn take(&mut self, request: u64) -> Taken {
+    /// Admits a request to a core or to the queue, if there is room.
+    pub fn admit(&mut self, request: u64) -> Admission {
         if self.running.len() < self.cores {
             self.running.push(request);
-            return Taken::Runs;
+            return Admission::Running;
         }
-        if self.waiting.len() < self.queue {
-            self.waiting.push_back(request);
-            return Taken::Waits;
+        if self.queued.len() < self.queue_limit {
+            self.queued.push_back(request);
+            return Admission::Queued;
         }
-        Taken::Full
+        Admission::Full
     }
 
-    /// A request has ended; the one that takes its core.
-    pub fn end(&mut self, request: u64) -> Option<u64> {
+    /// Ends a running request and returns the queued request that starts on its core.
+    pub fn finish(&mut self, request: u64) -> Option<u64> {
         self.running.retain(|other| *other != request);
-        let next = self.waiting.pop_front()?;
+        let next = self.queued.pop_front()?;
         self.running.push(next);
         Some(next)
     }
 
-    /// Drops a request that waits; one that runs goes on. Whether it waited.
-    pub fn drop_waiting(&mut self, request: u64) -> bool {
-        let before = self.waiting.len();
-        self.waiting.retain(|other| *other != request);
-        self.waiting.len() < before
+    /// Drops a queued request and returns whether it was queued; a running request goes on.
+    pub fn drop_queued(&mut self, request: u64) -> bool {
+        let before = self.queued.len();
+        self.queued.retain(|other| *other != request);
+        self.queued.len() < before
     }
 
-    /// How busy its cores are.
-    pub fn busy(&self) -> f64 {
+    /// Returns the share of the cores that are busy.
+    pub fn utilization(&self) -> f64 {
         self.running.len() as f64 / self.cores as f64
     }
 }
--- a/crates/emulator/src/keys.rs
+++ b/crates/emulator/src/keys.rs
@@ -1,64 +1,64 @@
-//! The keys that a ledger set has recorded: a repeat within the window is dropped, one after it is recorded
-//! again, and that is a double sale.
+//! Idempotency keys that a group has recorded. A repeat within the window is dropped; a repeat after the
+//! window is recorded again, which corresponds to a sale that is booked twice.
 
 use crate::Micros;
 use std::collections::HashMap;
 
-/// What became of a write.
+/// Result of recording a write's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recorded {
-    /// Recorded for the first time.
+    /// The key was recorded for the first time.
     First,
-    /// Dropped as a repeat; this is when the first one was committed.
+    /// The write was dropped as a repeat; holds the commit time of the write that was recorded.
     Repeat(Micros),
-    /// Recorded once more: the window had passed.
+    /// The key was recorded once more, because the window had passed.
     Again,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     committed: Micros,
-    times: u32,
+    count: u32,
 }
 
-/// The keys of one ledger set.
+/// Recorded idempotency keys of a group.
 #[derive(Clone, Debug, Default)]
 pub struct Keys {
     entries: HashMap<String, Entry>,
 }
 
 impl Keys {
-    /// A write with this key is about to be committed.
+    /// Records the key of a write that is about to be committed.
     pub fn record(&mut self, key: &str, now: Micros, window: Micros) -> Recorded {
         match self.entries.get_mut(key) {
             Some(entry) if now - entry.committed <= window => Recorded::Repeat(entry.committed),
             Some(entry) => {
-                (entry.committed, entry.times) = (now, entry.times + 1);
+                (entry.committed, entry.count) = (now, entry.count + 1);
                 Recorded::Again
             }
             None => {
-                self.entries.insert(key.to_owned(), Entry { committed: now, times: 1 });
+                self.entries.insert(key.to_owned(), Entry { committed: now, count: 1 });
                 Recorded::First
             }
         }
     }
 
-    /// How often a key is recorded.
-    pub fn times(&self, key: &str) -> u32 {
-        self.entries.get(key).map_or(0, |entry| entry.times)
+    /// Returns how often a key was recorded.
+    pub fn count(&self, key: &str) -> u32 {
+        self.entries.get(key).map_or(0, |entry| entry.count)
     }
 
-    /// Keys recorded more than once.
-    pub fn doubled(&self) -> usize {
-        self.entries.values().filter(|entry| entry.times > 1).count()
+    /// Returns the number of keys that were recorded more than once.
+    pub fn recorded_again(&self) -> usize {
+        self.entries.values().filter(|entry| entry.count > 1).count()
     }
 
-    /// Keys recorded.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is.
+    /// Returns whether no key is recorded.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,8 +1,10 @@
-//! Ledger sets, discovery and clients that this repository writes itself.
+//! Emulated database hosts, discovery service and clients, for tests and for the test bench.
 //!
-//! [`world::World`] is one account of ledger sets without I/O: it is told what comes to a host and when, and says
-//! what the host answers and when. [`net`] puts it on sockets, under PostgreSQL's protocol 3 or TDS, so that both
-//! meet the same world. [`checker::Checker`] judges the rules by what crossed the sockets. Seed in, same world out.
+//! [`world::World`] simulates replicated groups of hosts without I/O: the caller reports which requests
+//! arrive at a host and when, and the world returns the host's replies and their times. [`net`] serves the
+//! world on sockets, with PostgreSQL's protocol 3 or TDS, so that both protocols meet the same behaviour.
+//! [`checker::Checker`] checks the rules that a proxy has to keep against the traffic that hosts and clients
+//! see. The same seed always gives the same world.
 #![forbid(unsafe_code)]
 
 pub mod checker;
@@ -16,10 +18,10 @@
 pub mod spec;
 pub mod world;
 
-/// A moment or a span, in microseconds; moments are Unix times.
+/// A point in time, as microseconds since the Unix epoch, or a time span in microseconds.
 pub type Micros = i64;
 
-/// So many microseconds have a millisecond.
+/// One millisecond.
 pub const MS: Micros = 1_000;
-/// So many microseconds have a second.
+/// One second.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/emulator/src/net/discovery.rs
+++ b/crates/emulator/src/net/discovery.rs
@@ -152,11 +152,11 @@
 
 /// Where discovery is one service for all, calls come one after the other; false once one has waited too long.
 async fn wait_turn(terms: Discovery, gate: &Semaphore) -> bool {
-    let Discovery::Asked { call, patience } = terms else { return true };
+    let Discovery::Polled { call_duration, max_wait } = terms else { return true };
     let span = |micros: Micros| Duration::from_micros(micros.max(0) as u64);
-    match timeout(span(patience), gate.acquire()).await {
+    match timeout(span(max_wait), gate.acquire()).await {
         Ok(Ok(_turn)) => {
-            sleep(span(call)).await;
+            sleep(span(call_duration)).await;
             true
         }
         _ => false,
--- a/crates/emulator/src/net/postgres.rs
+++ b/crates/emulator/src/net/postgres.rs
@@ -1,7 +1,7 @@
 //! A host's side of PostgreSQL's protocol 3.
 
 use super::front::{Front, Heard};
-use crate::replication::told;
+use crate::replication::to_reported_ms;
 use crate::world::Reply;
 use bytes::BytesMut;
 use wheelpier_pgwire::{
@@ -57,7 +57,7 @@
             Reply::Served { content, position, primary, needed } => {
                 row(out, "content", content.as_bytes());
                 parameter(out, "role", if *primary { "primary" } else { "replica" });
-                parameter(out, "applied_ms", &told(*position, needed.is_none()).to_string());
+                parameter(out, "applied_ms", &to_reported_ms(*position, needed.is_none()).to_string());
             }
             Reply::ReadOnly => error(out, "ERROR", "25006", "this is no primary", None),
             Reply::Behind => error(out, "ERROR", "72000", "too far behind", None),
--- a/crates/emulator/src/net/tds.rs
+++ b/crates/emulator/src/net/tds.rs
@@ -1,7 +1,7 @@
 //! A host's side of TDS 7.4.
 
 use super::front::{Front, Heard};
-use crate::replication::told;
+use crate::replication::to_reported_ms;
 use crate::world::Reply;
 use bytes::{Bytes, BytesMut};
 use wheelpier_tds::{
@@ -134,7 +134,7 @@
         match reply {
             Reply::Served { content, position, primary, needed } => {
                 let role = if *primary { "primary" } else { "replica" };
-                let stamp = format!("role={role} applied_ms={}", told(*position, needed.is_none()));
+                let stamp = format!("role={role} applied_ms={}", to_reported_ms(*position, needed.is_none()));
                 self.row(content.clone().into(), Some(stamp), out);
             }
             Reply::ReadOnly => self.error(numbers::READ_ONLY, "this is no primary", out),
--- a/crates/emulator/src/replication.rs
+++ b/crates/emulator/src/replication.rs
@@ -1,40 +1,47 @@
-//! The log of one ledger set: who is primary, and how far each member has applied it.
+//! The replicated log of a group: its primary, and the position up to which each member has applied the log.
 
 use crate::{Micros, SECOND};
 
-/// A member's place in the log. Kept as a point and a speed, so that any later moment can be asked for.
+/// Progress of a member in the log, as a position at a point in time and a speed, from which the position at
+/// any later time follows.
 #[derive(Clone, Debug)]
 struct Applied {
     at: Micros,
     position: Micros,
-    /// How far the log is away.
-    ship: Micros,
-    /// Positions applied per unit of time when there is a backlog.
+    /// The delay of the log on its way from the primary.
+    delay: Micros,
+    /// The positions applied per unit of time while there is a backlog.
     speed: f64,
 }
 
-/// The log of one ledger set. Positions are times up to which all commits are applied.
+/// The replicated log of a group. A position is the time up to which all commits are applied.
 #[derive(Clone, Debug)]
 pub struct Replication {
-    /// By member.
+    /// The progress of each member.
     applied: Vec<Applied>,
     primary: Option<usize>,
-    /// Where the log ends while there is no primary.
-    stands: Micros,
+    /// The end of the log while there is no primary.
+    end: Micros,
     last_commit: Micros,
 }
 
 impl Replication {
-    /// Members, each with its way from the primary and the share of the time that it applies; the first is primary.
+    /// Creates the log of a group. `members` holds the delay from the primary and the share of the time spent
+    /// on applying the log, for each member; the first member is the primary.
     pub fn new(members: &[(Micros, f64)], now: Micros) -> Self {
         let applied = members
             .iter()
-            .map(|(ship, busy)| Applied { at: now, position: now - ship, ship: *ship, speed: 1.0 / busy })
+            .map(|(delay, utilization)| Applied {
+                at: now,
+                position: now - delay,
+                delay: *delay,
+                speed: 1.0 / utilization,
+            })
             .collect();
-        Self { applied, primary: Some(0), stands: now, last_commit: now }
+        Self { applied, primary: Some(0), end: now, last_commit: now }
     }
 
-    /// The primary, if there is one.
+    /// Returns the primary, if there is one.
     pub fn primary(&self) -> Option<usize> {
         self.primary
     }
@@ -43,83 +50,86 @@
         if self.primary.is_some() {
             now
         } else {
-            self.stands
+            self.end
         }
     }
 
-    /// Up to where a member has applied the log.
+    /// Returns the position up to which a member has applied the log.
     pub fn position(&self, member: usize, now: Micros) -> Micros {
         if self.primary == Some(member) {
             return now;
         }
-        let one = &self.applied[member];
-        let most = (self.head(now) - one.ship).max(one.position);
-        (one.position + ((now - one.at) as f64 * one.speed) as Micros).min(most)
+        let progress = &self.applied[member];
+        let available = (self.head(now) - progress.delay).max(progress.position);
+        (progress.position + ((now - progress.at) as f64 * progress.speed) as Micros).min(available)
     }
 
-    /// When a member will have reached a position, as things are; none if it never will.
-    pub fn reaches(&self, member: usize, position: Micros, now: Micros) -> Option<Micros> {
+    /// Returns the time at which a member reaches a position if nothing changes, or none if it never will.
+    pub fn time_of_reaching(&self, member: usize, position: Micros, now: Micros) -> Option<Micros> {
         if self.position(member, now) >= position {
             return Some(now);
         }
-        let one = &self.applied[member];
-        let by_speed = one.at + ((position - one.position) as f64 / one.speed).ceil() as Micros;
+        let progress = &self.applied[member];
+        let caught_up_at =
+            progress.at + ((position - progress.position) as f64 / progress.speed).ceil() as Micros;
         match self.primary {
-            Some(_) => Some(by_speed.max(position + one.ship)),
-            None if self.stands - one.ship >= position => Some(by_speed),
+            Some(_) => Some(caught_up_at.max(position + progress.delay)),
+            None if self.end - progress.delay >= position => Some(caught_up_at),
             None => None,
         }
     }
 
-    fn settle(&mut self, now: Micros) {
+    fn rebase(&mut self, now: Micros) {
         for member in 0..self.applied.len() {
             let position = self.position(member, now);
-            let one = &mut self.applied[member];
-            (one.at, one.position) = (now, position);
+            let progress = &mut self.applied[member];
+            (progress.at, progress.position) = (now, position);
         }
     }
 
-    /// A member applies so many times more slowly from now on, or as ever again.
-    pub fn slow(&mut self, member: usize, times: f64, busy: f64, now: Micros) {
-        self.settle(now);
-        self.applied[member].speed = 1.0 / (busy * times.max(1.0));
+    /// Slows a member's application of the log down by the factor `times` from now on; 1 restores its normal
+    /// speed.
+    pub fn set_slowdown(&mut self, member: usize, times: f64, utilization: f64, now: Micros) {
+        self.rebase(now);
+        self.applied[member].speed = 1.0 / (utilization * times.max(1.0));
     }
 
-    /// The set has no primary from now on.
-    pub fn behead(&mut self, now: Micros) {
-        self.settle(now);
-        self.stands = self.head(now);
+    /// Leaves the group without a primary from now on.
+    pub fn remove_primary(&mut self, now: Micros) {
+        self.rebase(now);
+        self.end = self.head(now);
         self.primary = None;
     }
 
-    /// The one among these that has most of the log takes over; whether there is one. It has applied what was
-    /// acknowledged before it takes its first write.
-    pub fn elect(&mut self, alive: &[usize], now: Micros) -> Option<usize> {
-        self.settle(now);
-        let best = *alive.iter().max_by_key(|member| self.applied[**member].position)?;
+    /// Makes the candidate with the most advanced position the primary and returns it, or none without
+    /// candidates. The new primary has applied all acknowledged commits before it accepts its first write.
+    pub fn elect(&mut self, candidates: &[usize], now: Micros) -> Option<usize> {
+        self.rebase(now);
+        let best = *candidates.iter().max_by_key(|member| self.applied[**member].position)?;
         self.primary = Some(best);
         Some(best)
     }
 
-    /// A member applies nothing while it is down: it goes on from where it stood.
-    pub fn resume(&mut self, member: usize, stood: Micros, now: Micros) {
-        self.settle(now);
-        self.applied[member].position = stood.min(now);
+    /// Lets a member that was down continue from its position at that time, as it applied nothing in between.
+    pub fn resume(&mut self, member: usize, position: Micros, now: Micros) {
+        self.rebase(now);
+        self.applied[member].position = position.min(now);
     }
 
-    /// The next commit's position: the present, and after the one before.
+    /// Returns the position of the next commit: the present, but after the previous commit.
     pub fn commit(&mut self, now: Micros) -> Micros {
         self.last_commit = now.max(self.last_commit + 1);
         self.last_commit
     }
 }
 
-/// Positions as they are told: in whole milliseconds, commits up, what is applied down.
-pub fn told(position: Micros, commit: bool) -> i64 {
-    let ms = SECOND / 1_000;
-    if commit {
-        (position + ms - 1).div_euclid(ms)
+/// Converts a position to whole milliseconds, as hosts report it: commits are rounded up, applied positions
+/// down.
+pub fn to_reported_ms(position: Micros, is_commit: bool) -> i64 {
+    let unit = SECOND / 1_000;
+    if is_commit {
+        (position + unit - 1).div_euclid(unit)
     } else {
-        position.div_euclid(ms)
+        position.div_euclid(unit)
     }
 }
--- a/crates/emulator/src/schedule.rs
+++ b/crates/emulator/src/schedule.rs
@@ -1,46 +1,46 @@
-//! What clients ask and when: drawn ahead, whatever the answers are.
+//! Client requests and their times, drawn in advance and independent of the answers.
 
 use crate::spec::{Freshness, Spec};
 use crate::{Micros, MS, SECOND};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How long after a write its session reads, in the mean.
-const GAP: Micros = 300 * MS;
-/// Share of the session reads that follow a write.
-const FOLLOWS: f64 = 0.8;
-/// Sessions that have written lately and may read.
-const RECENT: usize = 256;
+/// Mean time between a write and a later read of the same session.
+const MEAN_READ_DELAY: Micros = 300 * MS;
+/// Share of session reads that follow a write of the same session.
+const READS_AFTER_WRITE: f64 = 0.8;
+/// Number of recent writes whose sessions may still read.
+const MAX_RECENT_WRITES: usize = 256;
 
-/// A request.
+/// A planned request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
-    /// When it is sent, counted from the start.
+    /// The time at which it is sent, counted from the start.
     pub at: Micros,
-    /// Its id.
+    /// The request id.
     pub id: String,
-    /// Its class.
+    /// The index of the request class.
     pub class: usize,
-    /// Its tenant; 0 where there are none.
+    /// The index of the tenant; 0 if the deployment has no tenants.
     pub tenant: usize,
-    /// Where it comes to any proxy instead of its session's own: a number to choose by.
+    /// A random number to choose a proxy by, if the request does not go to its session's own proxy.
     pub roams: Option<u64>,
-    /// The set that holds its data.
+    /// The index of the group that holds the data.
     pub group: usize,
-    /// The session, or what a read reads.
+    /// The session, which is also the name of the value that is read or written.
     pub session: String,
-    /// A write's key.
+    /// The idempotency key of a write.
     pub key: Option<String>,
-    /// A write's value.
+    /// The value of a write.
     pub value: Vec<u8>,
 }
 
-/// Draws the requests of so many seconds at a rate a second, in the order of their times.
+/// Draws the requests of a time span, at `rate` requests per second, ordered by time.
 pub fn plan(spec: &Spec, seed: u64, rate: f64, span: Micros) -> Vec<Planned> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     let mut plan: Vec<Planned> = Vec::new();
-    // Sessions that have written: when, which, and in which set.
-    let mut wrote: Vec<(Micros, String, usize)> = Vec::new();
+    // Recent writes: time, session and group.
+    let mut recent_writes: Vec<(Micros, String, usize)> = Vec::new();
     let mut at = 0.0;
     loop {
         at += -(1.0 - random.random::<f64>()).ln() / rate * SECOND as f64;
@@ -59,33 +59,35 @@
             Freshness::Write => {
                 key = Some(format!("{:016x}", random.next_u64()));
                 value = (0..random.random_range(8..200)).map(|_| random.random()).collect();
-                wrote.push((now, session.clone(), group));
-                if wrote.len() > RECENT {
-                    wrote.remove(0);
+                recent_writes.push((now, session.clone(), group));
+                if recent_writes.len() > MAX_RECENT_WRITES {
+                    recent_writes.remove(0);
                 }
             }
-            Freshness::Session if random.random_bool(FOLLOWS) => {
-                let gap = (-(1.0 - random.random::<f64>()).ln() * GAP as f64) as Micros;
-                let before = wrote.iter().rev().find(|(when, ..)| now - when >= gap.min(2 * SECOND));
-                if let Some((_, of, set)) = before {
-                    (session, group) = (of.clone(), *set);
+            Freshness::Session if random.random_bool(READS_AFTER_WRITE) => {
+                let delay = (-(1.0 - random.random::<f64>()).ln() * MEAN_READ_DELAY as f64) as Micros;
+                let last_write =
+                    recent_writes.iter().rev().find(|(at, ..)| now - at >= delay.min(2 * SECOND));
+                if let Some((_, writer, writer_group)) = last_write {
+                    (session, group) = (writer.clone(), *writer_group);
                 }
             }
             _ => {}
         }
-        let roams = (spec.roams > 0.0 && random.random_bool(spec.roams)).then(|| random.next_u64());
+        let roams =
+            (spec.roaming_share > 0.0 && random.random_bool(spec.roaming_share)).then(|| random.next_u64());
         plan.push(Planned { at: now, id, class, tenant, roams, group, session, key, value });
     }
 }
 
-/// An index, each as likely as its share.
+/// Draws an index with a probability equal to its share.
 fn pick(random: &mut ChaCha8Rng, shares: impl Iterator<Item = f64>) -> usize {
-    let mut left: f64 = random.random();
+    let mut remaining: f64 = random.random();
     let mut last = 0;
-    for (n, share) in shares.enumerate() {
-        last = n;
-        left -= share;
-        if left < 0.0 {
+    for (index, share) in shares.enumerate() {
+        last = index;
+        remaining -= share;
+        if remaining < 0.0 {
             break;
         }
     }
@@ -93,7 +95,7 @@
 }
 
 impl Planned {
-    /// The statement, in protocol 3's form, for a client that waits so long.
+    /// Returns the statement in the form of PostgreSQL's protocol 3, for a client that waits for `wait`.
     pub fn statement(&self, spec: &Spec, wait: Micros) -> String {
         let class = &spec.classes[self.class];
         let tenant = spec.tenants.get(self.tenant).map(|(name, _)| format!(",t={name}")).unwrap_or_default();
@@ -108,8 +110,8 @@
         match class.freshness {
             Freshness::Write => {
                 let digits: String = self.value.iter().map(|byte| format!("{byte:02x}")).collect();
-                let (session, head) = (&self.session, "INSERT INTO kv (name, content) VALUES");
-                format!("{head} ('{session}', '\\x{digits}') RETURNING content {comment}")
+                let (session, insert) = (&self.session, "INSERT INTO kv (name, content) VALUES");
+                format!("{insert} ('{session}', '\\x{digits}') RETURNING content {comment}")
             }
             _ => format!("SELECT content FROM kv WHERE name = '{}' {comment}", self.session),
         }
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -1,56 +1,57 @@
-//! Faults and when they come.
+//! Schedules of host faults.
 
 use crate::world::HostFault;
 use crate::{Micros, SECOND};
 
-/// A fault at its time, counted from the start.
+/// A fault and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When.
+    /// The time, counted from the start of the script.
     pub at: Micros,
-    /// What.
+    /// The fault.
     pub fault: HostFault,
 }
 
-/// Faults in the order of their times.
+/// A sequence of faults, ordered by time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Script {
     steps: Vec<Step>,
 }
 
 impl Script {
-    /// No fault at all.
+    /// Returns a script without faults.
     pub fn empty() -> Self {
         Self::default()
     }
 
-    /// With one more fault, so many seconds after the start.
+    /// Adds a fault, at a time in seconds after the start of the script.
     pub fn then(mut self, seconds: f64, fault: HostFault) -> Self {
         let at = (seconds * SECOND as f64) as Micros;
-        let place = self.steps.partition_point(|step| step.at <= at);
-        self.steps.insert(place, Step { at, fault });
+        let index = self.steps.partition_point(|step| step.at <= at);
+        self.steps.insert(index, Step { at, fault });
         self
     }
 
-    /// A calm stretch, a primary's death and its cold return, a drain, and lag, over so many seconds. Hosts are
-    /// numbered set by set, the first of each being its primary at first.
+    /// Returns the script of the parity test, for a run of the given length: a period without faults, the
+    /// death and cold return of a primary, a drain, and lag. Hosts are numbered group by group, and the first
+    /// host of each group is its first primary.
     pub fn parity(seconds: f64, members: usize) -> Self {
-        let part = |share: f64| seconds * share;
+        let at = |share: f64| seconds * share;
         let span = |share: f64| (seconds * share * SECOND as f64) as Micros;
-        let other = members;
+        let second_group = members;
         Self::empty()
-            .then(part(0.2), HostFault::Death { host: 0, span: span(0.2) })
-            .then(part(0.45), HostFault::Drain { host: other + 1, span: span(0.2) })
-            .then(part(0.7), HostFault::Lag { host: other + 2, times: 12.0, span: span(0.15) })
-            .then(part(0.7), HostFault::Lag { host: 2, times: 12.0, span: span(0.15) })
+            .then(at(0.2), HostFault::Death { host: 0, span: span(0.2) })
+            .then(at(0.45), HostFault::Drain { host: second_group + 1, span: span(0.2) })
+            .then(at(0.7), HostFault::Lag { host: second_group + 2, times: 12.0, span: span(0.15) })
+            .then(at(0.7), HostFault::Lag { host: 2, times: 12.0, span: span(0.15) })
     }
 
-    /// The next fault due by then, counted from the start.
+    /// Removes and returns the next fault that is due after the given time since the start of the script.
     pub fn due(&mut self, elapsed: Micros) -> Option<HostFault> {
         (self.steps.first()?.at <= elapsed).then(|| self.steps.remove(0).fault)
     }
 
-    /// When the next one comes.
+    /// Returns the time of the next fault, counted from the start of the script.
     pub fn next(&self) -> Option<Micros> {
         self.steps.first().map(|step| step.at)
     }
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -1,147 +1,148 @@
-//! What a world is made of: classes of requests, ledger sets, hosts and the times that things take.
+//! Description of an emulated deployment: request classes, groups of hosts, and the delays of the simulation.
 
 use crate::{Micros, MS, SECOND};
 use serde_json::{json, Value};
 
-/// How fresh the data behind a read has to be.
+/// Freshness that a request class requires of the data it reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// No read: only the primary takes it.
+    /// The request is a write; only the primary accepts it.
     Write,
-    /// Sees the acknowledged writes of its session.
+    /// The read must see the acknowledged writes of its session.
     Session,
-    /// No older than this when it is sent.
+    /// The data may be at most this old when the read is sent.
     Bounded(Micros),
-    /// Any data.
+    /// The data may be of any age.
     Any,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// The name, as requests state it.
     pub name: &'static str,
-    /// Its share of the requests.
+    /// The share of all requests, from 0 to 1.
     pub share: f64,
-    /// The least and the most work of a request, on one core.
+    /// The minimum and maximum service time of a request on one core of a warm host.
     pub work: (Micros, Micros),
-    /// Answered within this time it is worth all.
+    /// The time within which an answer earns the full priority weight.
     pub latency_objective: Micros,
-    /// How long its clients wait.
+    /// The time after which a client stops waiting.
     pub deadline: Micros,
-    /// What it is worth.
-    pub worth: f64,
-    /// What of that a late answer is worth.
-    pub late_worth: f64,
-    /// How fresh its data has to be.
+    /// The priority weight of an answer within the latency objective.
+    pub priority_weight: f64,
+    /// The fraction of the priority weight that a late answer earns.
+    pub late_priority_weight: f64,
+    /// The required freshness.
     pub freshness: Freshness,
 }
 
-/// What a host does with a read that it is too far behind for.
+/// Behaviour of a host towards a read that needs a newer log position than the host has applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WhenBehind {
-    /// Answers from what it has: whoever sent it there is answerable.
+    /// The host answers from the data it has; the proxy is responsible for having chosen it.
     Answer,
-    /// Waits so long for the log, then turns it away.
+    /// The host waits up to this long for the log, then rejects the read.
     Wait(Micros),
 }
 
-/// How a proxy comes by the list of ledger hosts.
+/// Way in which a proxy obtains the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// An agent beside it answers at once.
+    /// An agent on the proxy's machine answers at once.
     Pushed,
-    /// One service answers all proxies, one call after the other.
-    Asked {
-        /// What a call takes there.
-        call: Micros,
-        /// A call that has waited longer fails.
-        patience: Micros,
+    /// One central service answers the polls of all proxies, one call at a time.
+    Polled {
+        /// The time that the service takes for a call.
+        call_duration: Micros,
+        /// The longest time that a call waits for its turn; then it fails with status 503.
+        max_wait: Micros,
     },
 }
 
-/// What costs points, in parts of a first try's worth.
+/// Costs in the score of a deployment, as fractions of the value of a first attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prices {
-    /// Crossing zones.
+    /// The cost of sending an attempt to another zone.
     pub cross_zone: f64,
-    /// A probe.
+    /// The cost of a health check.
     pub probe: f64,
-    /// Work in vain.
+    /// The cost of work whose result is not used.
     pub waste: f64,
 }
 
-/// A whole installation.
+/// A complete emulated deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
-    /// What it is called at the command line.
+    /// The name on the command line.
     pub name: &'static str,
-    /// Its zones: the members of a set stand in them by turns, and so do the proxies.
+    /// The zones. Hosts of a group are assigned to them in rotation, and so are the proxies.
     pub zones: Vec<&'static str>,
-    /// What a way between zones takes beyond one inside.
+    /// The one-way latency between zones, in addition to the latency within a zone.
     pub cross_zone_latency: Micros,
-    /// The type of its hosts.
+    /// The type of the hosts, without the protocol.
     pub host_type: &'static str,
-    /// Whether its hosts report their load to probes.
+    /// Whether hosts answer requests for load reports.
     pub reports: bool,
-    /// Whether a host drops waiting work that is cancelled.
+    /// Whether a host drops queued requests that are cancelled.
     pub cancels: bool,
-    /// How long a host keeps an idle connection.
-    pub idle: Micros,
-    /// After this nothing new goes to a host that drains or is gone.
+    /// The time for which a host keeps an idle connection.
+    pub idle_timeout: Micros,
+    /// The time after a host started to drain or was removed from which no new request may be sent to it.
     pub drain_grace: Micros,
-    /// Attempts of a request at most.
+    /// The maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// The longest that a client may be asked to stay away.
+    /// The longest retry delay that a rejection may state.
     pub max_retry_after: Micros,
-    /// Share of a session's requests that come to any proxy.
-    pub roams: f64,
-    /// How proxies come by the list.
+    /// The share of a session's requests that go to a random proxy instead of the session's own.
+    pub roaming_share: f64,
+    /// The way in which proxies obtain the endpoint list.
     pub discovery: Discovery,
-    /// What costs points.
+    /// The costs in the score.
     pub prices: Prices,
-    /// The classes.
+    /// The request classes.
     pub classes: Vec<Class>,
-    /// Tenants: names and shares; an installation may have none.
+    /// The tenants, as names and shares of the requests. May be empty.
     pub tenants: Vec<(&'static str, f64)>,
-    /// Ledger sets.
+    /// The number of groups; each holds its own data.
     pub groups: usize,
-    /// Hosts of each.
+    /// The number of hosts in a group.
     pub members: usize,
-    /// Cores of a host.
+    /// The number of cores of a host, which is the number of requests that it processes at a time.
     pub cores: usize,
-    /// Requests that may wait at a host.
+    /// The number of requests that may queue at a host.
     pub queue: usize,
-    /// Of a host's capacity when it has just started.
+    /// The fraction of its full capacity that a host has just after its start.
     pub slow_start_initial_fraction: f64,
-    /// Until it has all of it.
+    /// The time from a host's start until it has its full capacity.
     pub slow_start_window: Micros,
-    /// Sent more than this multiple of what it can do, for [`Self::slow_start_budget_window`], a cold host goes down.
+    /// The multiple of its present capacity beyond which a cold host crashes if it is sent that much within
+    /// [`Self::slow_start_budget_window`].
     pub slow_start_budget_multiple: f64,
-    /// See [`Self::slow_start_budget_multiple`].
+    /// The period over which [`Self::slow_start_budget_multiple`] is measured.
     pub slow_start_budget_window: Micros,
-    /// How long the log takes to a replica, at least and at most.
-    pub ship: (Micros, Micros),
-    /// Share of the time that a replica applies, at least and at most.
-    pub apply_use: (f64, f64),
-    /// What a host does with a read that it is too far behind for.
+    /// The minimum and maximum delay of the log on its way to a replica.
+    pub replication_delay: (Micros, Micros),
+    /// The minimum and maximum share of the time that a replica spends on applying the log.
+    pub apply_utilization: (f64, f64),
+    /// The behaviour of hosts towards reads that need a newer log position than they have applied.
     pub when_behind: WhenBehind,
-    /// How long a ledger set drops repeats of a key.
+    /// The time for which a group recognizes a repeated idempotency key.
     pub key_window: Micros,
-    /// Until a primary that is silent or gone is given up.
+    /// The minimum and maximum time until a group notices that its primary is silent or gone.
     pub detect: (Micros, Micros),
-    /// And until a replica takes over from then on.
+    /// The minimum and maximum time from then until a replica becomes the primary.
     pub elect: (Micros, Micros),
-    /// Until one that drains has handed over.
-    pub switch: (Micros, Micros),
-    /// Until discovery knows of a change.
-    pub roster: (Micros, Micros),
-    /// How late a load report is.
-    pub report_age: Micros,
+    /// The minimum and maximum time until a draining primary has handed over its role.
+    pub handover_delay: (Micros, Micros),
+    /// The minimum and maximum time until discovery publishes a change.
+    pub discovery_delay: (Micros, Micros),
+    /// The age of the data in a load report.
+    pub load_report_age: Micros,
 }
 
 impl Spec {
-    /// The brief's deployment in small: its classes, aims and faults.
+    /// A scaled-down version of the first reference deployment: its classes, latency objectives and faults.
     pub fn sapporo() -> Self {
         Self {
             name: "sapporo",
@@ -150,11 +151,11 @@
             host_type: "std-5core",
             reports: true,
             cancels: true,
-            idle: 15 * SECOND,
+            idle_timeout: 15 * SECOND,
             drain_grace: 2 * SECOND,
             max_attempts: 8,
             max_retry_after: 500 * MS,
-            roams: 0.0,
+            roaming_share: 0.0,
             discovery: Discovery::Pushed,
             prices: Prices { cross_zone: 0.027, probe: 0.038, waste: 0.05 },
             classes: vec![
@@ -172,20 +173,21 @@
             slow_start_window: 18 * SECOND,
             slow_start_budget_multiple: 3.0,
             slow_start_budget_window: 3 * SECOND,
-            ship: (3_300, 13 * MS),
-            apply_use: (0.3, 0.59),
+            replication_delay: (3_300, 13 * MS),
+            apply_utilization: (0.3, 0.59),
             when_behind: WhenBehind::Answer,
             key_window: 3 * SECOND,
             detect: (1_300 * MS, 2_900 * MS),
             elect: (SECOND, 4 * SECOND),
-            switch: (410 * MS, 960 * MS),
-            roster: (500 * MS, 2 * SECOND),
-            report_age: 150 * MS,
+            handover_delay: (410 * MS, 960 * MS),
+            discovery_delay: (500 * MS, 2 * SECOND),
+            load_report_age: 150 * MS,
         }
     }
 
-    /// The second deployment in small: no tenants, no load reports, no checks of reads, three zones, sessions that
-    /// roam, discovery that has to be asked, drains within half a second.
+    /// A scaled-down version of the second reference deployment: no tenants, no load reports, hosts that do
+    /// not check the freshness of reads, three zones, sessions that change proxies, polled discovery, and a
+    /// drain grace of 500 ms.
     pub fn tip_ledger() -> Self {
         Self {
             name: "tip-ledger",
@@ -194,12 +196,12 @@
             host_type: "std-5c",
             reports: false,
             cancels: false,
-            idle: 30 * SECOND,
+            idle_timeout: 30 * SECOND,
             drain_grace: 500 * MS,
             max_attempts: 10,
             max_retry_after: SECOND,
-            roams: 0.4,
-            discovery: Discovery::Asked { call: 300 * MS, patience: 2 * SECOND },
+            roaming_share: 0.4,
+            discovery: Discovery::Polled { call_duration: 300 * MS, max_wait: 2 * SECOND },
             prices: Prices { cross_zone: 0.02, probe: 0.02, waste: 0.08 },
             classes: vec![
                 class("pool-read", 0.59, (37, 64), 300, 1_200, 2.0, 0.0, Freshness::Bounded(500 * MS)),
@@ -215,123 +217,133 @@
             slow_start_window: 16 * SECOND,
             slow_start_budget_multiple: 2.5,
             slow_start_budget_window: 1_500 * MS,
-            ship: (2_700, 14 * MS),
-            apply_use: (0.33, 0.52),
+            replication_delay: (2_700, 14 * MS),
+            apply_utilization: (0.33, 0.52),
             when_behind: WhenBehind::Answer,
             key_window: 3 * SECOND,
             detect: (1_100 * MS, 2_900 * MS),
             elect: (SECOND, 4 * SECOND),
-            switch: (450 * MS, 920 * MS),
-            roster: (800 * MS, 2 * SECOND),
-            report_age: 0,
+            handover_delay: (450 * MS, 920 * MS),
+            discovery_delay: (800 * MS, 2 * SECOND),
+            load_report_age: 0,
         }
     }
 
-    /// All that are known by name.
+    /// Returns all deployments that [`Self::named`] knows.
     pub fn all() -> [Self; 2] {
         [Self::sapporo(), Self::tip_ledger()]
     }
 
-    /// The one of that name.
+    /// Returns the deployment with the given name.
     ///
     /// # Errors
-    /// When there is none; the text says which there are.
+    /// Fails if there is none; the message lists the known names.
     pub fn named(name: &str) -> Result<Self, String> {
         let all = Self::all();
         let names = all.iter().map(|spec| spec.name).collect::<Vec<_>>().join(", ");
         all.into_iter().find(|spec| spec.name == name).ok_or(format!("no spec `{name}`: there are {names}"))
     }
 
-    /// The zone of a member of a set, by number.
+    /// Returns the index of the zone of a group's member.
     pub fn zone(&self, member: usize) -> usize {
         member % self.zones.len().max(1)
     }
 
-    /// The number of a class.
+    /// Returns the index of the class with the given name.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// Requests a second that all hosts can serve when warm.
+    /// Returns the requests per second that all hosts together can serve when warm.
     pub fn capacity(&self) -> f64 {
         (self.groups * self.members * self.cores) as f64 * SECOND as f64 / self.mean_work()
     }
 
-    /// Work of a request in the mean, in microseconds of one core.
+    /// Returns the mean service time of a request, in microseconds of one core.
     pub fn mean_work(&self) -> f64 {
         self.classes.iter().map(|c| c.share * (c.work.0 + c.work.1) as f64 / 2.0).sum::<f64>()
     }
 
-    /// Requests of mean work that a cold host may get in [`Self::slow_start_budget_window`], where it has that share of its capacity.
+    /// Returns the number of requests with mean service time that a cold host may be sent within
+    /// [`Self::slow_start_budget_window`] while it has the fraction `warmth` of its capacity.
     pub fn cold_allowance(&self, warmth: f64) -> f64 {
-        let able = self.capacity() / (self.groups * self.members) as f64 * warmth;
-        self.slow_start_budget_multiple * able * self.slow_start_budget_window as f64 / SECOND as f64
+        let capacity = self.capacity() / (self.groups * self.members) as f64 * warmth;
+        self.slow_start_budget_multiple * capacity * self.slow_start_budget_window as f64 / SECOND as f64
     }
 
-    /// The most requests of mean work that a cold host bears: the allowance, and what many proxies that each send by
-    /// chance may exceed it by.
+    /// Returns the number of requests with mean service time beyond which a cold host crashes: the allowance,
+    /// and the random excess of many proxies that send independently.
     pub fn cold_bound(allowance: f64) -> f64 {
         allowance + 2.0 * allowance.sqrt() + 2.0
     }
 
-    /// The settings object that a proxy of this installation is given.
+    /// Returns the settings object for a proxy of this deployment, for a total of `rate` requests per second.
     #[expect(clippy::too_many_lines)]
     pub fn settings(&self, rate: f64) -> Value {
         let seconds = |span: Micros| span as f64 / SECOND as f64;
-        let grade = |class: &Class| {
-            let write = class.freshness == Freshness::Write;
+        let class_settings = |class: &Class| {
+            let is_write = class.freshness == Freshness::Write;
             json!({
-                "name": class.name, "credit": class.worth, "onTime": seconds(class.latency_objective),
-                "deadline": seconds(class.deadline), "lateWorth": class.late_worth, "streamed": false,
-                "repeat": if write { "token" } else { "pure" },
-                "group": if write { "cell" } else { "all" },
+                "name": class.name, "credit": class.priority_weight,
+                "onTime": seconds(class.latency_objective), "deadline": seconds(class.deadline),
+                "lateWorth": class.late_priority_weight, "streamed": false,
+                "repeat": if is_write { "token" } else { "pure" },
+                "group": if is_write { "cell" } else { "all" },
                 "window": seconds(self.key_window),
             })
         };
-        let freshness = |class: &Class| match class.freshness {
+        let freshness_name = |class: &Class| match class.freshness {
             Freshness::Write => "write",
             Freshness::Session => "session",
             Freshness::Bounded(_) => "bounded",
             Freshness::Any => "any",
         };
-        let bound = |class: &Class| match class.freshness {
+        let staleness_bound = |class: &Class| match class.freshness {
             Freshness::Bounded(bound) => seconds(bound),
             _ => 0.0,
         };
-        let (behind, wait) = match self.when_behind {
+        let (lag_policy, lag_wait) = match self.when_behind {
             WhenBehind::Answer => ("off", 0.0),
             WhenBehind::Wait(wait) => ("wait", seconds(wait)),
         };
-        let tenant = |(name, share): &(&str, f64)| json!({"name": name, "share": share, "quotaPerS": rate * 2.0 * share});
-        let asked = matches!(self.discovery, Discovery::Asked { .. });
-        let report = match self.reports {
+        let tenant_settings = |(name, share): &(&str, f64)| {
+            json!({
+                "name": name, "share": share, "quotaPerS": rate * 2.0 * share,
+            })
+        };
+        let is_polled = matches!(self.discovery, Discovery::Polled { .. });
+        let load_report = match self.reports {
             true => json!({"fields": ["x0", "x1", "cpu"], "how": "on_probe"}),
             false => json!({"fields": [], "how": "off"}),
         };
         json!({
             "areas": self.zones, "balancers": 1, "locality": 0, "me": 0, "tick": 0.005,
-            "discovery": if asked { "on_request" } else { "pushed" }, "overShareWorth": 0.1,
-            "customers": self.tenants.iter().map(tenant).collect::<Vec<_>>(),
-            "grades": self.classes.iter().map(grade).collect::<Vec<_>>(),
+            "discovery": if is_polled { "on_request" } else { "pushed" }, "overShareWorth": 0.1,
+            "customers": self.tenants.iter().map(tenant_settings).collect::<Vec<_>>(),
+            "grades": self.classes.iter().map(class_settings).collect::<Vec<_>>(),
             "familyInfo": {
                 "answersStamped": true, "baseTime": 0.0, "writeMarks": "remembered", "roleInList": "off",
-                "classBound": self.classes.iter().map(bound).collect::<Vec<_>>(),
-                "freshness": self.classes.iter().map(freshness).collect::<Vec<_>>(),
-                "whenBehind": behind, "wait": wait,
+                "classBound": self.classes.iter().map(staleness_bound).collect::<Vec<_>>(),
+                "freshness": self.classes.iter().map(freshness_name).collect::<Vec<_>>(),
+                "whenBehind": lag_policy, "wait": lag_wait,
             },
             "goal": {"whole": 0.45, "worstClass": 0.2, "worstTenant": 0.1, "worstWindow": 0.25},
             "guarantees": {
-                "answerSlack": 0.02, "askWithin": 10.0, "cold": seconds(self.slow_start_window), "coldFrom": self.slow_start_initial_fraction,
-                "drainGrace": seconds(self.drain_grace), "fall": seconds(self.slow_start_budget_window), "fallMultiple": self.slow_start_budget_multiple,
+                "answerSlack": 0.02, "askWithin": 10.0, "cold": seconds(self.slow_start_window),
+                "coldFrom": self.slow_start_initial_fraction,
+                "drainGrace": seconds(self.drain_grace), "fall": seconds(self.slow_start_budget_window),
+                "fallMultiple": self.slow_start_budget_multiple,
             },
             "limits": {
-                "connectTimeout": 0.25, "keepalive": seconds(self.idle), "maxAttempts": self.max_attempts,
-                "maxRetryAfter": seconds(self.max_retry_after), "mayCancel": true, "mostHeld": 30_000, "probes": true, "retryAfter": true, "secondCopies": true,
+                "connectTimeout": 0.25, "keepalive": seconds(self.idle_timeout),
+                "maxAttempts": self.max_attempts, "maxRetryAfter": seconds(self.max_retry_after),
+                "mayCancel": true, "mostHeld": 30_000, "probes": true, "retryAfter": true,
+                "secondCopies": true,
             },
             "prices": {
                 "crossZone": self.prices.cross_zone, "probe": self.prices.probe, "waste": self.prices.waste,
             },
-            "report": report,
+            "report": load_report,
         })
     }
 }
@@ -343,8 +355,8 @@
     work: (i64, i64),
     latency_objective: i64,
     deadline: i64,
-    worth: f64,
-    late_worth: f64,
+    priority_weight: f64,
+    late_priority_weight: f64,
     freshness: Freshness,
 ) -> Class {
     let work = (work.0 * MS, work.1 * MS);
@@ -354,8 +366,8 @@
         work,
         latency_objective: latency_objective * MS,
         deadline: deadline * MS,
-        worth,
-        late_worth,
+        priority_weight,
+        late_priority_weight,
         freshness,
     }
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,7 +1,7 @@
 //! The world: ledger sets, without I/O and without a clock of its own. It is told what comes and when, and
 //! returns what happens; what happens later comes out of [`World::advance`].
 
-use crate::host::{Delivery, Host, State, Taken};
+use crate::host::{Admission, Delivery, Host, State};
 use crate::keys::{Keys, Recorded};
 use crate::replication::Replication;
 use crate::spec::{Freshness, Spec, WhenBehind};
@@ -212,13 +212,14 @@
     pub fn new(spec: Spec, seed: u64, now: Micros) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let count = spec.groups * spec.members;
-        let applies: Vec<f64> =
-            (0..count).map(|_| random.random_range(spec.apply_use.0..spec.apply_use.1)).collect();
+        let applies: Vec<f64> = (0..count)
+            .map(|_| random.random_range(spec.apply_utilization.0..spec.apply_utilization.1))
+            .collect();
         let sets = (0..spec.groups)
             .map(|group| {
                 let members: Vec<(Micros, f64)> = (0..spec.members)
                     .map(|member| {
-                        let ship = random.random_range(spec.ship.0..=spec.ship.1);
+                        let ship = random.random_range(spec.replication_delay.0..=spec.replication_delay.1);
                         (ship, applies[group * spec.members + member])
                     })
                     .collect();
@@ -295,10 +296,11 @@
 
     /// A host's load report: position in seconds, whether it is the primary, how busy it is.
     pub fn report(&self, host: usize, now: Micros) -> String {
-        let at = (now - self.spec.report_age).max(0);
-        let position = self.position(host, now).min(at.max(self.position(host, now) - self.spec.report_age));
+        let at = (now - self.spec.load_report_age).max(0);
+        let position =
+            self.position(host, now).min(at.max(self.position(host, now) - self.spec.load_report_age));
         let (seconds, primary) = (position as f64 / SECOND as f64, u8::from(self.is_primary(host)));
-        format!("x0={seconds:.6},x1={primary},cpu={:.2}", self.hosts[host].busy())
+        format!("x0={seconds:.6},x1={primary},cpu={:.2}", self.hosts[host].utilization())
     }
 
     /// The keys of a set.
@@ -354,7 +356,7 @@
 
     /// Whether a host can be reached and its process runs.
     pub fn runs(&self, host: usize) -> bool {
-        !matches!(self.hosts[host].state, State::Isolated | State::Dead | State::Fallen)
+        !matches!(self.hosts[host].state, State::Isolated | State::Dead | State::Crashed)
     }
 
     /// A request's last byte has come to a host.
@@ -364,13 +366,13 @@
         let needed = self.needed(now, &query);
         let write = needed.is_none();
         let mut effects = Vec::new();
-        if self.hosts[host].pushed_over(work, &self.spec, now) && self.hosts[host].state != State::Fallen {
+        if self.hosts[host].crashes_under(work, &self.spec, now) && self.hosts[host].state != State::Crashed {
             effects.push(Effect::ColdHostCrashed(host));
-            effects.extend(self.break_down(host, State::Fallen));
+            effects.extend(self.break_down(host, State::Crashed));
             return effects;
         }
         match self.hosts[host].state {
-            State::Isolated | State::Dead | State::Fallen => return effects,
+            State::Isolated | State::Dead | State::Crashed => return effects,
             State::Hung => {
                 self.jobs.insert(ticket, Job { host, query, work, needed });
                 return effects;
@@ -381,8 +383,8 @@
                 effects.push(Effect::Reply(ticket, Reply::ReadOnly));
             }
             State::Up => {
-                let fails = self.hosts[host].fails;
-                if fails > 0.0 && self.random.random_bool(fails) {
+                let error_share = self.hosts[host].error_share;
+                if error_share > 0.0 && self.random.random_bool(error_share) {
                     effects.push(Effect::Reply(ticket, Reply::Error));
                     return effects;
                 }
@@ -402,7 +404,7 @@
             return self.queue(ticket);
         }
         let (group, member) = (self.group(job.host), self.member(job.host));
-        let reaches = self.sets[group].log.reaches(member, job.needed.unwrap_or(0), self.now);
+        let reaches = self.sets[group].log.time_of_reaching(member, job.needed.unwrap_or(0), self.now);
         let until = self.now + wait;
         self.at(reaches.map_or(until, |at| at.min(until)), Due::Waited(ticket));
         None
@@ -410,10 +412,10 @@
 
     fn queue(&mut self, ticket: Ticket) -> Option<Effect> {
         let host = self.jobs[&ticket].host;
-        match self.hosts[host].take(ticket) {
-            Taken::Runs => self.run(ticket),
-            Taken::Waits => {}
-            Taken::Full => {
+        match self.hosts[host].admit(ticket) {
+            Admission::Running => self.run(ticket),
+            Admission::Queued => {}
+            Admission::Full => {
                 self.jobs.remove(&ticket);
                 return Some(Effect::Reply(ticket, Reply::Full));
             }
@@ -423,8 +425,8 @@
 
     fn run(&mut self, ticket: Ticket) {
         let job = &self.jobs[&ticket];
-        let takes = self.hosts[job.host].takes(job.work, &self.spec, self.now);
-        self.at(self.now + takes, Due::Done(ticket));
+        let service_time = self.hosts[job.host].service_time(job.work, &self.spec, self.now);
+        self.at(self.now + service_time, Due::Done(ticket));
     }
 
     fn at(&mut self, when: Micros, due: Due) {
@@ -437,7 +439,7 @@
     /// The client's side of an attempt is gone: waiting work is dropped where hosts do so, running work goes on.
     pub fn cancel(&mut self, ticket: Ticket) {
         if let Some(job) = self.jobs.get(&ticket).filter(|_| self.spec.cancels) {
-            if self.hosts[job.host].drop_waiting(ticket) {
+            if self.hosts[job.host].drop_queued(ticket) {
                 self.jobs.remove(&ticket);
             }
         }
@@ -475,16 +477,16 @@
             Due::EndsDrain(host) => self.ends_drain(host),
             Due::EndsLag(host) => {
                 let (group, member) = (self.group(host), self.member(host));
-                self.sets[group].log.slow(member, 1.0, self.applies[host], self.now);
+                self.sets[group].log.set_slowdown(member, 1.0, self.applies[host], self.now);
                 Vec::new()
             }
             Due::EndsErrors(host) => {
-                self.hosts[host].fails = 0.0;
+                self.hosts[host].error_share = 0.0;
                 Vec::new()
             }
             Due::EndsIsolation(host) => self.ends_isolation(host),
             Due::EndsLosses(host) => {
-                self.hosts[host].loses = None;
+                self.hosts[host].answer_loss = None;
                 Vec::new()
             }
         }
@@ -501,7 +503,7 @@
 
     fn done(&mut self, ticket: Ticket) -> Vec<Effect> {
         let Some(job) = self.jobs.remove(&ticket) else { return Vec::new() };
-        if let Some(next) = self.hosts[job.host].end(ticket) {
+        if let Some(next) = self.hosts[job.host].finish(ticket) {
             self.run(next);
         }
         match self.spec.classes[job.query.class].freshness {
@@ -563,7 +565,7 @@
             }
             HostFault::Drain { host, span } => {
                 self.hosts[host].state = State::Draining;
-                let switch = self.draw(self.spec.switch);
+                let switch = self.draw(self.spec.handover_delay);
                 self.headless(host, Some(switch));
                 self.tell_roster(host, Status::Draining);
                 self.at(now + span, Due::EndsDrain(host));
@@ -571,18 +573,18 @@
             }
             HostFault::Lag { host, times, span } => {
                 let (group, member) = (self.group(host), self.member(host));
-                self.sets[group].log.slow(member, times, self.applies[host], now);
+                self.sets[group].log.set_slowdown(member, times, self.applies[host], now);
                 self.at(now + span, Due::EndsLag(host));
                 Vec::new()
             }
             HostFault::Isolation { host, span } => self.isolate(host, span),
             HostFault::LostAnswers { host, share, delivery, span } => {
-                self.hosts[host].loses = Some((share, delivery));
+                self.hosts[host].answer_loss = Some((share, delivery));
                 self.at(now + span, Due::EndsLosses(host));
                 Vec::new()
             }
             HostFault::FastErrors { host, share, span } => {
-                self.hosts[host].fails = share;
+                self.hosts[host].error_share = share;
                 self.at(now + span, Due::EndsErrors(host));
                 Vec::new()
             }
@@ -594,7 +596,7 @@
     }
 
     fn tell_roster(&mut self, host: usize, status: Status) {
-        let late = self.draw(self.spec.roster);
+        let late = self.draw(self.spec.discovery_delay);
         self.at(self.now + late, Due::Roster(host, status));
     }
 
@@ -638,7 +640,7 @@
 
     /// What becomes of the answer that a host writes now.
     pub fn delivery(&mut self, host: usize) -> Delivery {
-        match self.hosts[host].loses {
+        match self.hosts[host].answer_loss {
             Some((share, delivery)) if self.random.random_bool(share.clamp(0.0, 1.0)) => delivery,
             _ => Delivery::Complete,
         }
@@ -655,7 +657,7 @@
         let (group, member, now) = (self.group(host), self.member(host), self.now);
         let set = &mut self.sets[group];
         set.lost = is_unnoticed.then_some((member, now));
-        set.log.behead(now);
+        set.log.remove_primary(now);
         set.term += 1;
         let term = set.term;
         self.at(now + after, Due::Elect(group, term));
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -45,13 +45,13 @@
 #[test]
 fn cores_and_queue_bound_what_a_host_holds() {
     let mut world = world();
-    let room = (world.spec().cores + world.spec().queue) as u64;
-    for ticket in 0..room {
+    let capacity = (world.spec().cores + world.spec().queue) as u64;
+    for ticket in 0..capacity {
         assert_eq!(world.arrive(START, ticket, 1, query(&ticket.to_string(), "daily-report")), []);
     }
-    let full = world.arrive(START, room, 1, query("last", "daily-report"));
-    assert_eq!(reply(&full, room), Some(&Reply::Full));
-    assert_eq!(world.advance(START + 100 * SECOND).len() as u64, room);
+    let full = world.arrive(START, capacity, 1, query("last", "daily-report"));
+    assert_eq!(reply(&full, capacity), Some(&Reply::Full));
+    assert_eq!(world.advance(START + 100 * SECOND).len() as u64, capacity);
 }
 
 #[test]
@@ -70,7 +70,7 @@
         assert_eq!(doubled, ticket == 4);
     }
     assert_eq!(commits[0], commits[1]);
-    assert_eq!((world.keys(0).len(), world.keys(0).doubled()), (1, 1));
+    assert_eq!((world.keys(0).len(), world.keys(0).recorded_again()), (1, 1));
 }
 
 #[test]
