--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -1,4 +1,5 @@
-//! The rules, judged by what crossed the stand-ins' sockets. It knows nothing of how a proxy decides.
+//! Checker of the rules that proxies have to keep. It judges only what hosts, discovery and clients observe,
+//! and is independent of the proxy's decisions.
 
 use crate::spec::{Discovery, Spec};
 use crate::world::{Reply, Status};
@@ -6,29 +7,29 @@
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 
-/// Every time limit is so much longer on sockets.
-const SLACK: Micros = 50 * MS;
+/// Tolerance added to each time limit, for the delays of real sockets.
+const TIME_TOLERANCE: Micros = 50 * MS;
 
-/// Whatever discovery has to tell counts as told to each proxy so long after it could be had.
-const KNOWN_TO_ALL: Micros = 6 * SECOND;
+/// Time after its publication from which a change in discovery counts as known to each proxy.
+const DISCOVERY_KNOWN_AFTER: Micros = 6 * SECOND;
 
-/// What an answer tells counts as known so long after it was written.
-const KNOWN: Micros = 100 * MS;
+/// Time after an answer was written from which its information counts as known to the proxy.
+const ANSWER_KNOWN_AFTER: Micros = 100 * MS;
 
-/// A rule.
+/// Rule that proxies have to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request gets one final answer in time.
+    /// Each request gets exactly one final answer, in time.
     Answer,
-    /// What is served is the value made for the request.
+    /// A served value is the one that was made for the request.
     Value,
-    /// Nothing new goes to a host that drains or is gone.
+    /// No new request is sent to a host that drains or was removed, after the drain grace.
     Drain,
-    /// No cold host is pushed over.
+    /// No cold host crashes because it is sent too much.
     Cold,
     /// No read is answered from data older than its class allows.
     Stale,
-    /// No key is recorded twice.
+    /// No idempotency key is recorded twice.
     Key,
 }
 
@@ -48,21 +49,21 @@
 /// All rules.
 pub const RULES: [Rule; 6] = [Rule::Answer, Rule::Value, Rule::Drain, Rule::Cold, Rule::Stale, Rule::Key];
 
-/// A rule broken, and how.
+/// Violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Which.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// How.
+    /// A description of the violation.
     pub what: String,
 }
 
 /// One run of a proxy process, from its start to its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ProxyIncarnation {
-    /// Number of the process.
+    /// The number of the process.
     pub process: usize,
-    /// Number of this run of it.
+    /// The number of this run of the process.
     pub incarnation: u32,
 }
 
@@ -72,111 +73,114 @@
     }
 }
 
-/// How old the data were that hosts answered the attempts of one read from.
+/// Freshness of the answers that hosts gave to the attempts of one read.
 #[derive(Clone, Debug, Default)]
 struct ReadAnswers {
-    /// Whether any answer was recent enough.
+    /// Whether at least one answer was fresh enough.
     has_fresh: bool,
-    /// The host of an answer that was not, and by how much.
+    /// The host of an answer that was too old, and by how much.
     stale: Option<(usize, Micros)>,
 }
 
-/// Judges the proxies of one installation.
+/// Checker of the proxies of one deployment.
 #[derive(Clone, Debug, Default)]
 pub struct Checker {
-    /// Whether several proxies share the installation.
+    /// Whether several proxies share the deployment.
     is_shared: bool,
-    /// After this a host that drains or is gone gets nothing new.
-    grace: Micros,
-    /// Since when the proxy has been told that a host drains or is gone.
-    left: HashMap<usize, Micros>,
-    /// When the client of each open request stops waiting.
+    /// The time after a host started to drain or was removed from which it may not get new requests.
+    drain_grace: Micros,
+    /// For each host that drains or was removed, the time at which discovery told the proxy.
+    leaving: HashMap<usize, Micros>,
+    /// For each open request, the time at which its client stops waiting.
     open: HashMap<String, Micros>,
     answered: HashMap<String, u32>,
-    /// Where several proxies share the installation, the process to which each request's client sent it.
+    /// The process to which each request's client sent it. Used if several proxies share the deployment.
     proxies: HashMap<String, ProxyIncarnation>,
-    /// Hosts that have been primary.
-    led: HashSet<usize>,
-    /// When a host that had been primary first notified a process that it no longer is.
+    /// The hosts that have been primary.
+    known_primaries: HashSet<usize>,
+    /// The time at which a former primary first told a process that it no longer is the primary.
     demotions: HashMap<(ProxyIncarnation, usize), Micros>,
-    /// For how long processes are stopped or held up now and then: what they are told meanwhile they cannot read.
-    hold_ups: HashMap<usize, Micros>,
-    /// What each open read was answered from.
+    /// The longest pause of each process that is paused now and then. A process cannot read messages during a
+    /// pause.
+    pauses: HashMap<usize, Micros>,
+    /// The freshness of the answers to each open read.
     reads: HashMap<String, ReadAnswers>,
-    /// How often each rule was tried.
+    /// The number of times that each rule was checked.
     checks: HashMap<Rule, u64>,
     breaches: Vec<Breach>,
 }
 
 impl Checker {
-    /// By the rules of an installation, with nothing told yet.
+    /// Creates a checker for a single proxy, with the rules of a deployment.
     pub fn new(spec: &Spec) -> Self {
-        Self { grace: spec.drain_grace, ..Self::default() }
+        Self { drain_grace: spec.drain_grace, ..Self::default() }
     }
 
-    /// The same where several proxies share the installation. Each attempt belongs to the process named by
-    /// [`Self::asked_of`]; one of a request that was never named is excused at a host that has been primary. Which process
-    /// was told of a drain is not known: where proxies ask for changes it counts as told to all only once it has to be
-    /// known to each.
+    /// Creates a checker for several proxies that share a deployment. Each attempt is attributed to the
+    /// process that [`Self::request_sent_to`] named; a read that was never named is excused at a host that
+    /// has been primary. The checker does not know which process was told of a drain: if proxies poll for
+    /// changes, a drain counts as known only after the time within which each proxy must know it.
     pub fn shared(spec: &Spec) -> Self {
-        let is_asked = matches!(spec.discovery, Discovery::Polled { .. });
-        let known = if is_asked { KNOWN_TO_ALL } else { 0 };
-        Self { is_shared: true, grace: spec.drain_grace + known, ..Self::default() }
+        let is_polled = matches!(spec.discovery, Discovery::Polled { .. });
+        let known_after = if is_polled { DISCOVERY_KNOWN_AFTER } else { 0 };
+        Self { is_shared: true, drain_grace: spec.drain_grace + known_after, ..Self::default() }
     }
 
-    fn check(&mut self, rule: Rule, kept: bool, what: impl FnOnce() -> String) {
+    fn check(&mut self, rule: Rule, is_kept: bool, what: impl FnOnce() -> String) {
         *self.checks.entry(rule).or_default() += 1;
-        if !kept {
+        if !is_kept {
             self.breaches.push(Breach { rule, what: what() });
         }
     }
 
-    /// Discovery has written a host's status to the proxy.
+    /// Records that discovery has written a host's status to the proxy.
     pub fn status_reported(&mut self, now: Micros, host: usize, status: Status) {
         match status {
-            Status::Up => drop(self.left.remove(&host)),
-            Status::Draining | Status::Removed => drop(self.left.entry(host).or_insert(now)),
+            Status::Up => drop(self.leaving.remove(&host)),
+            Status::Draining | Status::Removed => drop(self.leaving.entry(host).or_insert(now)),
         }
     }
 
-    /// An attempt's first byte has come to a host.
+    /// Records that an attempt has arrived at a host, and checks the drain rule.
     pub fn sent(&mut self, now: Micros, host: usize, id: &str) {
-        let late = self.left.get(&host).is_some_and(|since| now - since > self.grace + SLACK);
-        self.check(Rule::Drain, !late, || format!("{id} went to host {host} after it had left"));
+        let late =
+            self.leaving.get(&host).is_some_and(|since| now - since > self.drain_grace + TIME_TOLERANCE);
+        self.check(Rule::Drain, !late, || format!("{id} was sent to host {host} after its drain grace"));
     }
 
-    /// A cold host has been pushed over.
+    /// Records that a cold host has crashed because it was sent too much.
     pub fn cold_host_crashed(&mut self, host: usize) {
-        self.check(Rule::Cold, false, || format!("host {host} fell"));
+        self.check(Rule::Cold, false, || format!("cold host {host} crashed"));
     }
 
-    /// A host that was cold has got an attempt and stands.
-    pub fn stood(&mut self) {
+    /// Records an attempt at a cold host, which counts as a check of [`Rule::Cold`].
+    pub fn cold_host_checked(&mut self) {
         self.check(Rule::Cold, true, String::new);
     }
 
-    /// A key has been recorded once more than once.
+    /// Records that a key was recorded again.
     pub fn key_recorded_again(&mut self, key: &str) {
         self.check(Rule::Key, false, || format!("key {key} is recorded twice"));
     }
 
-    /// A host is its set's primary: what it notified anyone of before does not count any more.
+    /// Records that a host is the primary of its group. Earlier reports that it is not the primary no longer
+    /// count.
     pub fn seen_as_primary(&mut self, host: usize) {
-        self.led.insert(host);
+        self.known_primaries.insert(host);
         self.demotions.retain(|(_, demoted), _| *demoted != host);
     }
 
-    /// A request's client sends it to that process.
-    pub fn asked_of(&mut self, id: &str, proxy: ProxyIncarnation) {
+    /// Records the process to which a request's client sends it.
+    pub fn request_sent_to(&mut self, id: &str, proxy: ProxyIncarnation) {
         self.proxies.insert(id.to_owned(), proxy);
     }
 
-    /// A process is stopped or held up for that long now and then.
-    pub fn held_up(&mut self, process: usize, span: Micros) {
-        self.hold_ups.insert(process, span);
+    /// Records that a process is paused for up to `span` now and then.
+    pub fn process_pauses(&mut self, process: usize, span: Micros) {
+        self.pauses.insert(process, span);
     }
 
-    /// The process that makes the attempts of a request, if it is known.
+    /// Returns the process that makes the attempts of a request, if it is known.
     fn proxy_of(&self, id: &str) -> Option<ProxyIncarnation> {
         match self.is_shared {
             true => self.proxies.get(id).copied(),
@@ -184,110 +188,119 @@
         }
     }
 
-    /// A host has written its role in an answer to the process that attempts that request, whether or not the bytes arrive.
-    pub fn role_reported(&mut self, now: Micros, host: usize, id: &str, primary: bool) {
-        let Some(proxy) = self.proxy_of(id).filter(|_| !primary && self.led.contains(&host)) else { return };
+    /// Records that a host has stated its role in an answer to the process that attempts the request, whether
+    /// or not the answer arrives.
+    pub fn role_reported(&mut self, now: Micros, host: usize, id: &str, is_primary: bool) {
+        let Some(proxy) = self.proxy_of(id).filter(|_| !is_primary && self.known_primaries.contains(&host))
+        else {
+            return;
+        };
         self.demotions.entry((proxy, host)).or_insert(now);
     }
 
-    /// Whether an attempt that came to a host then may rely on its having been the primary: it has been, and the process
-    /// was not notified of the contrary in time.
-    fn is_excused(&self, host: usize, came: Micros, id: &str) -> bool {
+    /// Returns whether an attempt that arrived at a host at the time `arrived` may rely on the host's former
+    /// role: the host has been the primary, and the process had not been told otherwise in time.
+    fn is_excused(&self, host: usize, arrived: Micros, id: &str) -> bool {
         let known_at = self.proxy_of(id).and_then(|proxy| {
-            let held_up = self.hold_ups.get(&proxy.process).copied().unwrap_or(0);
-            Some(self.demotions.get(&(proxy, host))? + KNOWN + held_up)
+            let pause = self.pauses.get(&proxy.process).copied().unwrap_or(0);
+            Some(self.demotions.get(&(proxy, host))? + ANSWER_KNOWN_AFTER + pause)
         });
-        self.led.contains(&host) && known_at.is_none_or(|at| came < at)
+        self.known_primaries.contains(&host) && known_at.is_none_or(|at| arrived < at)
     }
 
-    /// A read's last byte has come to a host that has applied the log up to `position`, where the read needs `needed`. The
-    /// send is judged by itself: the answer may never get back.
+    /// Records that a read has arrived completely at a host that has applied the log up to `position`, while
+    /// the read needs `needed`. The send is checked on its own, as the answer may never arrive.
     pub fn read_sent(&mut self, now: Micros, host: usize, id: &str, position: Micros, needed: Micros) {
         let excused = self.is_excused(host, now, id);
         let sender = self.proxy_of(id).unwrap_or_default();
-        self.check(Rule::Stale, excused || position + SLACK >= needed, || {
+        self.check(Rule::Stale, excused || position + TIME_TOLERANCE >= needed, || {
             format!("{id} was sent by {sender} at {now} to host {host}, {} us too old", needed - position)
         });
     }
 
-    /// A host has answered an attempt that came to it then. What went to one that has been primary is excused
-    /// until the proxy could know that it is none.
-    pub fn replied(&mut self, host: usize, came: Micros, id: &str, reply: &Reply) {
+    /// Records a host's reply to an attempt that arrived at the time `arrived`. A read at a former primary is
+    /// excused until the proxy could know of the change of role.
+    pub fn replied(&mut self, host: usize, arrived: Micros, id: &str, reply: &Reply) {
         let Reply::Served { position, needed, .. } = reply else { return };
         let Some(needed) = needed else { return self.check(Rule::Key, true, String::new) };
         let answers = self.reads.entry(id.to_owned()).or_default();
-        match position + SLACK >= *needed {
+        match position + TIME_TOLERANCE >= *needed {
             true => answers.has_fresh = true,
             false => answers.stale = Some((host, needed - position)),
         }
-        let excused = self.is_excused(host, came, id);
-        // Among several processes an attempt is dated by its arrival at a busy host, after its last byte was sent.
-        let slack = if self.is_shared { SLACK } else { 0 };
+        let excused = self.is_excused(host, arrived, id);
+        // With several processes, the time of an attempt is its arrival at a busy host, after its last byte
+        // was sent.
+        let slack = if self.is_shared { TIME_TOLERANCE } else { 0 };
         self.check(Rule::Stale, excused || position + slack >= *needed, || {
             format!("{id} was read at host {host}, {} us too old", needed - position)
         });
     }
 
-    /// A client was served a read. Each answer states its position and role, so that no belief in a role excuses it. Which of
-    /// several answers was served is not known: one that was recent enough does.
+    /// Checks a read whose answer a client was served. Each answer states the host's position and role, so a
+    /// former role does not excuse it. The checker does not know which of several answers was served; one
+    /// fresh answer suffices.
     fn read_served(&mut self, id: &str) {
         let Some(ReadAnswers { has_fresh, stale }) = self.reads.remove(id) else { return };
         let sender = self.proxy_of(id).unwrap_or_default();
         self.check(Rule::Stale, has_fresh || stale.is_none(), || {
-            let (host, age) = stale.unwrap_or_default();
-            format!("{id} was served by {sender} from host {host}, {age} us too old")
+            let (host, excess) = stale.unwrap_or_default();
+            format!("{id} was served by {sender} from host {host}, {excess} us too old")
         });
     }
 
-    /// A client has sent a request whose answer it awaits until then.
+    /// Records that a client has sent a request and waits for the answer until the given time.
     pub fn asked(&mut self, id: &str, until: Micros) {
         self.open.insert(id.to_owned(), until);
     }
 
-    /// A client has its answer, and the value if it was served.
+    /// Records that a client has received its answer. `served` holds the received value and the expected
+    /// value, if a value was served.
     pub fn answered(&mut self, now: Micros, id: &str, served: Option<(&[u8], &str)>) {
         let times = self.answered.entry(id.to_owned()).or_default();
         *times += 1;
         let times = *times;
         let until = self.open.remove(id);
-        let in_time = until.is_some_and(|until| now <= until + SLACK);
+        let in_time = until.is_some_and(|until| now <= until + TIME_TOLERANCE);
         self.check(Rule::Answer, in_time && times == 1, || match until {
             Some(until) => format!("{id} was answered {} us late", now - until),
-            None => format!("{id} was answered {times} times, or never asked"),
+            None => format!("{id} was answered {times} times, or was never sent"),
         });
         if served.is_some() {
             self.read_served(id);
         }
-        if let Some((value, made)) = served {
-            self.check(Rule::Value, value == made.as_bytes(), || format!("{id} was served another's value"));
+        if let Some((value, expected)) = served {
+            self.check(Rule::Value, value == expected.as_bytes(), || {
+                format!("{id} was served another's value")
+            });
         }
     }
 
-    /// A client's connection has ended without an answer.
+    /// Records that a client's connection has ended without an answer.
     pub fn lost(&mut self, id: &str) {
         self.open.remove(id);
         self.check(Rule::Answer, false, || format!("{id} has no answer"));
     }
 
-    /// A request never went out: nobody owes it an answer.
+    /// Records that a request was never sent, so that no answer is due.
     pub fn withdrawn(&mut self, id: &str) {
         self.open.remove(id);
     }
 
-    /// Nothing more comes: what is still open has no answer.
+    /// Ends the run: requests that are still open count as unanswered.
     pub fn end(&mut self) {
         let mut open: Vec<String> = self.open.keys().cloned().collect();
         open.sort();
         open.iter().for_each(|id| self.lost(id));
     }
 
-    /// How often a rule was tried, and how often it was broken.
+    /// Returns how often a rule was checked, and how often it was broken.
     pub fn verdict(&self, rule: Rule) -> (u64, usize) {
         let broken = self.breaches.iter().filter(|breach| breach.rule == rule).count();
         (self.checks.get(&rule).copied().unwrap_or(0), broken)
     }
 
-    /// What was broken, in its order.
+    /// Returns the violations, in the order in which they were found.
     pub fn breaches(&self) -> &[Breach] {
         &self.breaches
     }
--- a/crates/emulator/src/net/actor.rs
+++ b/crates/emulator/src/net/actor.rs
@@ -143,7 +143,7 @@
         let now = self.clock.now();
         match message {
             WorldMessage::Begin => self.began = Some(now),
-            WorldMessage::ProcessPauses(process, span) => self.checker.held_up(process, span),
+            WorldMessage::ProcessPauses(process, span) => self.checker.process_pauses(process, span),
             WorldMessage::Greet(host, answer) => {
                 if matches!(self.world.state(host), State::Up | State::Draining) {
                     let _ = answer.send(());
@@ -163,7 +163,7 @@
                     self.checker.read_sent(now, host, &query.id, position, needed);
                 }
                 if self.world.warmth(host, now) < 1.0 {
-                    self.checker.stood();
+                    self.checker.cold_host_checked();
                 }
                 if self.world.is_primary(host) {
                     self.checker.seen_as_primary(host);
@@ -179,7 +179,7 @@
             WorldMessage::Written(host, status) => self.checker.status_reported(now, host, status),
             WorldMessage::Asked { id, session, proxy, until } => {
                 self.world.ask(&id, &session);
-                self.checker.asked_of(&id, proxy);
+                self.checker.request_sent_to(&id, proxy);
                 self.checker.asked(&id, until);
             }
             WorldMessage::Answered { id, value, wrote } => {
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,5 +1,6 @@
-//! The world: ledger sets, without I/O and without a clock of its own. It is told what comes and when, and
-//! returns what happens; what happens later comes out of [`World::advance`].
+//! Simulation of a deployment's groups of hosts, without I/O and without a clock of its own. The caller
+//! reports each event with its time, and receives its immediate effects; [`World::advance`] returns the later
+//! ones.
 
 use crate::host::{Admission, Delivery, Host, State};
 use crate::keys::{Keys, Recorded};
@@ -11,161 +12,163 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// The value made for a request whose id begins so has 64 KiB.
+/// Prefix of the ids of requests whose values have 64 KiB.
 pub const LARGE_ID_PREFIX: &str = "large-";
 
-/// A request's number at the world, given by the caller and not used again.
+/// Number of an attempt, assigned by the caller and never reused.
 pub type Ticket = u64;
 
-/// What comes to a host.
+/// Request as it arrives at a host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
-    /// The request's id, the same for each of its attempts.
+    /// The request id, which is the same for each attempt.
     pub id: String,
-    /// Its class.
+    /// The index of the request class.
     pub class: usize,
     /// The session.
     pub session: String,
     /// The idempotency key.
     pub key: Option<String>,
-    /// When its client's patience, as told with it, is over.
+    /// The time at which the client stops waiting, as stated with the request.
     pub until: Micros,
 }
 
-/// What a host answers.
+/// Reply of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// A value.
+    /// The request was served.
     Served {
         /// The value made for this request.
         content: String,
-        /// The commit of a write, or the position behind a read.
+        /// The position of a write's commit, or the host's position when it served a read.
         position: Micros,
-        /// Whether the primary answers.
+        /// Whether the host is the primary.
         primary: bool,
-        /// The position that the class asks for; none for a write.
+        /// The position that the read requires; none for a write.
         needed: Option<Micros>,
     },
-    /// A write, and this is no primary.
+    /// The request is a write, and the host is not the primary.
     ReadOnly,
-    /// Too far behind.
+    /// The host has not applied the position that the read requires.
     Behind,
-    /// No room, or draining.
+    /// The host's queue is full, the host is draining, or the client no longer waits.
     Full,
-    /// A failure; it may have had an effect.
+    /// The request failed. A write may have taken effect.
     Error,
 }
 
-/// What discovery says of a host.
+/// Status of a host, as discovery publishes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It runs.
+    /// The host runs.
     Up,
-    /// It finishes what it has.
+    /// The host is draining: it finishes the requests that it holds.
     Draining,
-    /// It is gone.
+    /// The host was removed.
     Removed,
 }
 
-/// Something that happens.
+/// Effect of an event in the world.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// A request is answered.
+    /// A host replies to an attempt.
     Reply(Ticket, Reply),
-    /// A host's connections break and new ones are refused.
+    /// A host's connections break, and it refuses new ones.
     ConnectionsBroken(usize),
-    /// It takes connections again.
+    /// A host accepts connections again.
     ConnectionsAccepted(usize),
-    /// Discovery knows: the host's status and when it last started, if lately.
+    /// Discovery publishes a host's status, and the time of its last restart if there was one.
     StatusPublished(usize, Status, Option<Micros>),
-    /// A cold host has been pushed over.
+    /// A cold host has crashed because it was sent too much.
     ColdHostCrashed(usize),
-    /// A key has been recorded more than once.
+    /// An idempotency key was recorded more than once.
     KeyRecordedAgain(String),
 }
 
-/// A fault that a script brings.
+/// Fault of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostFault {
-    /// The process dies and comes back cold after that time.
+    /// The host's process dies and restarts cold after a time.
     Death {
-        /// Who.
+        /// The host.
         host: usize,
-        /// Until it comes back.
+        /// The time until the restart.
         span: Micros,
     },
-    /// It takes requests and answers none for that time.
+    /// The host accepts requests and answers none for a time.
     Hang {
-        /// Who.
+        /// The host.
         host: usize,
-        /// For how long.
+        /// The duration.
         span: Micros,
     },
-    /// It drains, and is up again, warm, after that time.
+    /// The host drains, and is up again and warm after a time.
     Drain {
-        /// Who.
+        /// The host.
         host: usize,
-        /// For how long.
+        /// The duration.
         span: Micros,
     },
-    /// It applies so many times more slowly for that time.
+    /// The host applies the log more slowly for a time.
     Lag {
-        /// Who.
+        /// The host.
         host: usize,
-        /// How many times.
+        /// The factor by which it is slower.
         times: f64,
-        /// For how long.
+        /// The duration.
         span: Micros,
     },
-    /// The network cuts it off for that time: its connections break, new ones are refused, and its set gives it up. It
-    /// comes back, warm, and goes on with the log where it stood: as a replica, unless nobody had noticed.
+    /// The network cuts the host off for a time: its connections break, new ones are refused, and its group
+    /// replaces it if it was the primary. The host returns warm and continues from its log position, as a
+    /// replica unless the group had not noticed its absence.
     Isolation {
-        /// Who.
+        /// The host.
         host: usize,
-        /// For how long.
+        /// The duration.
         span: Micros,
     },
-    /// That share of the answers that it writes is lost on the way for that time.
+    /// A share of the host's answers is lost on the way for a time.
     LostAnswers {
-        /// Who.
+        /// The host.
         host: usize,
-        /// The share.
+        /// The share, from 0 to 1.
         share: f64,
-        /// How.
+        /// The way in which the answers are lost.
         delivery: Delivery,
-        /// For how long.
+        /// The duration.
         span: Micros,
     },
-    /// It fails that share of its requests quickly.
+    /// The host fails a share of its requests at once for a time.
     FastErrors {
-        /// Who.
+        /// The host.
         host: usize,
-        /// The share.
+        /// The share, from 0 to 1.
         share: f64,
-        /// For how long.
+        /// The duration.
         span: Micros,
     },
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Due {
-    /// A request's work is done.
-    Done(Ticket),
-    /// A read has waited long enough for the log.
-    Waited(Ticket),
-    /// A set without a primary elects one.
-    Elect(usize, u64),
-    Returns(usize),
-    Roster(usize, Status),
-    EndsHang(usize),
-    EndsDrain(usize),
-    EndsLag(usize),
-    EndsErrors(usize),
-    EndsIsolation(usize),
-    EndsLosses(usize),
+enum Event {
+    /// A running request is finished.
+    RequestFinished(Ticket),
+    /// A read that waited for the log has waited long enough.
+    LogWaitOver(Ticket),
+    /// A group without a primary elects one in the given term.
+    Election(usize, u64),
+    Restart(usize),
+    StatusPublished(usize, Status),
+    HangEnded(usize),
+    DrainEnded(usize),
+    LagEnded(usize),
+    ErrorsEnded(usize),
+    IsolationEnded(usize),
+    AnswerLossEnded(usize),
 }
 
-/// An entry of the heap: by time, then in the order in which they were set.
+/// Entry of the event queue: time, sequence number (which orders events at the same time), and key in
+/// [`World::events`].
 type Entry = Reverse<(Micros, u64, usize)>;
 
 struct Job {
@@ -175,92 +178,99 @@
     needed: Option<Micros>,
 }
 
-struct Set {
+struct Group {
     log: Replication,
     keys: Keys,
-    /// Counts the elections called, so that one that is overtaken does not happen.
+    /// The number of elections that were scheduled. A scheduled election is void if a later one was
+    /// scheduled.
     term: u64,
-    /// The member that was lost as the primary, and when, while nobody has noticed.
-    lost: Option<(usize, Micros)>,
+    /// The member that was lost while it was the primary, and when, if the group has not noticed yet.
+    lost_primary: Option<(usize, Micros)>,
 }
 
-/// The world.
+/// A simulated deployment.
 pub struct World {
     spec: Spec,
     seed: u64,
     random: ChaCha8Rng,
     hosts: Vec<Host>,
-    /// How busy each host's applying thread is.
-    applies: Vec<f64>,
-    /// Where those stood that are down.
-    stood: Vec<Micros>,
-    sets: Vec<Set>,
+    /// The share of the time that each host spends on applying the log.
+    apply_utilization: Vec<f64>,
+    /// The log positions of the hosts that are down, from the time when they went down.
+    position_when_down: Vec<Micros>,
+    groups: Vec<Group>,
     jobs: HashMap<Ticket, Job>,
-    due: BinaryHeap<Entry>,
-    dues: HashMap<usize, Due>,
-    next_due: usize,
+    event_queue: BinaryHeap<Entry>,
+    events: HashMap<usize, Event>,
+    next_event: usize,
     sequence: u64,
-    /// The last acknowledged write of each session.
+    /// The position of the last acknowledged write of each session.
     acknowledged: HashMap<String, Micros>,
-    /// Which of them each open request has to see: what was acknowledged when its client sent it.
-    to_see: HashMap<String, Micros>,
+    /// The position that each open request has to see: the session's last write that was acknowledged when
+    /// the client sent the request.
+    required_positions: HashMap<String, Micros>,
     now: Micros,
 }
 
 impl World {
-    /// A calm world from that moment on.
+    /// Creates a world without faults that starts at `now`.
     pub fn new(spec: Spec, seed: u64, now: Micros) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let count = spec.groups * spec.members;
-        let applies: Vec<f64> = (0..count)
+        let apply_utilization: Vec<f64> = (0..count)
             .map(|_| random.random_range(spec.apply_utilization.0..spec.apply_utilization.1))
             .collect();
-        let sets = (0..spec.groups)
+        let groups = (0..spec.groups)
             .map(|group| {
                 let members: Vec<(Micros, f64)> = (0..spec.members)
                     .map(|member| {
-                        let ship = random.random_range(spec.replication_delay.0..=spec.replication_delay.1);
-                        (ship, applies[group * spec.members + member])
+                        let delay = random.random_range(spec.replication_delay.0..=spec.replication_delay.1);
+                        (delay, apply_utilization[group * spec.members + member])
                     })
                     .collect();
-                Set { log: Replication::new(&members, now), keys: Keys::default(), term: 0, lost: None }
+                Group {
+                    log: Replication::new(&members, now),
+                    keys: Keys::default(),
+                    term: 0,
+                    lost_primary: None,
+                }
             })
             .collect();
         Self {
             hosts: (0..count).map(|_| Host::new(&spec)).collect(),
-            stood: vec![now; count],
-            applies,
-            sets,
+            position_when_down: vec![now; count],
+            apply_utilization,
+            groups,
             spec,
             seed,
             random,
             jobs: HashMap::new(),
-            due: BinaryHeap::new(),
-            dues: HashMap::new(),
-            next_due: 0,
+            event_queue: BinaryHeap::new(),
+            events: HashMap::new(),
+            next_event: 0,
             sequence: 0,
             acknowledged: HashMap::new(),
-            to_see: HashMap::new(),
+            required_positions: HashMap::new(),
             now,
         }
     }
 
-    /// What it is made of.
+    /// Returns the description of the deployment.
     pub fn spec(&self) -> &Spec {
         &self.spec
     }
 
-    /// How many hosts there are.
+    /// Returns the number of hosts.
     pub fn hosts(&self) -> usize {
         self.hosts.len()
     }
 
-    /// The set of a host.
+    /// Returns the index of a host's group.
     pub fn group(&self, host: usize) -> usize {
         host / self.spec.members
     }
 
-    /// The zone of a host, by number.
+    /// Returns the index of a host's zone.
     pub fn zone(&self, host: usize) -> usize {
         self.spec.zone(self.member(host))
     }
@@ -269,32 +279,33 @@
         host % self.spec.members
     }
 
-    /// What a host is up to.
+    /// Returns a host's state.
     pub fn state(&self, host: usize) -> State {
         self.hosts[host].state
     }
 
-    /// When a host last started, if that was lately.
+    /// Returns the time of a host's last restart, if there was one.
     pub fn started(&self, host: usize) -> Option<Micros> {
         self.hosts[host].started
     }
 
-    /// A host's capacity as a share of the full one.
+    /// Returns a host's present capacity as a fraction of its full capacity.
     pub fn warmth(&self, host: usize, now: Micros) -> f64 {
         self.hosts[host].warmth(&self.spec, now)
     }
 
-    /// Whether a host is its set's primary.
+    /// Returns whether a host is the primary of its group.
     pub fn is_primary(&self, host: usize) -> bool {
-        self.sets[self.group(host)].log.primary() == Some(self.member(host))
+        self.groups[self.group(host)].log.primary() == Some(self.member(host))
     }
 
-    /// Up to where a host has applied the log.
+    /// Returns the position up to which a host has applied the log.
     pub fn position(&self, host: usize, now: Micros) -> Micros {
-        self.sets[self.group(host)].log.position(self.member(host), now)
+        self.groups[self.group(host)].log.position(self.member(host), now)
     }
 
-    /// A host's load report: position in seconds, whether it is the primary, how busy it is.
+    /// Returns a host's load report: its position in seconds, whether it is the primary, and the share of
+    /// busy cores.
     pub fn report(&self, host: usize, now: Micros) -> String {
         let at = (now - self.spec.load_report_age).max(0);
         let position =
@@ -303,30 +314,31 @@
         format!("x0={seconds:.6},x1={primary},cpu={:.2}", self.hosts[host].utilization())
     }
 
-    /// The keys of a set.
+    /// Returns the idempotency keys of a group.
     pub fn keys(&self, group: usize) -> &Keys {
-        &self.sets[group].keys
+        &self.groups[group].keys
     }
 
-    /// A client has had the answer to a write: its session must see it from now on.
+    /// Records that a client has received the answer to a write, which its session must see from now on.
     pub fn acknowledge(&mut self, session: &str, commit: Micros) {
-        let known = self.acknowledged.entry(session.to_owned()).or_insert(commit);
-        *known = (*known).max(commit);
+        let position = self.acknowledged.entry(session.to_owned()).or_insert(commit);
+        *position = (*position).max(commit);
     }
 
-    /// A client is about to send a request of a session: it must see what is acknowledged by now.
+    /// Records that a client is about to send a request. The request must see the session's writes that are
+    /// acknowledged by now.
     pub fn ask(&mut self, id: &str, session: &str) {
         if let Some(commit) = self.acknowledged.get(session) {
-            self.to_see.insert(id.to_owned(), *commit);
+            self.required_positions.insert(id.to_owned(), *commit);
         }
     }
 
-    /// A client has its answer.
+    /// Records that a client no longer waits for a request.
     pub fn answered(&mut self, id: &str) {
-        self.to_see.remove(id);
+        self.required_positions.remove(id);
     }
 
-    /// The value made for a request.
+    /// Returns the value that is made for a request.
     pub fn content(id: &str) -> String {
         let mut content = format!("value of {id}");
         if id.starts_with(LARGE_ID_PREFIX) {
@@ -335,40 +347,41 @@
         content
     }
 
-    /// The work of a request: the same for each attempt, whoever asks and in whatever protocol.
+    /// Returns the service time of a request on a core of a warm host. It depends only on the seed, the class
+    /// and the request id, so it is the same for each attempt and protocol.
     fn work(&self, query: &Query) -> Micros {
-        let (least, most) = self.spec.classes[query.class].work;
+        let (min, max) = self.spec.classes[query.class].work;
         let seed = query.id.bytes().fold(self.seed ^ 0xcbf2_9ce4_8422_2325, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
         });
-        least + (ChaCha8Rng::seed_from_u64(seed).next_u64() % (most - least).max(1) as u64) as Micros
+        min + (ChaCha8Rng::seed_from_u64(seed).next_u64() % (max - min).max(1) as u64) as Micros
     }
 
-    /// The position that a read which comes now has to see; none for a write.
+    /// Returns the position that a read which arrives now has to see, or none for a write.
     pub fn needed(&self, now: Micros, query: &Query) -> Option<Micros> {
         match self.spec.classes[query.class].freshness {
             Freshness::Write => None,
-            Freshness::Session => Some(self.to_see.get(&query.id).copied().unwrap_or(0)),
+            Freshness::Session => Some(self.required_positions.get(&query.id).copied().unwrap_or(0)),
             Freshness::Bounded(bound) => Some(now - bound),
             Freshness::Any => Some(0),
         }
     }
 
-    /// Whether a host can be reached and its process runs.
+    /// Returns whether a host can be reached and its process runs.
     pub fn runs(&self, host: usize) -> bool {
         !matches!(self.hosts[host].state, State::Isolated | State::Dead | State::Crashed)
     }
 
-    /// A request's last byte has come to a host.
+    /// Handles the complete arrival of a request at a host.
     pub fn arrive(&mut self, now: Micros, ticket: Ticket, host: usize, query: Query) -> Vec<Effect> {
         self.now = now;
         let work = self.work(&query);
         let needed = self.needed(now, &query);
-        let write = needed.is_none();
+        let is_write = needed.is_none();
         let mut effects = Vec::new();
         if self.hosts[host].crashes_under(work, &self.spec, now) && self.hosts[host].state != State::Crashed {
             effects.push(Effect::ColdHostCrashed(host));
-            effects.extend(self.break_down(host, State::Crashed));
+            effects.extend(self.take_down(host, State::Crashed));
             return effects;
         }
         match self.hosts[host].state {
@@ -379,7 +392,7 @@
             }
             State::Draining => effects.push(Effect::Reply(ticket, Reply::Full)),
             State::Up if now >= query.until => effects.push(Effect::Reply(ticket, Reply::Full)),
-            State::Up if write && !self.is_primary(host) => {
+            State::Up if is_write && !self.is_primary(host) => {
                 effects.push(Effect::Reply(ticket, Reply::ReadOnly));
             }
             State::Up => {
@@ -395,18 +408,19 @@
         effects
     }
 
-    /// A read that the host is too far behind for waits, if hosts do so; any other goes to the cores.
+    /// Lets a read wait for the log if the host is too far behind and hosts wait; queues any other request
+    /// for the cores.
     fn admit(&mut self, ticket: Ticket) -> Option<Effect> {
         let job = &self.jobs[&ticket];
-        let behind = job.needed.is_some_and(|needed| self.position(job.host, self.now) < needed);
+        let is_behind = job.needed.is_some_and(|needed| self.position(job.host, self.now) < needed);
         let WhenBehind::Wait(wait) = self.spec.when_behind else { return self.queue(ticket) };
-        if !behind {
+        if !is_behind {
             return self.queue(ticket);
         }
         let (group, member) = (self.group(job.host), self.member(job.host));
-        let reaches = self.sets[group].log.time_of_reaching(member, job.needed.unwrap_or(0), self.now);
+        let reached_at = self.groups[group].log.time_of_reaching(member, job.needed.unwrap_or(0), self.now);
         let until = self.now + wait;
-        self.at(reaches.map_or(until, |at| at.min(until)), Due::Waited(ticket));
+        self.schedule(reached_at.map_or(until, |at| at.min(until)), Event::LogWaitOver(ticket));
         None
     }
 
@@ -426,17 +440,18 @@
     fn run(&mut self, ticket: Ticket) {
         let job = &self.jobs[&ticket];
         let service_time = self.hosts[job.host].service_time(job.work, &self.spec, self.now);
-        self.at(self.now + service_time, Due::Done(ticket));
+        self.schedule(self.now + service_time, Event::RequestFinished(ticket));
     }
 
-    fn at(&mut self, when: Micros, due: Due) {
+    fn schedule(&mut self, when: Micros, event: Event) {
         self.sequence += 1;
-        self.dues.insert(self.next_due, due);
-        self.due.push(Reverse((when, self.sequence, self.next_due)));
-        self.next_due += 1;
+        self.events.insert(self.next_event, event);
+        self.event_queue.push(Reverse((when, self.sequence, self.next_event)));
+        self.next_event += 1;
     }
 
-    /// The client's side of an attempt is gone: waiting work is dropped where hosts do so, running work goes on.
+    /// Cancels an attempt whose connection is gone: a queued request is dropped if hosts do so, a running one
+    /// goes on.
     pub fn cancel(&mut self, ticket: Ticket) {
         if let Some(job) = self.jobs.get(&ticket).filter(|_| self.spec.cancels) {
             if self.hosts[job.host].drop_queued(ticket) {
@@ -445,54 +460,54 @@
         }
     }
 
-    /// When something happens next.
+    /// Returns the time of the next event.
     pub fn next(&self) -> Option<Micros> {
-        self.due.peek().map(|Reverse((when, ..))| *when)
+        self.event_queue.peek().map(|Reverse((when, ..))| *when)
     }
 
-    /// All that happens up to that moment, in its order.
+    /// Processes all events up to `now` and returns their effects in order.
     pub fn advance(&mut self, now: Micros) -> Vec<Effect> {
         let mut effects = Vec::new();
         while self.next().is_some_and(|when| when <= now) {
-            let Some(Reverse((when, _, number))) = self.due.pop() else { break };
+            let Some(Reverse((when, _, key))) = self.event_queue.pop() else { break };
             self.now = when;
-            if let Some(due) = self.dues.remove(&number) {
-                effects.extend(self.happens(due));
+            if let Some(event) = self.events.remove(&key) {
+                effects.extend(self.handle_event(event));
             }
         }
         self.now = now;
         effects
     }
 
-    fn happens(&mut self, due: Due) -> Vec<Effect> {
-        match due {
-            Due::Done(ticket) => self.done(ticket),
-            Due::Waited(ticket) => self.waited(ticket).into_iter().collect(),
-            Due::Elect(group, term) => self.elect(group, term),
-            Due::Returns(host) => self.returns(host),
-            Due::Roster(host, status) => {
+    fn handle_event(&mut self, event: Event) -> Vec<Effect> {
+        match event {
+            Event::RequestFinished(ticket) => self.finish(ticket),
+            Event::LogWaitOver(ticket) => self.end_log_wait(ticket).into_iter().collect(),
+            Event::Election(group, term) => self.elect(group, term),
+            Event::Restart(host) => self.restart(host),
+            Event::StatusPublished(host, status) => {
                 vec![Effect::StatusPublished(host, status, self.hosts[host].started)]
             }
-            Due::EndsHang(host) => self.ends_hang(host),
-            Due::EndsDrain(host) => self.ends_drain(host),
-            Due::EndsLag(host) => {
+            Event::HangEnded(host) => self.end_hang(host),
+            Event::DrainEnded(host) => self.end_drain(host),
+            Event::LagEnded(host) => {
                 let (group, member) = (self.group(host), self.member(host));
-                self.sets[group].log.set_slowdown(member, 1.0, self.applies[host], self.now);
+                self.groups[group].log.set_slowdown(member, 1.0, self.apply_utilization[host], self.now);
                 Vec::new()
             }
-            Due::EndsErrors(host) => {
+            Event::ErrorsEnded(host) => {
                 self.hosts[host].error_share = 0.0;
                 Vec::new()
             }
-            Due::EndsIsolation(host) => self.ends_isolation(host),
-            Due::EndsLosses(host) => {
+            Event::IsolationEnded(host) => self.end_isolation(host),
+            Event::AnswerLossEnded(host) => {
                 self.hosts[host].answer_loss = None;
                 Vec::new()
             }
         }
     }
 
-    fn waited(&mut self, ticket: Ticket) -> Option<Effect> {
+    fn end_log_wait(&mut self, ticket: Ticket) -> Option<Effect> {
         let job = self.jobs.get(&ticket)?;
         if job.needed.is_some_and(|needed| self.position(job.host, self.now) < needed) {
             self.jobs.remove(&ticket);
@@ -501,7 +516,7 @@
         self.queue(ticket)
     }
 
-    fn done(&mut self, ticket: Ticket) -> Vec<Effect> {
+    fn finish(&mut self, ticket: Ticket) -> Vec<Effect> {
         let Some(job) = self.jobs.remove(&ticket) else { return Vec::new() };
         if let Some(next) = self.hosts[job.host].finish(ticket) {
             self.run(next);
@@ -522,16 +537,16 @@
 
     fn commit(&mut self, ticket: Ticket, job: &Job) -> Vec<Effect> {
         if !self.is_primary(job.host) {
-            // It lost its role while it held the write.
+            // The host lost its role while it held the write.
             return vec![Effect::Reply(ticket, Reply::Error)];
         }
         let (now, window) = (self.now, self.spec.key_window);
         let group = self.group(job.host);
-        let set = &mut self.sets[group];
-        let recorded = job.query.key.as_deref().map(|key| set.keys.record(key, now, window));
+        let state = &mut self.groups[group];
+        let recorded = job.query.key.as_deref().map(|key| state.keys.record(key, now, window));
         let position = match recorded {
             Some(Recorded::Repeat(committed)) => committed,
-            _ => set.log.commit(now),
+            _ => state.log.commit(now),
         };
         let content = Self::content(&job.query.id);
         let reply = Reply::Served { content, position, primary: true, needed: None };
@@ -544,101 +559,101 @@
 
     // ---- Faults --------------------------------------------------------------------------------------
 
-    /// A fault begins.
+    /// Starts a fault and returns its immediate effects.
     pub fn inject(&mut self, now: Micros, fault: &HostFault) -> Vec<Effect> {
         self.now = now;
         match *fault {
             HostFault::Death { host, span } => {
-                let effects = self.break_down(host, State::Dead);
-                self.at(now + span, Due::Returns(host));
+                let effects = self.take_down(host, State::Dead);
+                self.schedule(now + span, Event::Restart(host));
                 effects
             }
             HostFault::Hang { host, span } => {
                 self.hosts[host].state = State::Hung;
-                // What it holds is answered by nobody.
+                // The requests that the host holds are never answered.
                 for ticket in self.hosts[host].drop_all() {
                     self.jobs.remove(&ticket);
                 }
-                self.headless(host, None);
-                self.at(now + span, Due::EndsHang(host));
+                self.lose_primary_role(host, None);
+                self.schedule(now + span, Event::HangEnded(host));
                 Vec::new()
             }
             HostFault::Drain { host, span } => {
                 self.hosts[host].state = State::Draining;
-                let switch = self.draw(self.spec.handover_delay);
-                self.headless(host, Some(switch));
-                self.tell_roster(host, Status::Draining);
-                self.at(now + span, Due::EndsDrain(host));
+                let handover_delay = self.draw(self.spec.handover_delay);
+                self.lose_primary_role(host, Some(handover_delay));
+                self.publish_status(host, Status::Draining);
+                self.schedule(now + span, Event::DrainEnded(host));
                 Vec::new()
             }
             HostFault::Lag { host, times, span } => {
                 let (group, member) = (self.group(host), self.member(host));
-                self.sets[group].log.set_slowdown(member, times, self.applies[host], now);
-                self.at(now + span, Due::EndsLag(host));
+                self.groups[group].log.set_slowdown(member, times, self.apply_utilization[host], now);
+                self.schedule(now + span, Event::LagEnded(host));
                 Vec::new()
             }
             HostFault::Isolation { host, span } => self.isolate(host, span),
             HostFault::LostAnswers { host, share, delivery, span } => {
                 self.hosts[host].answer_loss = Some((share, delivery));
-                self.at(now + span, Due::EndsLosses(host));
+                self.schedule(now + span, Event::AnswerLossEnded(host));
                 Vec::new()
             }
             HostFault::FastErrors { host, share, span } => {
                 self.hosts[host].error_share = share;
-                self.at(now + span, Due::EndsErrors(host));
+                self.schedule(now + span, Event::ErrorsEnded(host));
                 Vec::new()
             }
         }
     }
 
-    fn draw(&mut self, (least, most): (Micros, Micros)) -> Micros {
-        self.random.random_range(least..=most)
+    fn draw(&mut self, (min, max): (Micros, Micros)) -> Micros {
+        self.random.random_range(min..=max)
     }
 
-    fn tell_roster(&mut self, host: usize, status: Status) {
-        let late = self.draw(self.spec.discovery_delay);
-        self.at(self.now + late, Due::Roster(host, status));
+    fn publish_status(&mut self, host: usize, status: Status) {
+        let delay = self.draw(self.spec.discovery_delay);
+        self.schedule(self.now + delay, Event::StatusPublished(host, status));
     }
 
-    fn break_down(&mut self, host: usize, state: State) -> Vec<Effect> {
-        self.cut_off(host, state);
-        self.tell_roster(host, Status::Removed);
+    fn take_down(&mut self, host: usize, state: State) -> Vec<Effect> {
+        self.make_unreachable(host, state);
+        self.publish_status(host, Status::Removed);
         vec![Effect::ConnectionsBroken(host)]
     }
 
-    /// Nobody reaches a host any more, and what it holds is lost.
-    fn cut_off(&mut self, host: usize, state: State) {
-        self.stood[host] = self.position(host, self.now);
+    /// Makes a host unreachable and drops the requests that it holds.
+    fn make_unreachable(&mut self, host: usize, state: State) {
+        self.position_when_down[host] = self.position(host, self.now);
         for ticket in self.hosts[host].drop_all() {
             self.jobs.remove(&ticket);
         }
         self.jobs.retain(|_, job| job.host != host);
         self.hosts[host].state = state;
-        self.headless(host, None);
+        self.lose_primary_role(host, None);
     }
 
-    /// A host that does not serve just then is left as it is.
+    /// Isolates a host from the network; has no effect on a host that is not up.
     fn isolate(&mut self, host: usize, span: Micros) -> Vec<Effect> {
         if self.hosts[host].state != State::Up {
             return Vec::new();
         }
-        self.cut_off(host, State::Isolated);
-        self.at(self.now + span, Due::EndsIsolation(host));
+        self.make_unreachable(host, State::Isolated);
+        self.schedule(self.now + span, Event::IsolationEnded(host));
         vec![Effect::ConnectionsBroken(host)]
     }
 
-    fn ends_isolation(&mut self, host: usize) -> Vec<Effect> {
+    fn end_isolation(&mut self, host: usize) -> Vec<Effect> {
         if self.hosts[host].state != State::Isolated {
             return Vec::new();
         }
         let (group, member) = (self.group(host), self.member(host));
         self.hosts[host].state = State::Up;
-        self.sets[group].log.resume(member, self.stood[host], self.now);
-        self.heard_again(host);
+        self.groups[group].log.resume(member, self.position_when_down[host], self.now);
+        self.regain_primary_role(host);
         vec![Effect::ConnectionsAccepted(host)]
     }
 
-    /// What becomes of the answer that a host writes now.
+    /// Draws the fate of the answer that a host writes now.
     pub fn delivery(&mut self, host: usize) -> Delivery {
         match self.hosts[host].answer_loss {
             Some((share, delivery)) if self.random.random_bool(share.clamp(0.0, 1.0)) => delivery,
@@ -646,70 +661,73 @@
         }
     }
 
-    /// If the host is its set's primary: the set has none until it elects one, after that time or after it has
-    /// noticed.
-    fn headless(&mut self, host: usize, after: Option<Micros>) {
+    /// Leaves the host's group without a primary if the host is the primary. The group elects a new one after
+    /// the given time, or after a random detection and election time if none is given.
+    fn lose_primary_role(&mut self, host: usize, after: Option<Micros>) {
         if !self.is_primary(host) {
             return;
         }
         let is_unnoticed = after.is_none();
         let after = after.unwrap_or_else(|| self.draw(self.spec.detect) + self.draw(self.spec.elect));
         let (group, member, now) = (self.group(host), self.member(host), self.now);
-        let set = &mut self.sets[group];
-        set.lost = is_unnoticed.then_some((member, now));
-        set.log.remove_primary(now);
-        set.term += 1;
-        let term = set.term;
-        self.at(now + after, Due::Elect(group, term));
+        let state = &mut self.groups[group];
+        state.lost_primary = is_unnoticed.then_some((member, now));
+        state.log.remove_primary(now);
+        state.term += 1;
+        let term = state.term;
+        self.schedule(now + after, Event::Election(group, term));
     }
 
-    /// A host is heard again: if it was lost as the primary for less time than its set takes to notice, it still is.
-    fn heard_again(&mut self, host: usize) {
+    /// Handles the return of a host: if it was the primary and its group has not had the time to notice its
+    /// absence, it is the primary again.
+    fn regain_primary_role(&mut self, host: usize) {
         let (group, member, now) = (self.group(host), self.member(host), self.now);
-        let set = &mut self.sets[group];
-        let is_unnoticed = set.lost.is_some_and(|(lost, at)| lost == member && now - at < self.spec.detect.0);
-        if is_unnoticed && set.log.primary().is_none() {
-            set.term += 1;
-            set.log.elect(&[member], now);
+        let state = &mut self.groups[group];
+        let is_unnoticed =
+            state.lost_primary.is_some_and(|(lost, at)| lost == member && now - at < self.spec.detect.0);
+        if is_unnoticed && state.log.primary().is_none() {
+            state.term += 1;
+            state.log.elect(&[member], now);
         }
     }
 
     fn elect(&mut self, group: usize, term: u64) -> Vec<Effect> {
         let (members, now) = (self.spec.members, self.now);
-        let up = |member: &usize| self.hosts[group * members + member].state == State::Up;
-        let alive: Vec<usize> = (0..members).filter(up).collect();
-        let set = &mut self.sets[group];
-        if set.term == term && set.log.primary().is_none() && set.log.elect(&alive, now).is_none() {
-            // Nobody is there: again a little later.
-            self.at(now + SECOND / 10, Due::Elect(group, term));
+        let is_up = |member: &usize| self.hosts[group * members + member].state == State::Up;
+        let candidates: Vec<usize> = (0..members).filter(is_up).collect();
+        let state = &mut self.groups[group];
+        if state.term == term && state.log.primary().is_none() && state.log.elect(&candidates, now).is_none()
+        {
+            // No member is up; the election is repeated after 100 ms.
+            self.schedule(now + SECOND / 10, Event::Election(group, term));
         }
         Vec::new()
     }
 
-    fn returns(&mut self, host: usize) -> Vec<Effect> {
+    fn restart(&mut self, host: usize) -> Vec<Effect> {
         if self.hosts[host].state != State::Dead {
             return Vec::new();
         }
         let (group, member, now) = (self.group(host), self.member(host), self.now);
         self.hosts[host].restart(now);
-        let stood = self.stood[host];
-        self.sets[group].log.resume(member, stood, now);
-        self.tell_roster(host, Status::Up);
+        let position_when_down = self.position_when_down[host];
+        self.groups[group].log.resume(member, position_when_down, now);
+        self.publish_status(host, Status::Up);
         vec![Effect::ConnectionsAccepted(host)]
     }
 
-    fn ends_hang(&mut self, host: usize) -> Vec<Effect> {
+    fn end_hang(&mut self, host: usize) -> Vec<Effect> {
         if self.hosts[host].state == State::Hung {
             self.hosts[host].state = State::Up;
-            self.heard_again(host);
+            self.regain_primary_role(host);
         }
         Vec::new()
     }
 
-    fn ends_drain(&mut self, host: usize) -> Vec<Effect> {
+    fn end_drain(&mut self, host: usize) -> Vec<Effect> {
         if self.hosts[host].state == State::Draining {
             self.hosts[host].state = State::Up;
-            self.tell_roster(host, Status::Up);
+            self.publish_status(host, Status::Up);
         }
         Vec::new()
     }
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -275,9 +275,9 @@
 /// The checker of several proxies, with a host 1 that has been primary and has notified the first process of its role.
 fn demoted() -> Checker {
     let mut checker = Checker::shared(&Spec::sapporo());
-    checker.asked_of("a", FIRST);
-    checker.asked_of("b", FIRST);
-    checker.asked_of("c", RESTARTED);
+    checker.request_sent_to("a", FIRST);
+    checker.request_sent_to("b", FIRST);
+    checker.request_sent_to("c", RESTARTED);
     checker.seen_as_primary(1);
     checker.role_reported(START, 1, "a", false);
     checker
@@ -309,7 +309,7 @@
 #[case::within_the_slack_of_sockets(50 * MS, 0)]
 fn a_read_sent_to_a_lagging_replica_is_found_without_its_answer(#[case] age: Micros, #[case] broken: usize) {
     let mut checker = Checker::shared(&Spec::sapporo());
-    checker.asked_of("a", FIRST);
+    checker.request_sent_to("a", FIRST);
     checker.read_sent(START, 2, "a", START - age, START);
     assert_eq!(checker.verdict(Rule::Stale), (1, broken), "{:?}", checker.breaches());
     checker.replied(2, START, "a", &served(START - age, START));
@@ -322,7 +322,7 @@
 #[case::after_that(250 * MS, 1)]
 fn a_process_that_is_held_up_is_given_that_time(#[case] after: Micros, #[case] broken: usize) {
     let mut checker = demoted();
-    checker.held_up(FIRST.process, 150 * MS);
+    checker.process_pauses(FIRST.process, 150 * MS);
     checker.read_sent(START + after, 1, "b", START - SECOND, START);
     assert_eq!(checker.verdict(Rule::Stale).1, broken, "{:?}", checker.breaches());
 }
@@ -346,7 +346,7 @@
         let mut checker = Checker::shared(&Spec::sapporo());
         checker.seen_as_primary(1);
         checker.asked("a", START + SECOND);
-        checker.asked_of("a", FIRST);
+        checker.request_sent_to("a", FIRST);
         answers.iter().for_each(|answer| checker.replied(1, START, "a", answer));
         checker.answered(START, "a", Some((b"value of a", "value of a")));
         checker.verdict(Rule::Stale).1
