--- a/crates/emulator/src/net/actor.rs
+++ b/crates/emulator/src/net/actor.rs
@@ -1,6 +1,6 @@
-//! The world's actor: it alone owns the world and the checker, and what the script has left.
+//! The actor that owns the simulated world, the checker and the remaining fault script.
 
-use super::discovery::Roster;
+use super::discovery::EndpointList;
 use super::{Clock, Verdict};
 use crate::checker::{Checker, ProxyIncarnation, RULES};
 use crate::host::{Delivery, State};
@@ -11,59 +11,61 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::sleep_until;
 
-/// What a host writes, and what becomes of it.
+/// A host's answer and its fate.
 pub type Answer<T> = (T, Delivery);
 
-/// What the world's actor is told.
+/// Message to the world's actor.
 #[derive(Debug)]
 pub enum WorldMessage {
-    /// The script's time begins.
+    /// Starts the fault script.
     Begin,
-    /// A proxy process is stopped or held up for that long now and then.
+    /// Reports that a proxy process is paused for up to the given time now and then.
     ProcessPauses(usize, Micros),
-    /// Somebody connects to a host; no answer is one that says nothing.
-    Greet(usize, oneshot::Sender<()>),
-    /// A request has come to a host.
+    /// Asks a host to respond to a handshake message. The sender is dropped unused if the host does not
+    /// respond.
+    Handshake(usize, oneshot::Sender<()>),
+    /// Reports a request that has arrived at a host. The host's reply is sent when it is due.
     Query(usize, Ticket, Query, oneshot::Sender<Answer<Reply>>),
-    /// An attempt's connection is gone.
+    /// Reports that an attempt's connection is gone.
     Cancel(Ticket),
-    /// A host is asked for its load report, on a connection that carried that request last.
+    /// Asks a host for its load report, on a connection whose last request had the given id.
     Load(usize, Option<String>, oneshot::Sender<Answer<String>>),
-    /// Discovery has written a host's status to a proxy.
+    /// Reports that discovery has written a host's status to a proxy.
     Written(usize, Status),
-    /// A client is about to send a request of a session, whose answer it awaits until then.
+    /// Reports that a client is about to send a request.
     Asked {
-        /// The request.
+        /// The request id.
         id: String,
-        /// Its session.
+        /// The request's session.
         session: String,
-        /// The process that it goes to.
+        /// The proxy process to which it is sent.
         proxy: ProxyIncarnation,
-        /// When it stops waiting.
+        /// The time at which the client stops waiting.
         until: Micros,
     },
-    /// A client has its answer: the value, if it was served one, and the session that has written, if it has.
+    /// Reports that a client has received an answer.
     Answered {
-        /// The request.
+        /// The request id.
         id: String,
-        /// The value.
+        /// The value, if one was served.
         value: Option<Vec<u8>>,
-        /// The session that has to see this write from now on.
+        /// The session that has to see the write from now on, if the request was a write that succeeded.
         wrote: Option<String>,
     },
-    /// A client's connection has ended without an answer.
+    /// Reports that a client's connection has ended without an answer to the request with the given id.
     Lost(String),
-    /// A client had no connection to send it on: it has failed and is not lost.
+    /// Reports that the request with the given id was never sent for lack of a connection, so that no answer
+    /// is due.
     Withdrawn(String),
-    /// How the rules fared, once nothing more comes.
-    Judge(oneshot::Sender<Verdict>),
+    /// Ends the run and asks for its results.
+    Finish(oneshot::Sender<Verdict>),
 }
 
-/// An attempt that a host has not answered yet.
-struct Open {
+/// Attempt that a host has not answered yet.
+struct OpenAttempt {
     id: String,
     host: usize,
-    came: Micros,
+    arrived: Micros,
     answer: oneshot::Sender<Answer<Reply>>,
 }
 
@@ -73,11 +75,11 @@
     script: Script,
     clock: Clock,
     began: Option<Micros>,
-    /// Whether each host takes connections.
-    links: Vec<watch::Sender<bool>>,
-    roster: watch::Sender<Roster>,
-    open: HashMap<Ticket, Open>,
-    /// The commit of each write that has been answered by a host, until its client has it.
+    /// For each host, whether it accepts connections.
+    accepts_connections: Vec<watch::Sender<bool>>,
+    endpoint_list: watch::Sender<EndpointList>,
+    open_attempts: HashMap<Ticket, OpenAttempt>,
+    /// The commit position of each write that a host has answered, until its client has received the answer.
     commits: HashMap<String, Micros>,
     attempts: u64,
 }
@@ -87,8 +89,8 @@
         world: World,
         script: Script,
         clock: Clock,
-        links: Vec<watch::Sender<bool>>,
-        roster: watch::Sender<Roster>,
+        accepts_connections: Vec<watch::Sender<bool>>,
+        endpoint_list: watch::Sender<EndpointList>,
         is_shared: bool,
     ) -> Self {
         Self {
@@ -97,17 +99,17 @@
             script,
             clock,
             began: None,
-            links,
-            roster,
-            open: HashMap::new(),
+            accepts_connections,
+            endpoint_list,
+            open_attempts: HashMap::new(),
             commits: HashMap::new(),
             attempts: 0,
         }
     }
 
-    pub async fn run(mut self, mut mailbox: mpsc::Receiver<WorldMessage>, mut ends: watch::Receiver<()>) {
+    pub async fn run(mut self, mut mailbox: mpsc::Receiver<WorldMessage>, mut shutdown: watch::Receiver<()>) {
         loop {
-            let due = [self.world.next(), self.began.zip(self.script.next()).map(|(b, at)| b + at)];
+            let due = [self.world.next(), self.began.zip(self.script.next()).map(|(began, at)| began + at)];
             let due = due.into_iter().flatten().min().map(|at| self.clock.instant(at));
             let wait = async {
                 match due {
@@ -121,7 +123,7 @@
                     None => return,
                 },
                 () = wait => self.advance(),
-                Err(_) = ends.changed() => return,
+                Err(_) = shutdown.changed() => return,
             }
         }
     }
@@ -138,20 +140,25 @@
 
     #[expect(clippy::too_many_lines)]
     fn handle(&mut self, message: WorldMessage) {
-        // What was due before comes first.
+        // Events that were due before the message come first.
         self.advance();
         let now = self.clock.now();
         match message {
             WorldMessage::Begin => self.began = Some(now),
             WorldMessage::ProcessPauses(process, span) => self.checker.process_pauses(process, span),
-            WorldMessage::Greet(host, answer) => {
+            WorldMessage::Handshake(host, answer) => {
                 if matches!(self.world.state(host), State::Up | State::Draining) {
                     let _ = answer.send(());
                 }
             }
             WorldMessage::Load(host, id, answer) => {
                 if matches!(self.world.state(host), State::Up | State::Draining) {
-                    self.note_role(now, host, id.as_deref().unwrap_or_default(), self.world.is_primary(host));
+                    self.record_role(
+                        now,
+                        host,
+                        id.as_deref().unwrap_or_default(),
+                        self.world.is_primary(host),
+                    );
                     let _ = answer.send((self.world.report(host, now), self.world.delivery(host)));
                 }
             }
@@ -168,12 +175,13 @@
                 if self.world.is_primary(host) {
                     self.checker.seen_as_primary(host);
                 }
-                self.open.insert(ticket, Open { id: query.id.clone(), host, came: now, answer });
+                self.open_attempts
+                    .insert(ticket, OpenAttempt { id: query.id.clone(), host, arrived: now, answer });
                 let effects = self.world.arrive(now, ticket, host, query);
                 self.carry_out(effects);
             }
             WorldMessage::Cancel(ticket) => {
-                self.open.remove(&ticket);
+                self.open_attempts.remove(&ticket);
                 self.world.cancel(ticket);
             }
             WorldMessage::Written(host, status) => self.checker.status_reported(now, host, status),
@@ -184,8 +192,8 @@
             }
             WorldMessage::Answered { id, value, wrote } => {
                 self.world.answered(&id);
-                let made = World::content(&id);
-                self.checker.answered(now, &id, value.as_deref().map(|value| (value, made.as_str())));
+                let expected = World::content(&id);
+                self.checker.answered(now, &id, value.as_deref().map(|value| (value, expected.as_str())));
                 if let Some((session, commit)) = wrote.zip(self.commits.remove(&id)) {
                     self.world.acknowledge(&session, commit);
                 }
@@ -198,7 +206,7 @@
                 self.world.answered(&id);
                 self.checker.withdrawn(&id);
             }
-            WorldMessage::Judge(answer) => {
+            WorldMessage::Finish(answer) => {
                 self.checker.end();
                 let _ = answer.send(self.verdict());
             }
@@ -210,13 +218,13 @@
             match effect {
                 Effect::Reply(ticket, reply) => self.reply(ticket, reply),
                 Effect::ConnectionsBroken(host) => {
-                    self.links[host].send_replace(false);
+                    self.accepts_connections[host].send_replace(false);
                 }
                 Effect::ConnectionsAccepted(host) => {
-                    self.links[host].send_replace(true);
+                    self.accepts_connections[host].send_replace(true);
                 }
                 Effect::StatusPublished(host, status, since) => {
-                    self.roster.send_modify(|roster| roster.change(host, status, since));
+                    self.endpoint_list.send_modify(|endpoint_list| endpoint_list.change(host, status, since));
                 }
                 Effect::ColdHostCrashed(host) => self.checker.cold_host_crashed(host),
                 Effect::KeyRecordedAgain(key) => self.checker.key_recorded_again(&key),
@@ -225,11 +233,13 @@
     }
 
     fn reply(&mut self, ticket: Ticket, reply: Reply) {
-        let Some(Open { id, host, came, answer }) = self.open.remove(&ticket) else { return };
-        self.checker.replied(host, came, &id, &reply);
+        let Some(OpenAttempt { id, host, arrived, answer }) = self.open_attempts.remove(&ticket) else {
+            return;
+        };
+        self.checker.replied(host, arrived, &id, &reply);
         match &reply {
-            Reply::Served { primary, .. } => self.note_role(self.clock.now(), host, &id, *primary),
-            Reply::ReadOnly => self.note_role(self.clock.now(), host, &id, false),
+            Reply::Served { primary, .. } => self.record_role(self.clock.now(), host, &id, *primary),
+            Reply::ReadOnly => self.record_role(self.clock.now(), host, &id, false),
             Reply::Behind | Reply::Full | Reply::Error => {}
         }
         if let Reply::Served { position, needed: None, .. } = &reply {
@@ -238,8 +248,8 @@
         let _ = answer.send((reply, self.world.delivery(host)));
     }
 
-    /// A host states its role in an answer.
-    fn note_role(&mut self, now: Micros, host: usize, id: &str, is_primary: bool) {
+    /// Records the role that a host states in an answer.
+    fn record_role(&mut self, now: Micros, host: usize, id: &str, is_primary: bool) {
         if is_primary {
             self.checker.seen_as_primary(host);
         }
@@ -247,13 +257,13 @@
     }
 
     fn verdict(&self) -> Verdict {
-        let rule = |rule| {
-            let (tried, broken) = self.checker.verdict(rule);
-            (rule, tried, broken)
+        let result = |rule| {
+            let (checked, broken) = self.checker.verdict(rule);
+            (rule, checked, broken)
         };
         let groups = self.world.spec().groups;
         Verdict {
-            rules: RULES.into_iter().map(rule).collect(),
+            rules: RULES.into_iter().map(result).collect(),
             breaches: self.checker.breaches().to_vec(),
             attempts: self.attempts,
             keys: (0..groups).map(|group| self.world.keys(group).len()).sum(),
--- a/crates/emulator/src/net/client.rs
+++ b/crates/emulator/src/net/client.rs
@@ -1,4 +1,4 @@
-//! Clients, as tills and office programs are: they connect, ask and wait.
+//! Emulated clients, which connect, send one request at a time and wait for its answer.
 
 use super::Wire;
 use crate::schedule::Planned;
@@ -15,21 +15,22 @@
     Rpc, Status, Token, Tokens, Value, PACKET_SIZE, SP_EXECUTESQL,
 };
 
-/// The longest answer that is read.
-const MOST: usize = 128 * 1024;
+/// Maximum length of an answer in bytes.
+const MAX_ANSWER_BYTES: usize = 128 * 1024;
 
-/// How a request ended for its client.
+/// Result of a request for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// With a value.
+    /// The request was served a value.
     Served(Vec<u8>),
-    /// Turned away: trying again is harmless, after so many milliseconds if they are told.
+    /// The request was rejected and may be retried safely, after the given number of milliseconds if any is
+    /// stated.
     Refused(Option<u64>),
-    /// With an error that says nothing of that kind.
+    /// The request failed with another error.
     Failed(String),
 }
 
-/// A client's connection; it asks one thing at a time.
+/// A client's connection, for one request at a time.
 #[derive(Debug)]
 pub struct Client {
     stream: TcpStream,
@@ -38,32 +39,33 @@
     assembler: Assembler,
 }
 
-fn broken(what: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what.to_owned())
+fn invalid_data(message: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, message.to_owned())
 }
 
 impl Client {
     /// Connects and opens a session.
     ///
     /// # Errors
-    /// When there is no connection, or the session is not let in.
+    /// Fails if the connection fails or the session is not accepted.
     pub async fn connect(wire: Wire, address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let (read, assembler) = (BytesMut::with_capacity(1024), Assembler::new(MOST));
+        let (read, assembler) = (BytesMut::with_capacity(1024), Assembler::new(MAX_ANSWER_BYTES));
         let mut client = Self { stream, wire, read, assembler };
         match wire {
             Wire::Postgres => {
                 let mut out = BytesMut::new();
                 startup(&mut out, "backend", "store");
                 client.stream.write_all(&out).await?;
-                client.postgres().await?;
+                client.postgres_answer().await?;
             }
             Wire::Tds => {
                 let mut payload = BytesMut::new();
                 Prelogin { version: (9, 0, 0), ..Prelogin::default() }.put(&mut payload);
                 client.send(PacketType::Prelogin, &payload).await?;
-                Prelogin::parse(&client.message().await?).map_err(|e| broken(&e.to_string()))?;
+                Prelogin::parse(&client.next_message().await?)
+                    .map_err(|error| invalid_data(&error.to_string()))?;
                 let login = Login {
                     version: version::V7_4,
                     packet_size: PACKET_SIZE as u32,
@@ -74,30 +76,30 @@
                 let mut payload = BytesMut::new();
                 login.put(&mut payload);
                 client.send(PacketType::Login, &payload).await?;
-                let answer = client.message().await?;
-                let let_in = Tokens::new(&answer).any(|token| matches!(token, Ok(Token::LoginAck(_))));
-                if !let_in {
-                    return Err(broken("the login was not accepted"));
+                let answer = client.next_message().await?;
+                let is_accepted = Tokens::new(&answer).any(|token| matches!(token, Ok(Token::LoginAck(_))));
+                if !is_accepted {
+                    return Err(invalid_data("the login was not accepted"));
                 }
             }
         }
         Ok(client)
     }
 
-    /// Whether nothing has come that was not read as a part of an answer.
+    /// Returns whether no unprocessed bytes of an answer have been received.
     pub fn silent(&self) -> bool {
         self.read.is_empty() && !self.assembler.begun()
     }
 
-    /// The bare connection, for whoever means to misuse it.
+    /// Returns the underlying stream, for tests that violate the protocol.
     pub fn into_stream(self) -> TcpStream {
         self.stream
     }
 
-    /// Asks and waits for the answer.
+    /// Sends a request and waits for the answer.
     ///
     /// # Errors
-    /// When the connection ends before it, or what comes makes no sense.
+    /// Fails if the connection ends before the answer, or if the answer is malformed.
     pub async fn ask(&mut self, planned: &Planned, spec: &Spec, wait: Micros) -> io::Result<Answer> {
         let statement = planned.statement(spec, wait);
         match self.wire {
@@ -105,30 +107,31 @@
                 let mut out = BytesMut::with_capacity(statement.len() + 6);
                 query(&mut out, statement.as_bytes());
                 self.stream.write_all(&out).await?;
-                self.postgres().await
+                self.postgres_answer().await
             }
             Wire::Tds => {
-                let payload = call(planned, spec, &statement);
+                let payload = rpc_payload(planned, spec, &statement);
                 self.send(PacketType::Rpc, &payload).await?;
-                self.tds().await
+                self.tds_answer().await
             }
         }
     }
 
-    async fn more(&mut self) -> io::Result<()> {
+    async fn read_more(&mut self) -> io::Result<()> {
         match self.stream.read_buf(&mut self.read).await? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
             _ => Ok(()),
         }
     }
 
-    /// What comes up to ReadyForQuery.
-    async fn postgres(&mut self) -> io::Result<Answer> {
+    /// Reads the answer, up to ReadyForQuery.
+    async fn postgres_answer(&mut self) -> io::Result<Answer> {
         let mut answer = Answer::Failed("no answer".to_owned());
         loop {
-            let parsed = BackendMessage::parse(&self.read).map_err(|e| broken(&e.to_string()))?;
+            let parsed =
+                BackendMessage::parse(&self.read).map_err(|error| invalid_data(&error.to_string()))?;
             let Some((message, length)) = parsed else {
-                self.more().await?;
+                self.read_more().await?;
                 continue;
             };
             match message {
@@ -158,20 +161,20 @@
         self.stream.write_all(&out).await
     }
 
-    async fn message(&mut self) -> io::Result<bytes::Bytes> {
+    async fn next_message(&mut self) -> io::Result<bytes::Bytes> {
         loop {
-            match self.assembler.next(&mut self.read).map_err(|e| broken(&e.to_string()))? {
+            match self.assembler.next(&mut self.read).map_err(|error| invalid_data(&error.to_string()))? {
                 Some(message) => return Ok(message.payload),
-                None => self.more().await?,
+                None => self.read_more().await?,
             }
         }
     }
 
-    async fn tds(&mut self) -> io::Result<Answer> {
-        let payload = self.message().await?;
+    async fn tds_answer(&mut self) -> io::Result<Answer> {
+        let payload = self.next_message().await?;
         let mut answer = Answer::Failed("no answer".to_owned());
         for token in Tokens::new(&payload) {
-            match token.map_err(|e| broken(&e.to_string()))? {
+            match token.map_err(|error| invalid_data(&error.to_string()))? {
                 Token::Row(mut values) => match values.pop() {
                     Some(Value::Binary(value)) => answer = Answer::Served(value.to_vec()),
                     other => answer = Answer::Failed(format!("{other:?}")),
@@ -192,8 +195,8 @@
     }
 }
 
-/// A statement as drivers send it: its key, and a write's value, as parameters.
-fn call(planned: &Planned, spec: &Spec, statement: &str) -> BytesMut {
+/// Returns the call of a statement as drivers send it, with the session and a write's value as parameters.
+fn rpc_payload(planned: &Planned, spec: &Spec, statement: &str) -> BytesMut {
     let comment = statement.rfind("/*").map_or("", |at| &statement[at..]);
     let parameter = |name: &str, kind, value| {
         let (name, output) = (name.to_owned(), false);
--- a/crates/emulator/src/net/discovery.rs
+++ b/crates/emulator/src/net/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list, and watches that are told its changes.
+//! The emulated discovery service: the endpoint list, and watches that stream its changes.
 
 use super::actor::WorldMessage;
 use super::Wire;
@@ -23,15 +23,15 @@
 use tokio::time::{sleep, timeout};
 use tokio_stream::wrappers::ReceiverStream;
 
-/// While nothing changes an empty line comes so often.
-const IDLE: Duration = Duration::from_secs(2);
+/// Interval of the empty lines that a watch receives while nothing changes.
+const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The list, with the version of each entry.
+/// The endpoint list, with the version of each entry.
 #[derive(Clone, Debug)]
-pub(super) struct Roster {
+pub(super) struct EndpointList {
     index: u64,
     entries: Vec<Entry>,
-    kind: &'static str,
+    host_type: &'static str,
 }
 
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
     changed: u64,
 }
 
-impl Roster {
+impl EndpointList {
     pub fn new(world: &World, hosts: &[SocketAddr], wires: &[Wire]) -> Self {
         let entry = |(host, address): (usize, &SocketAddr)| Entry {
             zone: world.spec().zones.get(world.zone(host)).copied().unwrap_or_default(),
@@ -59,7 +59,7 @@
         Self {
             index: 1,
             entries: hosts.iter().enumerate().map(entry).collect(),
-            kind: world.spec().host_type,
+            host_type: world.spec().host_type,
         }
     }
 
@@ -69,13 +69,13 @@
         (entry.status, entry.since, entry.changed) = (status, since, self.index);
     }
 
-    /// What has changed after a version; all of it if there is none.
+    /// Returns the entries that changed after a version, or all entries if none is given.
     fn after(&self, since: Option<u64>) -> impl Iterator<Item = (usize, &Entry)> {
         let since = since.unwrap_or(0);
         self.entries.iter().enumerate().filter(move |(_, entry)| entry.changed > since)
     }
 
-    /// The whole list, as a configuration has it.
+    /// Returns the whole list, in the form of a proxy's configuration.
     pub fn known(&self) -> Value {
         self.json(None)
     }
@@ -86,13 +86,13 @@
 
     fn json(&self, since: Option<u64>) -> Value {
         let endpoints: Vec<Value> =
-            self.after(since).map(|(host, entry)| entry.json(host, self.kind)).collect();
+            self.after(since).map(|(host, entry)| entry.json(host, self.host_type)).collect();
         json!({"index": self.index, "snapshot": since.is_none(), "endpoints": endpoints})
     }
 }
 
 impl Entry {
-    fn json(&self, host: usize, kind: &str) -> Value {
+    fn json(&self, host: usize, host_type: &str) -> Value {
         let status = match self.status {
             Status::Up => "up",
             Status::Draining => "draining",
@@ -100,48 +100,49 @@
         };
         json!({
             "name": format!("ledger-{host}"), "address": self.address.to_string(), "zone": self.zone,
-            "type": format!("{kind}-{}", self.wire), "group": self.group, "status": status, "weight": 1.0,
-            "since_ms": self.since.map_or(0, |since| since / MS),
+            "type": format!("{host_type}-{}", self.wire), "group": self.group, "status": status,
+            "weight": 1.0, "since_ms": self.since.map_or(0, |since| since / MS),
         })
     }
 }
 
 pub(super) async fn serve(
     address: SocketAddr,
-    list: watch::Receiver<Roster>,
+    list: watch::Receiver<EndpointList>,
     mailbox: mpsc::Sender<WorldMessage>,
-    terms: Discovery,
-    mut ends: watch::Receiver<()>,
+    mode: Discovery,
+    mut shutdown: watch::Receiver<()>,
 ) -> io::Result<SocketAddr> {
-    let gate = Arc::new(Semaphore::new(1));
+    let call_permit = Arc::new(Semaphore::new(1));
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
         loop {
             tokio::select! {
                 accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                    let (list, mailbox, mut ends) = (list.clone(), mailbox.clone(), ends.clone());
-                    let gate = Arc::clone(&gate);
-                    let answer = service_fn(move |request| {
-                        let (list, mailbox, gate) = (list.clone(), mailbox.clone(), Arc::clone(&gate));
+                    let (list, mailbox, mut shutdown) = (list.clone(), mailbox.clone(), shutdown.clone());
+                    let call_permit = Arc::clone(&call_permit);
+                    let service = service_fn(move |request| {
+                        let (list, mailbox) = (list.clone(), mailbox.clone());
+                        let call_permit = Arc::clone(&call_permit);
                         async move {
-                            let turn = wait_turn(terms, &gate).await;
-                            Ok::<_, Infallible>(match turn {
+                            let is_admitted = wait_for_turn(mode, &call_permit).await;
+                            Ok::<_, Infallible>(match is_admitted {
                                 true => answer(&request, list, mailbox),
-                                false => refused(StatusCode::SERVICE_UNAVAILABLE),
+                                false => empty_response(StatusCode::SERVICE_UNAVAILABLE),
                             })
                         }
                     });
-                    let connection =
-                        hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), answer);
+                    let connection = hyper::server::conn::http1::Builder::new()
+                        .serve_connection(TokioIo::new(stream), service);
                     tokio::spawn(async move {
                         tokio::select! {
                             _ = connection => {}
-                            Err(_) = ends.changed() => {}
+                            Err(_) = shutdown.changed() => {}
                         }
                     });
                 },
-                Err(_) = ends.changed() => return,
+                Err(_) = shutdown.changed() => return,
             }
         }
     });
@@ -150,11 +151,12 @@
 
 type Body = BoxBody<Bytes, Infallible>;
 
-/// Where discovery is one service for all, calls come one after the other; false once one has waited too long.
-async fn wait_turn(terms: Discovery, gate: &Semaphore) -> bool {
-    let Discovery::Polled { call_duration, max_wait } = terms else { return true };
+/// Waits for the turn of a call if discovery is polled, as its service answers one call at a time. Returns
+/// false if the wait was too long.
+async fn wait_for_turn(mode: Discovery, call_permit: &Semaphore) -> bool {
+    let Discovery::Polled { call_duration, max_wait } = mode else { return true };
     let span = |micros: Micros| Duration::from_micros(micros.max(0) as u64);
-    match timeout(span(max_wait), gate.acquire()).await {
+    match timeout(span(max_wait), call_permit.acquire()).await {
         Ok(Ok(_turn)) => {
             sleep(span(call_duration)).await;
             true
@@ -163,7 +165,7 @@
     }
 }
 
-fn refused(status: StatusCode) -> Response<Body> {
+fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(Full::default().boxed());
     *response.status_mut() = status;
     response
@@ -171,11 +173,11 @@
 
 fn answer(
     request: &Request<hyper::body::Incoming>,
-    list: watch::Receiver<Roster>,
+    list: watch::Receiver<EndpointList>,
     mailbox: mpsc::Sender<WorldMessage>,
 ) -> Response<Body> {
     if request.uri().path() != "/catalog/members" {
-        return refused(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
     let query = request.uri().query().unwrap_or_default();
     let value = |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
@@ -189,29 +191,30 @@
     Response::new(StreamBody::new(ReceiverStream::new(body)).boxed())
 }
 
-/// Tells one watch what changes, until it ends.
+/// Sends the list and its changes to a watch until it shutdown.
 async fn follow(
     mut since: Option<u64>,
-    mut list: watch::Receiver<Roster>,
+    mut list: watch::Receiver<EndpointList>,
     mailbox: mpsc::Sender<WorldMessage>,
     lines: mpsc::Sender<Result<Frame<Bytes>, Infallible>>,
 ) {
     loop {
-        let roster = list.borrow_and_update().clone();
-        let news: Vec<(usize, Status)> =
-            roster.after(since).map(|(host, entry)| (host, entry.status)).collect();
-        let line = if news.is_empty() && since.is_some() { "\n".to_owned() } else { roster.line(since) };
+        let endpoint_list = list.borrow_and_update().clone();
+        let changes: Vec<(usize, Status)> =
+            endpoint_list.after(since).map(|(host, entry)| (host, entry.status)).collect();
+        let line =
+            if changes.is_empty() && since.is_some() { "\n".to_owned() } else { endpoint_list.line(since) };
         if lines.send(Ok(Frame::data(Bytes::from(line)))).await.is_err() {
             return;
         }
-        since = Some(roster.index);
-        for (host, status) in news {
+        since = Some(endpoint_list.index);
+        for (host, status) in changes {
             if mailbox.send(WorldMessage::Written(host, status)).await.is_err() {
                 return;
             }
         }
         let changed = tokio::select! {
-            changed = timeout(IDLE, list.changed()) => changed,
+            changed = timeout(EMPTY_LINE_INTERVAL, list.changed()) => changed,
             () = lines.closed() => return,
         };
         if matches!(changed, Ok(Err(_))) {
--- a/crates/emulator/src/net/front.rs
+++ b/crates/emulator/src/net/front.rs
@@ -1,4 +1,5 @@
-//! A host's port: connections under either protocol, and what goes between them and the world's actor.
+//! A host's listener and its connections, in either protocol. They pass requests to the world's actor and
+//! write its replies.
 
 use super::actor::{Answer, WorldMessage};
 use super::postgres::Postgres;
@@ -18,9 +19,9 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use wheelpier_pgwire::KvStatement;
 
-/// Which host a port belongs to, and the way to the world.
+/// The host that a listener belongs to, and the access to the world's actor.
 #[derive(Clone, Debug)]
-pub(super) struct Place {
+pub(super) struct HostContext {
     pub host: usize,
     pub wire: Wire,
     pub clock: Clock,
@@ -29,63 +30,64 @@
     pub classes: Arc<Spec>,
 }
 
-/// What somebody says to a host.
+/// Message from a client or proxy to a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Heard {
-    /// A part of the opening. The host answers, unless it hangs.
-    Greeting,
-    /// A statement in protocol 3's form.
+pub(super) enum ClientMessage {
+    /// A part of the handshake. The host answers it unless it hangs.
+    Handshake,
+    /// A statement, in the form of PostgreSQL's protocol 3.
     Statement(String),
-    /// The load report is asked for.
-    Load,
-    /// Something without an effect, to be answered at once.
-    Nothing,
-    /// Something that is not served.
-    Unknown,
-    /// The end.
-    Leaves,
+    /// A request for the load report.
+    LoadReport,
+    /// A command without an effect, which is answered at once.
+    NoOp,
+    /// A statement that is not supported.
+    Unsupported,
+    /// The end of the session.
+    Terminate,
 }
 
-/// A host's side of the conversation.
-pub(super) trait Front: Send {
-    /// Takes what comes next; what a greeting is answered with goes to `out`.
+/// A host's side of a database protocol.
+pub(super) trait HostProtocol: Send {
+    /// Parses the next message from `read`, or returns none if it is incomplete. The answer to a handshake
+    /// message is written to `out`.
     ///
     /// # Errors
-    /// When it cannot be read: the connection ends.
-    fn hear(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<Heard>, ()>;
+    /// Fails if the message is malformed; the connection ends then.
+    fn next_message(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<ClientMessage>, ()>;
 
-    /// Answers a statement.
+    /// Writes the reply to a statement.
     fn reply(&mut self, reply: &Reply, out: &mut BytesMut);
 
-    /// Answers with a row of one text.
+    /// Writes a row with one text value.
     fn text(&mut self, text: &str, out: &mut BytesMut);
 
-    /// Answers what has no effect.
-    fn nothing(&mut self, out: &mut BytesMut);
+    /// Writes the answer to a command without an effect.
+    fn no_op(&mut self, out: &mut BytesMut);
 
-    /// Says that something is not served.
-    fn unknown(&mut self, out: &mut BytesMut);
+    /// Writes the error for a statement that is not supported.
+    fn unsupported(&mut self, out: &mut BytesMut);
 }
 
-/// Listens, for as long as the host takes connections; the port stays the same.
+/// Listens on a port while the host accepts connections. The port stays the same after an interruption.
 pub(super) async fn listen(
     address: SocketAddr,
-    place: Place,
-    link: watch::Receiver<bool>,
-    ends: watch::Receiver<()>,
+    context: HostContext,
+    is_up: watch::Receiver<bool>,
+    shutdown: watch::Receiver<()>,
 ) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
-    tokio::spawn(keep(Some(listener), address, place, link, ends));
+    tokio::spawn(run_listener(Some(listener), address, context, is_up, shutdown));
     Ok(address)
 }
 
-async fn keep(
+async fn run_listener(
     mut listener: Option<TcpListener>,
     address: SocketAddr,
-    place: Place,
-    mut link: watch::Receiver<bool>,
-    mut ends: watch::Receiver<()>,
+    context: HostContext,
+    mut is_up: watch::Receiver<bool>,
+    mut shutdown: watch::Receiver<()>,
 ) {
     loop {
         let accept = async {
@@ -96,61 +98,61 @@
         };
         tokio::select! {
             accepted = accept => if let Ok((stream, _)) = accepted {
-                tokio::spawn(serve(stream, place.clone(), link.clone(), ends.clone()));
+                tokio::spawn(serve(stream, context.clone(), is_up.clone(), shutdown.clone()));
             },
-            changed = link.changed() => {
+            changed = is_up.changed() => {
                 if changed.is_err() {
                     return;
                 }
-                let up = *link.borrow_and_update();
-                listener = match up {
+                let accepts_connections = *is_up.borrow_and_update();
+                listener = match accepts_connections {
                     true => TcpListener::bind(address).await.ok(),
                     false => None,
                 };
             }
-            Err(_) = ends.changed() => return,
+            Err(_) = shutdown.changed() => return,
         }
     }
 }
 
 async fn serve(
     stream: TcpStream,
-    place: Place,
-    mut link: watch::Receiver<bool>,
-    mut ends: watch::Receiver<()>,
+    context: HostContext,
+    mut is_up: watch::Receiver<bool>,
+    mut shutdown: watch::Receiver<()>,
 ) {
     let _ = stream.set_nodelay(true);
-    // When the process dies its connections are reset.
+    // With a linger time of zero, connections are reset when they are dropped, as by a process that dies.
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
-    let front: Box<dyn Front> = match place.wire {
+    let protocol: Box<dyn HostProtocol> = match context.wire {
         Wire::Postgres => Box::new(Postgres::default()),
         Wire::Tds => Box::new(Tds::default()),
     };
     let (read, out) = (BytesMut::with_capacity(512), BytesMut::new());
-    let connection = Connection { stream, place, front, read, out, last_request: None };
+    let connection = Connection { stream, context, protocol, read, out, last_request: None };
     tokio::select! {
-        _ = connection.talk() => {}
-        _ = link.wait_for(|up| !up) => {}
-        Err(_) = ends.changed() => {}
+        _ = connection.run() => {}
+        _ = is_up.wait_for(|up| !up) => {}
+        Err(_) = shutdown.changed() => {}
     }
 }
 
 struct Connection {
     stream: TcpStream,
-    place: Place,
-    front: Box<dyn Front>,
+    context: HostContext,
+    protocol: Box<dyn HostProtocol>,
     read: BytesMut,
     out: BytesMut,
-    /// The last request that came on it.
+    /// The id of the last request on the connection.
     last_request: Option<String>,
 }
 
 impl Connection {
-    async fn talk(mut self) -> io::Result<()> {
+    async fn run(mut self) -> io::Result<()> {
         loop {
-            match self.front.hear(&mut self.read, &mut self.out) {
-                Ok(Some(heard)) => {
-                    if !self.heard(heard).await? {
+            match self.protocol.next_message(&mut self.read, &mut self.out) {
+                Ok(Some(message)) => {
+                    if !self.handle(message).await? {
                         return Ok(());
                     }
                     let out = self.out.split();
@@ -166,8 +168,8 @@
         }
     }
 
-    /// Whether an answer is delivered. Of one that is not, the connection ends here or stays silent until the other side
-    /// ends it.
+    /// Returns whether an answer is delivered. If it is lost, the connection ends at once, or stays silent
+    /// until the peer closes it.
     async fn is_delivered(&mut self, delivery: Delivery) -> io::Result<bool> {
         match delivery {
             Delivery::Complete => return Ok(true),
@@ -177,68 +179,70 @@
         Ok(false)
     }
 
-    /// Whether the conversation goes on.
-    async fn heard(&mut self, heard: Heard) -> io::Result<bool> {
-        match heard {
-            Heard::Greeting => {
-                let host = self.place.host;
-                self.ask(|answer| WorldMessage::Greet(host, answer)).await?;
+    /// Handles a message and returns whether the session continues.
+    async fn handle(&mut self, message: ClientMessage) -> io::Result<bool> {
+        match message {
+            ClientMessage::Handshake => {
+                let host = self.context.host;
+                self.ask(|answer| WorldMessage::Handshake(host, answer)).await?;
             }
-            Heard::Load if !self.place.classes.reports => self.front.unknown(&mut self.out),
-            Heard::Load => {
-                let (host, id) = (self.place.host, self.last_request.clone());
+            ClientMessage::LoadReport if !self.context.classes.reports => {
+                self.protocol.unsupported(&mut self.out)
+            }
+            ClientMessage::LoadReport => {
+                let (host, id) = (self.context.host, self.last_request.clone());
                 let (report, delivery) = self.ask(|answer| WorldMessage::Load(host, id, answer)).await?;
-                self.front.text(&report, &mut self.out);
+                self.protocol.text(&report, &mut self.out);
                 return self.is_delivered(delivery).await;
             }
-            Heard::Statement(text) => match self.query(&text) {
+            ClientMessage::Statement(text) => match self.query(&text) {
                 Some(query) => {
-                    let (reply, delivery) = self.run(query).await?;
-                    self.front.reply(&reply, &mut self.out);
+                    let (reply, delivery) = self.forward(query).await?;
+                    self.protocol.reply(&reply, &mut self.out);
                     return self.is_delivered(delivery).await;
                 }
-                None => self.front.unknown(&mut self.out),
+                None => self.protocol.unsupported(&mut self.out),
             },
-            Heard::Nothing => self.front.nothing(&mut self.out),
-            Heard::Unknown => self.front.unknown(&mut self.out),
-            Heard::Leaves => return Ok(false),
+            ClientMessage::NoOp => self.protocol.no_op(&mut self.out),
+            ClientMessage::Unsupported => self.protocol.unsupported(&mut self.out),
+            ClientMessage::Terminate => return Ok(false),
         }
         Ok(true)
     }
 
     fn query(&self, text: &str) -> Option<Query> {
         let KvStatement { key, comment, .. } = KvStatement::parse(text).ok()?;
-        let class = self.place.classes.class(&comment.class)?;
-        let until = self.place.clock.now() + (comment.wait_ms * MS as f64) as i64;
+        let class = self.context.classes.class(&comment.class)?;
+        let until = self.context.clock.now() + (comment.wait_ms * MS as f64) as i64;
         Some(Query { id: comment.id, class, session: key.to_owned(), key: comment.key, until })
     }
 
-    async fn run(&mut self, query: Query) -> io::Result<Answer<Reply>> {
-        let (host, ticket) = (self.place.host, self.place.tickets.next());
+    async fn forward(&mut self, query: Query) -> io::Result<Answer<Reply>> {
+        let (host, ticket) = (self.context.host, self.context.tickets.next());
         self.last_request = Some(query.id.clone());
         let reply = self.ask(|answer| WorldMessage::Query(host, ticket, query, answer)).await;
         if reply.is_err() {
-            let _ = self.place.mailbox.send(WorldMessage::Cancel(ticket)).await;
+            let _ = self.context.mailbox.send(WorldMessage::Cancel(ticket)).await;
         }
         reply
     }
 
-    /// Asks the world and waits, for as long as the other side is there. Where there is no answer to be had, it
-    /// waits all the same: such a host says nothing.
-    async fn ask<T>(&mut self, told: impl FnOnce(oneshot::Sender<T>) -> WorldMessage) -> io::Result<T> {
+    /// Sends a message to the world's actor and waits for the answer while the peer is connected. If the
+    /// actor drops the request, the host stays silent, and this waits until the peer closes the connection.
+    async fn ask<T>(&mut self, message: impl FnOnce(oneshot::Sender<T>) -> WorldMessage) -> io::Result<T> {
         let (answer, mut answered) = oneshot::channel();
-        let gone = || io::Error::from(io::ErrorKind::ConnectionAborted);
-        self.place.mailbox.send(told(answer)).await.map_err(|_| gone())?;
-        let mut silent = false;
+        let disconnected = || io::Error::from(io::ErrorKind::ConnectionAborted);
+        self.context.mailbox.send(message(answer)).await.map_err(|_| disconnected())?;
+        let mut is_silent = false;
         loop {
             tokio::select! {
                 biased;
-                answer = &mut answered, if !silent => match answer {
+                answer = &mut answered, if !is_silent => match answer {
                     Ok(answer) => return Ok(answer),
-                    Err(_) => silent = true,
+                    Err(_) => is_silent = true,
                 },
                 read = self.stream.read_buf(&mut self.read) => if read? == 0 {
-                    return Err(gone());
+                    return Err(disconnected());
                 },
             }
         }
--- a/crates/emulator/src/net/mod.rs
+++ b/crates/emulator/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The world on sockets: hosts under one protocol or the other, discovery, and clients.
+//! The simulated deployment on sockets: hosts that speak PostgreSQL's protocol 3 or TDS, discovery, and
+//! clients.
 
 mod actor;
 pub mod client;
@@ -25,10 +26,10 @@
 
 pub use actor::WorldMessage;
 
-/// What may wait for the world's actor.
-const MAILBOX: usize = 4_096;
+/// Capacity of the queue of messages to the world's actor.
+const MAILBOX_CAPACITY: usize = 4_096;
 
-/// What hosts or clients speak.
+/// Database protocol of a host or client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wire {
     /// PostgreSQL's protocol 3.
@@ -46,7 +47,7 @@
     }
 }
 
-/// Unix time in microseconds, read once and then advanced monotonically.
+/// Clock that reads the Unix time once and advances it monotonically, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -54,66 +55,68 @@
 }
 
 impl Clock {
-    /// Reads the system's clock.
+    /// Starts a clock at the system's present time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { started: Instant::now(), unix: unix.as_micros() as Micros }
     }
 
-    /// The present.
+    /// Returns the present time.
     pub fn now(&self) -> Micros {
         self.unix + self.started.elapsed().as_micros() as Micros
     }
 
-    /// A moment as the runtime's timers take it.
+    /// Converts a time to an instant for the runtime's timers.
     pub fn instant(&self, moment: Micros) -> Instant {
         self.started + Duration::from_micros((moment - self.unix).max(0) as u64)
     }
 }
 
-/// How the rules fared.
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// Each rule: how often it was tried, how often it was broken.
+    /// For each rule, how often it was checked and how often it was broken.
     pub rules: Vec<(Rule, u64, usize)>,
-    /// What was broken.
+    /// The violations, in the order in which they were found.
     pub breaches: Vec<Breach>,
-    /// Attempts that came to hosts.
+    /// The number of attempts that arrived at hosts.
     pub attempts: u64,
-    /// Keys recorded, in all sets.
+    /// The number of idempotency keys that were recorded in all groups.
     pub keys: usize,
 }
 
-/// What an installation is made of.
+/// Configuration of an installation.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The world.
+    /// The deployment.
     pub spec: Spec,
-    /// Its seed.
+    /// The seed of the simulation.
     pub seed: u64,
-    /// What its hosts speak, set by set, and from the first on again.
+    /// The protocols of the groups, assigned in rotation; PostgreSQL if the list is empty.
     pub wires: Vec<Wire>,
-    /// Its faults, from [`Installation::begin`] on.
+    /// The faults, whose times count from [`Installation::begin`].
     pub script: Script,
-    /// How many proxies share it. Hosts don't know one from another: with several, what one was told counts for none.
+    /// The number of proxies that share the installation. With more than one, the checker attributes requests
+    /// to processes, as hosts and discovery cannot tell the proxies apart (see
+    /// [`Checker::shared`](crate::checker::Checker::shared)).
     pub proxies: usize,
 }
 
-/// A running installation: ledger sets and discovery on loopback. It ends when it is dropped.
+/// A running installation: groups of hosts and discovery on loopback addresses. It ends when it is dropped.
 #[derive(Debug)]
 pub struct Installation {
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where the hosts listen.
+    /// The addresses of the hosts, by index.
     pub hosts: Vec<SocketAddr>,
-    /// The list that a proxy holds at its start, as its configuration has it.
+    /// The endpoint list at the start, for the `known` field of a proxy's configuration.
     pub known: serde_json::Value,
     mailbox: mpsc::Sender<WorldMessage>,
-    /// Dropped with the installation: all its tasks end.
+    /// Dropped with the installation, which ends all its tasks.
     _alive: watch::Sender<()>,
 }
 
-/// The numbers of attempts, one after the other.
+/// Generator of consecutive attempt numbers.
 #[derive(Clone, Debug, Default)]
 struct Tickets(Arc<AtomicU64>);
 
@@ -123,69 +126,77 @@
     }
 }
 
-/// A loopback address of an installation's own: of 127.0.0.1 another might get a port while a host is down.
-fn own_address() -> [u8; 4] {
+/// Returns a loopback address that no other installation uses. On 127.0.0.1 another process could get the
+/// port of a host that is down.
+fn unique_address() -> [u8; 4] {
     static INSTALLATIONS: AtomicU64 = AtomicU64::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
     [127, 64 | (high & 63), low, (INSTALLATIONS.fetch_add(1, Relaxed) % 250 + 1) as u8]
 }
 
 impl Installation {
-    /// Starts it; there is no fault before [`Self::begin`].
+    /// Starts an installation; the fault script starts with [`Self::begin`].
     ///
     /// # Errors
-    /// When an address cannot be had.
+    /// Fails if an address cannot be bound.
     pub async fn start(options: Options, clock: Clock) -> io::Result<Self> {
         let Options { spec, seed, wires, script, proxies } = options;
-        let speaks = |group: usize| wires.get(group % wires.len().max(1)).copied().unwrap_or(Wire::Postgres);
+        let wire_of = |group: usize| wires.get(group % wires.len().max(1)).copied().unwrap_or(Wire::Postgres);
         let classes = Arc::new(spec.clone());
-        let terms = spec.discovery;
+        let discovery_mode = spec.discovery;
         let world = World::new(spec, seed, clock.now());
-        let (mailbox, told) = mpsc::channel(MAILBOX);
-        let (alive, ends) = watch::channel(());
-        let base = own_address();
+        let (mailbox, messages) = mpsc::channel(MAILBOX_CAPACITY);
+        let (alive, shutdown) = watch::channel(());
+        let base = unique_address();
         let mut hosts = Vec::with_capacity(world.hosts());
-        let mut links = Vec::with_capacity(world.hosts());
+        let mut accepts_connections = Vec::with_capacity(world.hosts());
         let tickets = Tickets::default();
         for host in 0..world.hosts() {
-            let link = watch::channel(true).0;
-            let wire = speaks(world.group(host));
+            let is_up = watch::channel(true).0;
+            let wire = wire_of(world.group(host));
             let (mailbox, tickets, classes) = (mailbox.clone(), tickets.clone(), Arc::clone(&classes));
-            let place = front::Place { host, wire, clock, mailbox, tickets, classes };
+            let context = front::HostContext { host, wire, clock, mailbox, tickets, classes };
             let address =
-                front::listen(SocketAddr::from((base, 0)), place, link.subscribe(), ends.clone()).await?;
+                front::listen(SocketAddr::from((base, 0)), context, is_up.subscribe(), shutdown.clone())
+                    .await?;
             hosts.push(address);
-            links.push(link);
+            accepts_connections.push(is_up);
         }
-        let speak: Vec<Wire> = (0..world.hosts()).map(|host| speaks(world.group(host))).collect();
-        let roster = discovery::Roster::new(&world, &hosts, &speak);
-        let known = roster.known();
-        let (changes, list) = watch::channel(roster);
-        let discovery =
-            discovery::serve(SocketAddr::from((base, 0)), list, mailbox.clone(), terms, ends.clone()).await?;
-        let actor = Actor::new(world, script, clock, links, changes, proxies > 1);
-        tokio::spawn(actor.run(told, ends));
+        let host_wires: Vec<Wire> = (0..world.hosts()).map(|host| wire_of(world.group(host))).collect();
+        let endpoint_list = discovery::EndpointList::new(&world, &hosts, &host_wires);
+        let known = endpoint_list.known();
+        let (list_sender, list) = watch::channel(endpoint_list);
+        let discovery = discovery::serve(
+            SocketAddr::from((base, 0)),
+            list,
+            mailbox.clone(),
+            discovery_mode,
+            shutdown.clone(),
+        )
+        .await?;
+        let actor = Actor::new(world, script, clock, accepts_connections, list_sender, proxies > 1);
+        tokio::spawn(actor.run(messages, shutdown));
         Ok(Self { discovery, hosts, known, mailbox, _alive: alive })
     }
 
-    /// The way to the world's actor.
+    /// Returns the sender of messages to the world's actor.
     pub fn mailbox(&self) -> mpsc::Sender<WorldMessage> {
         self.mailbox.clone()
     }
 
-    /// The script's time runs from now on.
+    /// Starts the fault script.
     pub async fn begin(&self) {
         let _ = self.mailbox.send(WorldMessage::Begin).await;
     }
 
-    /// Nothing more comes: how the rules fared.
+    /// Ends the run and returns its results.
     ///
     /// # Errors
-    /// When the world has ended before: nothing can be said of the rules then.
+    /// Fails if the world's actor has ended early, so that no results are known.
     pub async fn verdict(&self) -> io::Result<Verdict> {
-        let ended = || io::Error::other("the stand-in's world has ended before its time");
+        let ended = || io::Error::other("the emulator's world actor has ended early");
         let (answer, verdict) = oneshot::channel();
-        self.mailbox.send(WorldMessage::Judge(answer)).await.map_err(|_| ended())?;
+        self.mailbox.send(WorldMessage::Finish(answer)).await.map_err(|_| ended())?;
         verdict.await.map_err(|_| ended())
     }
 }
--- a/crates/emulator/src/net/postgres.rs
+++ b/crates/emulator/src/net/postgres.rs
@@ -1,6 +1,6 @@
-//! A host's side of PostgreSQL's protocol 3.
+//! The host's side of PostgreSQL's protocol 3.
 
-use super::front::{Front, Heard};
+use super::front::{ClientMessage, HostProtocol};
 use crate::replication::to_reported_ms;
 use crate::world::Reply;
 use bytes::BytesMut;
@@ -10,46 +10,46 @@
 
 #[derive(Debug, Default)]
 pub(super) struct Postgres {
-    open: bool,
-    /// What is answered without an effect: an empty query, or a command by its tag.
+    is_open: bool,
+    /// The command tag with which a command without an effect is answered; none for an empty query.
     tag: Option<&'static str>,
 }
 
-impl Front for Postgres {
-    fn hear(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<Heard>, ()> {
-        if !self.open {
+impl HostProtocol for Postgres {
+    fn next_message(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<ClientMessage>, ()> {
+        if !self.is_open {
             let Some((startup, length)) = Startup::parse(read).map_err(drop)? else { return Ok(None) };
             let _ = read.split_to(length);
             return match startup {
                 Startup::Session { minor } => {
                     welcome(out, minor, (1, 1));
-                    self.open = true;
-                    Ok(Some(Heard::Greeting))
+                    self.is_open = true;
+                    Ok(Some(ClientMessage::Handshake))
                 }
                 Startup::Encryption => {
                     out.extend_from_slice(b"N");
-                    Ok(Some(Heard::Greeting))
+                    Ok(Some(ClientMessage::Handshake))
                 }
                 Startup::Cancel(_) | Startup::Unsupported => Err(()),
             };
         }
         let Some((message, length)) = FrontendMessage::parse(read).map_err(drop)? else { return Ok(None) };
-        let heard = match message {
+        let client_message = match message {
             FrontendMessage::Query(text) => {
                 let text = std::str::from_utf8(text).map_err(drop)?.trim();
                 self.tag = ["SET", "RESET", "DISCARD"].into_iter().find(|tag| text.starts_with(tag));
                 match text {
-                    "" => Heard::Nothing,
-                    "SHOW load" => Heard::Load,
-                    _ if self.tag.is_some() => Heard::Nothing,
-                    _ => Heard::Statement(text.to_owned()),
+                    "" => ClientMessage::NoOp,
+                    "SHOW load" => ClientMessage::LoadReport,
+                    _ if self.tag.is_some() => ClientMessage::NoOp,
+                    _ => ClientMessage::Statement(text.to_owned()),
                 }
             }
-            FrontendMessage::Terminate => Heard::Leaves,
+            FrontendMessage::Terminate => ClientMessage::Terminate,
             _ => return Err(()),
         };
         let _ = read.split_to(length);
-        Ok(Some(heard))
+        Ok(Some(client_message))
     }
 
     fn reply(&mut self, reply: &Reply, out: &mut BytesMut) {
@@ -72,7 +72,7 @@
         ready(out);
     }
 
-    fn nothing(&mut self, out: &mut BytesMut) {
+    fn no_op(&mut self, out: &mut BytesMut) {
         match self.tag.take() {
             Some(tag) => command_complete(out, tag),
             None => empty_query(out),
@@ -80,7 +80,7 @@
         ready(out);
     }
 
-    fn unknown(&mut self, out: &mut BytesMut) {
+    fn unsupported(&mut self, out: &mut BytesMut) {
         error(out, "ERROR", "42601", "not served", None);
         ready(out);
     }
--- a/crates/emulator/src/net/relay.rs
+++ b/crates/emulator/src/net/relay.rs
@@ -1,5 +1,6 @@
-//! A relay between two processes: datagrams and streams, each direction by itself. Each process is given the relay's address
-//! for the other one, and hears it from there, so neither knows where the other one really is.
+//! A relay that passes datagrams and streams between two processes, with separate faults for each direction.
+//! Each process is given the relay's address in place of its peer's, and receives the peer's datagrams from
+//! that address, so neither process sees its peer's real address.
 
 use crate::link::{Link, Recording};
 use rand::SeedableRng;
@@ -13,48 +14,56 @@
 use tokio::task::{AbortHandle, JoinHandle};
 use tokio::time::sleep;
 
-/// The longest datagram there is.
-const LONGEST: usize = 65_536;
+/// Maximum length of a datagram in bytes.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// Both directions between two processes, called the first and the second. Ends when dropped.
+/// A relay between two processes, called the first and the second. It ends when it is dropped.
 pub struct Relay {
-    /// Where the first process finds the second.
+    /// The address at which the first process reaches the second.
     pub for_first: SocketAddr,
-    /// Where the second process finds the first.
+    /// The address at which the second process reaches the first.
     pub for_second: SocketAddr,
-    ways: [Arc<Mutex<Link>>; 2],
+    links: [Arc<Mutex<Link>>; 2],
     tasks: Vec<AbortHandle>,
 }
 
 impl Relay {
-    /// Between processes that will listen at those addresses.
+    /// Starts a relay between processes that will listen at the given addresses.
     ///
     /// # Errors
-    /// When ports cannot be had.
+    /// Fails if no ports can be bound.
     pub async fn start(first: SocketAddr, second: SocketAddr, seed: u64) -> io::Result<Self> {
-        let ((near_first, streams_first), (near_second, streams_second)) = (port().await?, port().await?);
-        let (for_first, for_second) = (near_first.local_addr()?, near_second.local_addr()?);
-        let ways = [Arc::default(), Arc::default()];
-        let (near_first, near_second) = (Arc::new(near_first), Arc::new(near_second));
-        // What comes to the first one's side goes out from the second one's, so that it comes from there.
+        let ((socket_for_first, listener_for_first), (socket_for_second, listener_for_second)) =
+            (bind_port().await?, bind_port().await?);
+        let (for_first, for_second) = (socket_for_first.local_addr()?, socket_for_second.local_addr()?);
+        let links = [Arc::default(), Arc::default()];
+        let (socket_for_first, socket_for_second) = (Arc::new(socket_for_first), Arc::new(socket_for_second));
+        // A datagram that arrives on one process's socket is sent from the other's, so that its source is the
+        // peer's address.
         let tasks = [
-            datagrams(Arc::clone(&near_first), Arc::clone(&near_second), second, Arc::clone(&ways[0]), seed),
-            datagrams(near_second, near_first, first, Arc::clone(&ways[1]), seed + 1),
-            streams(streams_first, second, ways.clone()),
-            streams(streams_second, first, ways.clone()),
+            relay_datagrams(
+                Arc::clone(&socket_for_first),
+                Arc::clone(&socket_for_second),
+                second,
+                Arc::clone(&links[0]),
+                seed,
+            ),
+            relay_datagrams(socket_for_second, socket_for_first, first, Arc::clone(&links[1]), seed + 1),
+            relay_streams(listener_for_first, second, links.clone()),
+            relay_streams(listener_for_second, first, links.clone()),
         ];
         let tasks = tasks.iter().map(JoinHandle::abort_handle).collect();
-        Ok(Self { for_first, for_second, ways, tasks })
+        Ok(Self { for_first, for_second, links, tasks })
     }
 
-    /// From the first process to the second.
+    /// Sets the link from the first process to the second.
     pub fn set_forth(&self, link: Link) {
-        *self.ways[0].lock().unwrap_or_else(PoisonError::into_inner) = link;
+        *self.links[0].lock().unwrap_or_else(PoisonError::into_inner) = link;
     }
 
-    /// From the second process to the first.
+    /// Sets the link from the second process to the first.
     pub fn set_back(&self, link: Link) {
-        *self.ways[1].lock().unwrap_or_else(PoisonError::into_inner) = link;
+        *self.links[1].lock().unwrap_or_else(PoisonError::into_inner) = link;
     }
 }
 
@@ -64,38 +73,38 @@
     }
 }
 
-/// One port for both kinds.
-async fn port() -> io::Result<(UdpSocket, TcpListener)> {
-    let mut last = io::Error::other("no port");
+/// Binds a UDP socket and a TCP listener to the same port.
+async fn bind_port() -> io::Result<(UdpSocket, TcpListener)> {
+    let mut last_error = io::Error::other("no port");
     for _ in 0..16 {
         let streams = TcpListener::bind("127.0.0.1:0").await?;
         match UdpSocket::bind(streams.local_addr()?).await {
             Ok(datagrams) => return Ok((datagrams, streams)),
-            Err(problem) => last = problem,
+            Err(error) => last_error = error,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
-fn link(way: &Mutex<Link>) -> Link {
-    way.lock().unwrap_or_else(PoisonError::into_inner).clone()
+fn current_link(link: &Mutex<Link>) -> Link {
+    link.lock().unwrap_or_else(PoisonError::into_inner).clone()
 }
 
-fn datagrams(
+fn relay_datagrams(
     from: Arc<UdpSocket>,
     out: Arc<UdpSocket>,
     to: SocketAddr,
-    way: Arc<Mutex<Link>>,
+    link: Arc<Mutex<Link>>,
     seed: u64,
 ) -> JoinHandle<()> {
     tokio::spawn(async move {
         let (mut random, mut recording) = (ChaCha8Rng::seed_from_u64(seed), Recording::default());
-        let mut room = vec![0; LONGEST];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // A receiver that is not there shows as an error here: it may be there soon.
-            let Ok((length, _)) = from.recv_from(&mut room).await else { continue };
-            let link = link(&way);
-            let (bytes, earlier) = recording.pass(&link, &room[..length], &mut random);
+            // An earlier send to a receiver that does not listen yet is reported as an error here.
+            let Ok((length, _)) = from.recv_from(&mut buffer).await else { continue };
+            let link = current_link(&link);
+            let (bytes, earlier) = recording.pass(&link, &buffer[..length], &mut random);
             for copy in link.carry(length, &mut random) {
                 let (bytes, out) = (bytes[..copy.bytes].to_vec(), Arc::clone(&out));
                 if copy.after == 0 {
@@ -114,20 +123,21 @@
     })
 }
 
-/// A stream needs both directions: one that is cut, or of another version, ends it; delays count once.
-fn streams(listener: TcpListener, to: SocketAddr, ways: [Arc<Mutex<Link>>; 2]) -> JoinHandle<()> {
+/// Relays streams. A stream needs both directions: it is closed at once if either is cut or overwrites the
+/// version. The minimum delays of both directions are applied once, before the stream is connected.
+fn relay_streams(listener: TcpListener, to: SocketAddr, links: [Arc<Mutex<Link>>; 2]) -> JoinHandle<()> {
     tokio::spawn(async move {
         loop {
-            let Ok((mut near, _)) = listener.accept().await else { continue };
-            let links = [link(&ways[0]), link(&ways[1])];
-            if links.iter().any(|link| link.cut || link.version.is_some()) {
+            let Ok((mut client, _)) = listener.accept().await else { continue };
+            let current = [current_link(&links[0]), current_link(&links[1])];
+            if current.iter().any(|link| link.cut || link.version.is_some()) {
                 continue;
             }
-            let delay = links.iter().map(|link| link.delay_ms.max(0.0)).sum::<f64>();
+            let delay = current.iter().map(|link| link.delay_ms.max(0.0)).sum::<f64>();
             tokio::spawn(async move {
                 sleep(Duration::from_micros((delay * 1_000.0) as u64)).await;
-                if let Ok(mut far) = TcpStream::connect(to).await {
-                    let _ = copy_bidirectional(&mut near, &mut far).await;
+                if let Ok(mut server) = TcpStream::connect(to).await {
+                    let _ = copy_bidirectional(&mut client, &mut server).await;
                 }
             });
         }
@@ -140,36 +150,36 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::time::timeout;
 
-    const SHORT: Duration = Duration::from_millis(100);
+    const RECEIVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-    async fn hears(socket: &UdpSocket) -> Option<(Vec<u8>, SocketAddr)> {
-        let mut room = [0; 64];
-        let (length, from) = timeout(SHORT, socket.recv_from(&mut room)).await.ok()?.ok()?;
-        Some((room[..length].to_vec(), from))
+    async fn receive(socket: &UdpSocket) -> Option<(Vec<u8>, SocketAddr)> {
+        let mut buffer = [0; 64];
+        let (length, from) = timeout(RECEIVE_TIMEOUT, socket.recv_from(&mut buffer)).await.ok()?.ok()?;
+        Some((buffer[..length].to_vec(), from))
     }
 
     #[tokio::test]
-    async fn each_direction_is_cut_by_itself_and_each_hears_the_other_from_where_it_writes_to_it() {
-        let (a, streams_a) = port().await.unwrap();
-        let (b, streams_b) = port().await.unwrap();
+    async fn directions_are_cut_separately_and_peers_appear_at_the_relay_address() {
+        let (a, listener_a) = bind_port().await.unwrap();
+        let (b, listener_b) = bind_port().await.unwrap();
         let relay = Relay::start(a.local_addr().unwrap(), b.local_addr().unwrap(), 7).await.unwrap();
         a.send_to(b"one", relay.for_first).await.unwrap();
-        assert_eq!(hears(&b).await, Some((b"one".to_vec(), relay.for_second)));
+        assert_eq!(receive(&b).await, Some((b"one".to_vec(), relay.for_second)));
         relay.set_forth(Link { cut: true, ..Link::default() });
         a.send_to(b"two", relay.for_first).await.unwrap();
-        assert_eq!(hears(&b).await, None);
+        assert_eq!(receive(&b).await, None);
         b.send_to(b"three", relay.for_second).await.unwrap();
-        assert_eq!(hears(&a).await, Some((b"three".to_vec(), relay.for_first)));
-        // Streams, while it is cut and once it is well.
-        let mut cut = TcpStream::connect(relay.for_first).await.unwrap();
-        assert_eq!(cut.read(&mut [0; 8]).await.unwrap_or(0), 0);
+        assert_eq!(receive(&a).await, Some((b"three".to_vec(), relay.for_first)));
+        // Streams, while the link is cut and after it is restored.
+        let mut cut_stream = TcpStream::connect(relay.for_first).await.unwrap();
+        assert_eq!(cut_stream.read(&mut [0; 8]).await.unwrap_or(0), 0);
         relay.set_forth(Link::default());
         let mut stream = TcpStream::connect(relay.for_first).await.unwrap();
         stream.write_all(b"four").await.unwrap();
-        let (mut accepted, _) = streams_b.accept().await.unwrap();
-        let mut room = [0; 4];
-        accepted.read_exact(&mut room).await.unwrap();
-        assert_eq!(&room, b"four");
-        drop(streams_a);
+        let (mut accepted, _) = listener_b.accept().await.unwrap();
+        let mut buffer = [0; 4];
+        accepted.read_exact(&mut buffer).await.unwrap();
+        assert_eq!(&buffer, b"four");
+        drop(listener_a);
     }
 }
--- a/crates/emulator/src/net/tds.rs
+++ b/crates/emulator/src/net/tds.rs
@@ -1,6 +1,6 @@
-//! A host's side of TDS 7.4.
+//! The host's side of TDS 7.4.
 
-use super::front::{Front, Heard};
+use super::front::{ClientMessage, HostProtocol};
 use crate::replication::to_reported_ms;
 use crate::world::Reply;
 use bytes::{Bytes, BytesMut};
@@ -10,34 +10,39 @@
     Login, LoginAck, Message, Notice, PacketType, Prelogin, Rpc, Status, Value, PACKET_SIZE, PACKET_SIZES,
 };
 
-/// The longest request: a value of 64 KiB in digits, two bytes each.
-const MOST: usize = 300 * 1024;
+/// Maximum length of a request in bytes: a value of 64 KiB as hexadecimal digits, in UTF-16.
+const MAX_REQUEST_BYTES: usize = 300 * 1024;
 
 pub(super) struct Tds {
     assembler: Assembler,
-    packet: usize,
+    packet_size: usize,
     logged_in: bool,
-    call: bool,
+    is_call: bool,
 }
 
 impl Default for Tds {
     fn default() -> Self {
-        Self { assembler: Assembler::new(MOST), packet: PACKET_SIZE, logged_in: false, call: false }
+        Self {
+            assembler: Assembler::new(MAX_REQUEST_BYTES),
+            packet_size: PACKET_SIZE,
+            logged_in: false,
+            is_call: false,
+        }
     }
 }
 
 impl Tds {
-    fn put(&self, payload: &[u8], out: &mut BytesMut) {
-        put_message(out, PacketType::Result, Status::default(), payload, self.packet);
+    fn put_result(&self, payload: &[u8], out: &mut BytesMut) {
+        put_message(out, PacketType::Result, Status::default(), payload, self.packet_size);
     }
 
-    fn greet(&mut self, message: &Message, out: &mut BytesMut) -> Result<(), ()> {
+    fn answer_handshake(&mut self, message: &Message, out: &mut BytesMut) -> Result<(), ()> {
         let mut payload = BytesMut::new();
         match message.kind {
             PacketType::Prelogin => {
                 Prelogin::parse(&message.payload).map_err(drop)?;
                 Prelogin { version: (15, 0, 0), ..Prelogin::default() }.put(&mut payload);
-                self.put(&payload, out);
+                self.put_result(&payload, out);
             }
             PacketType::Login => {
                 let login = Login::parse(&message.payload).map_err(drop)?;
@@ -46,8 +51,8 @@
                 let program = "wheelpier-emulator".to_owned();
                 put_login_ack(&mut payload, &LoginAck { version: version::V7_4, program });
                 put_done(&mut payload, DoneKind::Batch, Done::default());
-                self.put(&payload, out);
-                self.packet = size;
+                self.put_result(&payload, out);
+                self.packet_size = size;
                 self.assembler.agree(size);
                 self.logged_in = true;
             }
@@ -57,14 +62,14 @@
     }
 
     fn finish(&mut self, mut payload: BytesMut, done: Done, out: &mut BytesMut) {
-        if self.call {
+        if self.is_call {
             put_done(&mut payload, DoneKind::InProc, Done { more: true, ..done });
             put_return_status(&mut payload, i32::from(done.error));
             put_done(&mut payload, DoneKind::Proc, Done { error: done.error, ..Done::default() });
         } else {
             put_done(&mut payload, DoneKind::Batch, done);
         }
-        self.put(&payload, out);
+        self.put_result(&payload, out);
     }
 
     fn row(&mut self, value: Bytes, stamp: Option<String>, out: &mut BytesMut) {
@@ -85,9 +90,10 @@
     }
 }
 
-/// A call's statement with its value in its place, as protocol 3 has it.
-fn called(call: &Rpc) -> Option<String> {
-    let text = |n: usize| match call.parameters.get(n).map(|parameter| &parameter.value) {
+/// Returns the statement of a call with its parameters replaced by literals, in the form of PostgreSQL's
+/// protocol 3.
+fn inline_parameters(call: &Rpc) -> Option<String> {
+    let text = |index: usize| match call.parameters.get(index).map(|parameter| &parameter.value) {
         Some(Value::Text(text)) => Some(text.clone()),
         _ => None,
     };
@@ -106,27 +112,27 @@
     Some(statement)
 }
 
-impl Front for Tds {
-    fn hear(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<Heard>, ()> {
+impl HostProtocol for Tds {
+    fn next_message(&mut self, read: &mut BytesMut, out: &mut BytesMut) -> Result<Option<ClientMessage>, ()> {
         let Some(message) = self.assembler.next(read).map_err(drop)? else { return Ok(None) };
         if !self.logged_in {
-            self.greet(&message, out)?;
-            return Ok(Some(Heard::Greeting));
+            self.answer_handshake(&message, out)?;
+            return Ok(Some(ClientMessage::Handshake));
         }
-        self.call = message.kind == PacketType::Rpc;
+        self.is_call = message.kind == PacketType::Rpc;
         let text = match message.kind {
             PacketType::SqlBatch => batch(&message.payload).map_err(drop)?,
-            PacketType::Rpc => match called(&rpc(&message.payload).map_err(drop)?) {
+            PacketType::Rpc => match inline_parameters(&rpc(&message.payload).map_err(drop)?) {
                 Some(text) => text,
-                None => return Ok(Some(Heard::Unknown)),
+                None => return Ok(Some(ClientMessage::Unsupported)),
             },
             _ => return Err(()),
         };
         Ok(Some(match text.trim() {
-            "" => Heard::Nothing,
-            "SHOW load" => Heard::Load,
-            text if text.starts_with("SET ") => Heard::Nothing,
-            text => Heard::Statement(text.to_owned()),
+            "" => ClientMessage::NoOp,
+            "SHOW load" => ClientMessage::LoadReport,
+            text if text.starts_with("SET ") => ClientMessage::NoOp,
+            text => ClientMessage::Statement(text.to_owned()),
         }))
     }
 
@@ -148,11 +154,11 @@
         self.row(text.to_owned().into(), None, out);
     }
 
-    fn nothing(&mut self, out: &mut BytesMut) {
+    fn no_op(&mut self, out: &mut BytesMut) {
         self.finish(BytesMut::new(), Done::default(), out);
     }
 
-    fn unknown(&mut self, out: &mut BytesMut) {
+    fn unsupported(&mut self, out: &mut BytesMut) {
         self.error(numbers::SYNTAX, "not served", out);
     }
 }
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -1,4 +1,5 @@
-//! The world by itself, and the checker with planted faults: each rule can be seen to break.
+//! Tests of the simulated world without sockets, and of the checker: each rule is shown to detect a
+//! violation.
 
 use rstest::rstest;
 use wheelpier_emulator::checker::{Checker, ProxyIncarnation, Rule};
@@ -21,29 +22,29 @@
     Query { id: id.to_owned(), class, session: "s".to_owned(), key, until: START + 100 * SECOND }
 }
 
-/// The reply to a ticket among effects.
+/// Returns the reply to a ticket among the effects.
 fn reply(effects: &[Effect], ticket: u64) -> Option<&Reply> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Reply(of, reply) if *of == ticket => Some(reply),
+        Effect::Reply(replied, reply) if *replied == ticket => Some(reply),
         _ => None,
     })
 }
 
 #[test]
-fn a_request_takes_its_work_and_the_same_each_time() {
-    let took = |host| {
+fn service_time_is_within_the_class_limits_and_equal_for_each_attempt() {
+    let service_time = |host| {
         let mut world = world();
         assert_eq!(world.arrive(START, 1, host, query("a", "price-lookup")), []);
         let done = world.next().unwrap();
         assert!(matches!(reply(&world.advance(done), 1), Some(Reply::Served { .. })));
         done - START
     };
-    assert!((44 * MS..=77 * MS).contains(&took(0)));
-    assert_eq!(took(0), took(3));
+    assert!((44 * MS..=77 * MS).contains(&service_time(0)));
+    assert_eq!(service_time(0), service_time(3));
 }
 
 #[test]
-fn cores_and_queue_bound_what_a_host_holds() {
+fn cores_and_queue_limit_the_requests_that_a_host_holds() {
     let mut world = world();
     let capacity = (world.spec().cores + world.spec().queue) as u64;
     for ticket in 0..capacity {
@@ -55,33 +56,33 @@
 }
 
 #[test]
-fn only_the_primary_takes_writes_and_drops_repeats_in_the_window() {
+fn only_the_primary_accepts_writes_and_it_drops_repeats_within_the_window() {
     let mut world = world();
-    let turned_away = world.arrive(START, 1, 1, query("w", "sale-write"));
-    assert_eq!(reply(&turned_away, 1), Some(&Reply::ReadOnly));
+    let rejected = world.arrive(START, 1, 1, query("w", "sale-write"));
+    assert_eq!(reply(&rejected, 1), Some(&Reply::ReadOnly));
     let mut commits = Vec::new();
     for (ticket, after) in [(2, 0), (3, 2 * SECOND), (4, 4 * SECOND)] {
         world.arrive(START + after, ticket, 0, query("w", "sale-write"));
         let effects = world.advance(START + after + SECOND);
         let Some(Reply::Served { position, .. }) = reply(&effects, ticket) else { panic!("not served") };
         commits.push(*position);
-        // Outside the window it is recorded again, and that is told.
-        let doubled = effects.iter().any(|effect| matches!(effect, Effect::KeyRecordedAgain(_)));
-        assert_eq!(doubled, ticket == 4);
+        // Outside the window the key is recorded again, and the world reports it.
+        let is_recorded_again = effects.iter().any(|effect| matches!(effect, Effect::KeyRecordedAgain(_)));
+        assert_eq!(is_recorded_again, ticket == 4);
     }
     assert_eq!(commits[0], commits[1]);
     assert_eq!((world.keys(0).len(), world.keys(0).recorded_again()), (1, 1));
 }
 
 #[test]
-fn a_dead_primary_is_replaced_and_comes_back_cold_as_a_replica() {
+fn dead_primary_is_replaced_and_returns_as_a_cold_replica() {
     let mut world = world();
     let effects = world.inject(START, &HostFault::Death { host: 0, span: 10 * SECOND });
     assert_eq!(effects, [Effect::ConnectionsBroken(0)]);
     world.advance(START + 100 * MS);
-    // Nobody goes on while there is no primary.
-    let stands = world.position(1, START + 200 * MS);
-    assert_eq!(world.position(1, START + SECOND), stands);
+    // No position advances while there is no primary.
+    let position = world.position(1, START + 200 * MS);
+    assert_eq!(world.position(1, START + SECOND), position);
     assert!(!(0..5).any(|host| world.is_primary(host)));
     let effects = world.advance(START + 11 * SECOND);
     assert!(effects.contains(&Effect::ConnectionsAccepted(0)));
@@ -91,22 +92,22 @@
 }
 
 #[test]
-fn a_cold_host_that_is_sent_too_much_falls() {
+fn cold_host_crashes_when_it_is_sent_too_much() {
     let mut world = world();
     world.inject(START, &HostFault::Death { host: 1, span: SECOND });
     world.advance(START + SECOND);
-    let mut fell = false;
+    let mut has_crashed = false;
     for n in 0..400 {
         let at = START + SECOND + n * 5 * MS;
         world.advance(at);
         let effects = world.arrive(at, n as u64, 1, query(&n.to_string(), "daily-report"));
-        fell |= effects.contains(&Effect::ColdHostCrashed(1));
+        has_crashed |= effects.contains(&Effect::ColdHostCrashed(1));
     }
-    assert!(fell);
+    assert!(has_crashed);
 }
 
 #[test]
-fn a_lagging_replica_falls_behind_and_catches_up() {
+fn lagging_replica_falls_behind_and_catches_up() {
     let mut world = world();
     world.inject(START, &HostFault::Lag { host: 2, times: 12.0, span: 5 * SECOND });
     let lag = |world: &World, at: Micros| START + at - world.position(2, START + at);
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn a_read_too_far_ahead_waits_and_is_turned_away_where_hosts_do_so() {
+fn read_waits_for_a_lagging_host_and_is_then_rejected() {
     let spec = Spec { when_behind: WhenBehind::Wait(20 * MS), ..Spec::sapporo() };
     let mut world = World::new(spec, 7, START);
     world.inject(START, &HostFault::Lag { host: 1, times: 1e6, span: 100 * SECOND });
@@ -130,12 +131,12 @@
 }
 
 #[test]
-fn a_hung_host_answers_nothing_and_a_draining_one_nothing_new() {
+fn hung_host_answers_nothing_and_draining_host_rejects_new_requests() {
     let mut world = world();
     world.arrive(START, 1, 1, query("a", "daily-report"));
     world.inject(START, &HostFault::Drain { host: 1, span: SECOND });
-    let refused = world.arrive(START + 1, 2, 1, query("b", "daily-report"));
-    assert_eq!(reply(&refused, 2), Some(&Reply::Full));
+    let rejected = world.arrive(START + 1, 2, 1, query("b", "daily-report"));
+    assert_eq!(reply(&rejected, 2), Some(&Reply::Full));
     assert!(reply(&world.advance(START + SECOND), 1).is_some());
     world.inject(START + SECOND, &HostFault::Hang { host: 2, span: SECOND });
     world.arrive(START + SECOND, 3, 2, query("c", "daily-report"));
@@ -143,19 +144,20 @@
     assert_eq!(reply(&later, 3), None);
 }
 
-/// Guards against a soak whose former primaries catch up at once, or return cold and announced by the list.
+/// Guards against soak tests in which former primaries catch up at once, or return cold and announced by the
+/// endpoint list.
 #[test]
-fn an_isolated_primary_returns_as_a_replica_where_it_stood() {
+fn isolated_primary_returns_as_a_replica_at_its_old_position() {
     let mut world = world();
     for host in 0..5 {
         world.inject(START, &HostFault::Lag { host, times: 1e6, span: 100 * SECOND });
     }
-    let cut = HostFault::Isolation { host: 0, span: 2 * SECOND };
-    assert_eq!(world.inject(START, &cut), [Effect::ConnectionsBroken(0)]);
+    let isolation = HostFault::Isolation { host: 0, span: 2 * SECOND };
+    assert_eq!(world.inject(START, &isolation), [Effect::ConnectionsBroken(0)]);
     assert_eq!((world.state(0), world.runs(0)), (State::Isolated, false));
     assert_eq!(world.arrive(START, 1, 0, query("a", "price-lookup")), []);
-    // Once more while it is cut off, or an end that comes later, changes nothing.
-    assert_eq!(world.inject(START + MS, &cut), []);
+    // A second isolation while the host is isolated has no effect, nor has its end.
+    assert_eq!(world.inject(START + MS, &isolation), []);
     let later = START + 2 * SECOND;
     assert_eq!(world.advance(later), [Effect::ConnectionsAccepted(0)]);
     assert!(world.runs(0) && !world.is_primary(0));
@@ -164,11 +166,11 @@
     assert_eq!(reply(&world.arrive(later, 2, 0, query("w", "sale-write")), 2), Some(&Reply::ReadOnly));
 }
 
-/// Guards against former primaries that no set could have given up yet.
+/// Guards against primaries that lose their role before their group could have noticed their absence.
 #[rstest]
-#[case::cut_off(HostFault::Isolation { host: 0, span: SECOND })]
+#[case::isolated(HostFault::Isolation { host: 0, span: SECOND })]
 #[case::hung(HostFault::Hang { host: 0, span: SECOND })]
-fn a_primary_that_is_back_before_anyone_notices_still_is_one(#[case] fault: HostFault) {
+fn primary_that_returns_before_its_group_notices_keeps_its_role(#[case] fault: HostFault) {
     let mut world = world();
     world.inject(START, &fault);
     assert!(!world.is_primary(0));
@@ -177,12 +179,12 @@
     assert!((1..5).all(|host| !world.is_primary(host)));
 }
 
-/// Guards against a soak in which whatever a host has told arrives.
+/// Guards against soak tests in which every answer of a host arrives.
 #[test]
-fn answers_are_lost_for_as_long_as_the_trouble_lasts() {
+fn answers_are_lost_only_while_the_fault_lasts() {
     let mut world = world();
-    let lost = HostFault::LostAnswers { host: 1, share: 0.5, delivery: Delivery::Reset, span: SECOND };
-    world.inject(START, &lost);
+    let loss = HostFault::LostAnswers { host: 1, share: 0.5, delivery: Delivery::Reset, span: SECOND };
+    world.inject(START, &loss);
     let count =
         |world: &mut World, host| (0..1_000).filter(|_| world.delivery(host) == Delivery::Reset).count();
     assert!((400..600).contains(&count(&mut world, 1)));
@@ -192,7 +194,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_history() {
+fn same_seed_gives_the_same_history() {
     let history = |seed| {
         let spec = Spec::sapporo();
         let mut world = World::new(spec.clone(), seed, START);
@@ -222,48 +224,50 @@
 }
 
 #[rstest]
-#[case::sent_long_after_a_drain(Rule::Drain, 1, |c: &mut Checker| {
-    c.status_reported(START, 3, Status::Draining);
-    c.sent(START + 2 * SECOND, 3, "a");
-    c.sent(START + 3 * SECOND, 3, "b");
+#[case::sent_long_after_a_drain(Rule::Drain, 1, |checker: &mut Checker| {
+    checker.status_reported(START, 3, Status::Draining);
+    checker.sent(START + 2 * SECOND, 3, "a");
+    checker.sent(START + 3 * SECOND, 3, "b");
 })]
-#[case::back_after_a_drain(Rule::Drain, 0, |c: &mut Checker| {
-    c.status_reported(START, 3, Status::Removed);
-    c.status_reported(START + SECOND, 3, Status::Up);
-    c.sent(START + 9 * SECOND, 3, "a");
+#[case::up_again_after_a_removal(Rule::Drain, 0, |checker: &mut Checker| {
+    checker.status_reported(START, 3, Status::Removed);
+    checker.status_reported(START + SECOND, 3, Status::Up);
+    checker.sent(START + 9 * SECOND, 3, "a");
 })]
-#[case::pushed_over(Rule::Cold, 1, |c: &mut Checker| c.cold_host_crashed(1))]
-#[case::doubled(Rule::Key, 1, |c: &mut Checker| c.key_recorded_again("k"))]
-#[case::stale(Rule::Stale, 1, |c: &mut Checker| c.replied(1, START, "a", &served(START - 1, START)))]
-#[case::fresh(Rule::Stale, 0, |c: &mut Checker| c.replied(1, START, "a", &served(START, START)))]
-#[case::excused_at_one_that_led(Rule::Stale, 0, |c: &mut Checker| {
-    c.seen_as_primary(1);
-    c.role_reported(START, 1, "a", false);
-    c.replied(1, START + 50 * MS, "a", &served(START - 1, START));
+#[case::cold_host_crashed(Rule::Cold, 1, |checker: &mut Checker| checker.cold_host_crashed(1))]
+#[case::key_recorded_again(Rule::Key, 1, |checker: &mut Checker| checker.key_recorded_again("k"))]
+#[case::stale(Rule::Stale, 1, |checker: &mut Checker| {
+    checker.replied(1, START, "a", &served(START - 1, START));
 })]
-#[case::not_excused_once_told(Rule::Stale, 1, |c: &mut Checker| {
-    c.seen_as_primary(1);
-    c.role_reported(START, 1, "a", false);
-    c.replied(1, START + 150 * MS, "a", &served(START - 1, START));
+#[case::fresh(Rule::Stale, 0, |checker: &mut Checker| checker.replied(1, START, "a", &served(START, START)))]
+#[case::excused_at_a_former_primary(Rule::Stale, 0, |checker: &mut Checker| {
+    checker.seen_as_primary(1);
+    checker.role_reported(START, 1, "a", false);
+    checker.replied(1, START + 50 * MS, "a", &served(START - 1, START));
+})]
+#[case::not_excused_once_the_change_is_known(Rule::Stale, 1, |checker: &mut Checker| {
+    checker.seen_as_primary(1);
+    checker.role_reported(START, 1, "a", false);
+    checker.replied(1, START + 150 * MS, "a", &served(START - 1, START));
 })]
-#[case::answered_twice(Rule::Answer, 1, |c: &mut Checker| {
-    c.asked("a", START + SECOND);
-    c.answered(START, "a", None);
-    c.answered(START, "a", None);
+#[case::answered_twice(Rule::Answer, 1, |checker: &mut Checker| {
+    checker.asked("a", START + SECOND);
+    checker.answered(START, "a", None);
+    checker.answered(START, "a", None);
 })]
-#[case::answered_late(Rule::Answer, 1, |c: &mut Checker| {
-    c.asked("a", START);
-    c.answered(START + 60 * MS, "a", None);
+#[case::answered_late(Rule::Answer, 1, |checker: &mut Checker| {
+    checker.asked("a", START);
+    checker.answered(START + 60 * MS, "a", None);
 })]
-#[case::never_answered(Rule::Answer, 1, |c: &mut Checker| {
-    c.asked("a", START);
-    c.end();
+#[case::never_answered(Rule::Answer, 1, |checker: &mut Checker| {
+    checker.asked("a", START);
+    checker.end();
 })]
-#[case::anothers_value(Rule::Value, 1, |c: &mut Checker| {
-    c.asked("a", START);
-    c.answered(START, "a", Some((b"value of b", "value of a")));
+#[case::value_of_another_request(Rule::Value, 1, |checker: &mut Checker| {
+    checker.asked("a", START);
+    checker.answered(START, "a", Some((b"value of b", "value of a")));
 })]
-fn planted_faults_are_found(#[case] rule: Rule, #[case] broken: usize, #[case] act: fn(&mut Checker)) {
+fn checker_detects_violations(#[case] rule: Rule, #[case] broken: usize, #[case] act: fn(&mut Checker)) {
     let mut checker = Checker::new(&Spec::sapporo());
     act(&mut checker);
     assert_eq!(checker.verdict(rule).1, broken, "{:?}", checker.breaches());
@@ -272,8 +276,9 @@
 const FIRST: ProxyIncarnation = ProxyIncarnation { process: 0, incarnation: 1 };
 const RESTARTED: ProxyIncarnation = ProxyIncarnation { process: 0, incarnation: 2 };
 
-/// The checker of several proxies, with a host 1 that has been primary and has notified the first process of its role.
-fn demoted() -> Checker {
+/// Returns a checker of several proxies. Host 1 has been the primary and has told the first process that it
+/// no longer is.
+fn checker_with_former_primary() -> Checker {
     let mut checker = Checker::shared(&Spec::sapporo());
     checker.request_sent_to("a", FIRST);
     checker.request_sent_to("b", FIRST);
@@ -283,31 +288,33 @@
     checker
 }
 
-/// Guards against excusing reads at a former primary for all processes, since it is not known which of them was notified.
+/// Guards against excusing reads at a former primary for all processes because it is not known which of them
+/// was told of the change of role.
 #[rstest]
-#[case::of_the_process_that_was_notified("b", 100 * MS, 1)]
+#[case::of_the_process_that_was_told("b", 100 * MS, 1)]
 #[case::before_the_answer_counts_as_known("b", 99 * MS, 0)]
 #[case::of_another_incarnation("c", SECOND, 0)]
 #[case::of_an_unknown_process("d", SECOND, 0)]
-fn a_read_sent_to_a_former_primary_is_judged_by_process(
+fn read_at_a_former_primary_is_judged_by_what_its_process_was_told(
     #[case] id: &str,
     #[case] after: Micros,
     #[case] broken: usize,
 ) {
-    let mut checker = demoted();
+    let mut checker = checker_with_former_primary();
     let now = START + after;
     checker.read_sent(now, 1, id, now - SECOND, now - 200 * MS);
     assert_eq!(checker.verdict(Rule::Stale), (1, broken), "{:?}", checker.breaches());
-    let mut checker = demoted();
+    let mut checker = checker_with_former_primary();
     checker.replied(1, now, id, &served(now - SECOND, now - 200 * MS));
     assert_eq!(checker.verdict(Rule::Stale), (1, broken), "{:?}", checker.breaches());
 }
 
-/// Guards against judging reads only by answers that arrive: a send to a replica that lags is a breach by itself.
+/// Guards against judging reads only by answers that arrive: sending to a lagging replica is a violation by
+/// itself.
 #[rstest]
 #[case::too_old(51 * MS, 1)]
-#[case::within_the_slack_of_sockets(50 * MS, 0)]
-fn a_read_sent_to_a_lagging_replica_is_found_without_its_answer(#[case] age: Micros, #[case] broken: usize) {
+#[case::within_the_time_tolerance(50 * MS, 0)]
+fn read_sent_to_a_lagging_replica_is_detected_without_its_answer(#[case] age: Micros, #[case] broken: usize) {
     let mut checker = Checker::shared(&Spec::sapporo());
     checker.request_sent_to("a", FIRST);
     checker.read_sent(START, 2, "a", START - age, START);
@@ -316,21 +323,21 @@
     assert_eq!(checker.verdict(Rule::Stale), (2, 2 * broken), "{:?}", checker.breaches());
 }
 
-/// Guards against judging a process by what it was told while it was stopped.
+/// Guards against judging a process by messages that it was sent while it was paused.
 #[rstest]
-#[case::while_it_may_be_stopped(249 * MS, 0)]
+#[case::while_it_may_be_paused(249 * MS, 0)]
 #[case::after_that(250 * MS, 1)]
-fn a_process_that_is_held_up_is_given_that_time(#[case] after: Micros, #[case] broken: usize) {
-    let mut checker = demoted();
+fn paused_process_is_granted_the_length_of_its_pause(#[case] after: Micros, #[case] broken: usize) {
+    let mut checker = checker_with_former_primary();
     checker.process_pauses(FIRST.process, 150 * MS);
     checker.read_sent(START + after, 1, "b", START - SECOND, START);
     assert_eq!(checker.verdict(Rule::Stale).1, broken, "{:?}", checker.breaches());
 }
 
-/// Guards against an old notification that outlives a new term as the primary.
+/// Guards against an old report of a lost role that still counts after the host has become the primary again.
 #[test]
-fn a_host_that_leads_again_is_excused_until_it_notifies_again() {
-    let mut checker = demoted();
+fn primary_elected_again_is_excused_until_it_reports_the_loss_of_its_role() {
+    let mut checker = checker_with_former_primary();
     checker.seen_as_primary(1);
     checker.read_sent(START + SECOND, 1, "b", START, START + SECOND);
     assert_eq!(checker.verdict(Rule::Stale).1, 0, "{:?}", checker.breaches());
@@ -339,9 +346,10 @@
     assert_eq!(checker.verdict(Rule::Stale).1, 1, "{:?}", checker.breaches());
 }
 
-/// Guards against old data that reach the client from a host whose role was still unknown: the answer states both.
+/// Guards against serving old data from a host whose role was still unknown: the answer states both role and
+/// position.
 #[test]
-fn what_a_client_is_served_is_never_excused() {
+fn served_reads_are_never_excused() {
     let serve = |answers: &[Reply]| {
         let mut checker = Checker::shared(&Spec::sapporo());
         checker.seen_as_primary(1);
@@ -353,7 +361,7 @@
     };
     let (stale, fresh) = (served(START - SECOND, START), served(START, START));
     assert_eq!(serve(std::slice::from_ref(&stale)), 1);
-    // One of two attempts was withheld, or not: both are allowed.
+    // Either answer may be the one that was served, so one fresh answer suffices.
     assert_eq!(serve(&[stale, fresh]), 0);
 }
 
