--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -23,7 +23,7 @@
     Answer,
     /// A served value is the one that was made for the request.
     Value,
-    /// No new request is sent to a host that drains or was removed, after the drain grace.
+    /// No new request is sent to a host that drains or was removed once the drain grace is over.
     Drain,
     /// No cold host crashes because it is sent too much.
     Cold,
@@ -117,9 +117,9 @@
     }
 
     /// Creates a checker for several proxies that share a deployment. Each attempt is attributed to the
-    /// process that [`Self::request_sent_to`] named; a read that was never named is excused at a host that
-    /// has been primary. The checker does not know which process was told of a drain: if proxies poll for
-    /// changes, a drain counts as known only after the time within which each proxy must know it.
+    /// process that [`Self::request_sent_to`] named for its request; without a name, a read is excused at a
+    /// host that has been primary. The checker does not know which process was told of a drain: if proxies
+    /// poll for changes, a drain counts as known only after the time within which each proxy must know it.
     pub fn shared(spec: &Spec) -> Self {
         let is_polled = matches!(spec.discovery, Discovery::Polled { .. });
         let known_after = if is_polled { DISCOVERY_KNOWN_AFTER } else { 0 };
--- a/crates/emulator/src/replication.rs
+++ b/crates/emulator/src/replication.rs
@@ -5,7 +5,7 @@
 /// Progress of a member in the log, as a position at a point in time and a speed, from which the position at
 /// any later time follows.
 #[derive(Clone, Debug)]
-struct Applied {
+struct Progress {
     at: Micros,
     position: Micros,
     /// The delay of the log on its way from the primary.
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct Replication {
     /// The progress of each member.
-    applied: Vec<Applied>,
+    applied: Vec<Progress>,
     primary: Option<usize>,
     /// The end of the log while there is no primary.
     end: Micros,
@@ -31,7 +31,7 @@
     pub fn new(members: &[(Micros, f64)], now: Micros) -> Self {
         let applied = members
             .iter()
-            .map(|(delay, utilization)| Applied {
+            .map(|(delay, utilization)| Progress {
                 at: now,
                 position: now - delay,
                 delay: *delay,
--- a/crates/emulator/src/schedule.rs
+++ b/crates/emulator/src/schedule.rs
@@ -9,7 +9,7 @@
 const MEAN_READ_DELAY: Micros = 300 * MS;
 /// Share of session reads that follow a write of the same session.
 const READS_AFTER_WRITE: f64 = 0.8;
-/// Number of recent writes whose sessions may still read.
+/// Maximum number of recent writes that are kept for later reads of their sessions.
 const MAX_RECENT_WRITES: usize = 256;
 
 /// A planned request.
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -46,7 +46,8 @@
             .then(at(0.7), HostFault::Lag { host: 2, times: 12.0, span: span(0.15) })
     }
 
-    /// Removes and returns the next fault that is due after the given time since the start of the script.
+    /// Removes and returns the next fault if it is due when `elapsed` has passed since the start of the
+    /// script.
     pub fn due(&mut self, elapsed: Micros) -> Option<HostFault> {
         (self.steps.first()?.at <= elapsed).then(|| self.steps.remove(0).fault)
     }
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -271,8 +271,8 @@
         self.slow_start_budget_multiple * capacity * self.slow_start_budget_window as f64 / SECOND as f64
     }
 
-    /// Returns the number of requests with mean service time beyond which a cold host crashes: the allowance,
-    /// and the random excess of many proxies that send independently.
+    /// Returns the operators' bound on the number of requests with mean service time that a cold host is
+    /// sent: the allowance, plus the random excess of many proxies that send independently.
     pub fn cold_bound(allowance: f64) -> f64 {
         allowance + 2.0 * allowance.sqrt() + 2.0
     }
