--- a/crates/tds/src/lib.rs
+++ b/crates/tds/src/lib.rs
@@ -1,8 +1,8 @@
-//! TDS as bytes, both sides of it, without sockets: what a message holds, and how it is written.
+//! Parsers and encoders for TDS, the protocol of SQL Server, for clients and servers. No sockets.
 //!
-//! Sections named are those of the open specification MS-TDS. Spoken are the versions 7.2 to 7.4, which share
-//! their token formats. Nothing here allocates by a length that the peer claims: what is kept is bounded by
-//! what has come, and that by the limits that the caller gives.
+//! Section numbers refer to the open specification MS-TDS. Versions 7.2 to 7.4 are supported; they share
+//! their token formats. No allocation is sized by a length that the peer claims: buffers are bounded by the
+//! bytes received, and those by the limits that the caller sets.
 //!
 //! ```
 //! use bytes::BytesMut;
@@ -11,7 +11,7 @@
 //! let mut wire = BytesMut::new();
 //! put_message(&mut wire, PacketType::SqlBatch, Status::default(), b"text", 4096);
 //! let mut assembler = Assembler::new(1024);
-//! let message = assembler.next(&mut wire).unwrap().expect("it is whole");
+//! let message = assembler.next(&mut wire).unwrap().expect("a complete message");
 //! assert_eq!((message.kind, &message.payload[..]), (PacketType::SqlBatch, &b"text"[..]));
 //! ```
 #![forbid(unsafe_code)]
@@ -40,27 +40,28 @@
 };
 pub use value::{put_plp, DataType, Value, CHUNK};
 
-/// Versions of the protocol as LOGIN7 and LOGINACK write them (2.2.6.4, 2.2.7.14).
+/// Protocol versions as LOGIN7 and LOGINACK encode them (2.2.6.4, 2.2.7.14).
 pub mod version {
-    /// TDS 7.2, the oldest whose tokens look as they do here.
+    /// TDS 7.2, the oldest version with the token formats of this crate.
     pub const V7_2: u32 = 0x7209_0002;
-    /// TDS 7.4, the newest that is spoken.
+    /// TDS 7.4, the newest supported version.
     pub const V7_4: u32 = 0x7400_0004;
 }
 
-/// What is wrong with bytes that claim to be TDS.
+/// Reports that received bytes are not valid TDS.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// A message is longer than the caller takes.
+    /// A message is longer than the caller's limit.
     #[error("a message is longer than is taken here")]
     TooLong,
-    /// A packet's header is none: an unknown type, a length that cannot be, a type that changes within.
+    /// A packet header is invalid: unknown type, impossible length, or a type other than that of the
+    /// message's first packet.
     #[error("a packet's header makes no sense")]
     Header,
-    /// A message's fields make no sense.
+    /// The named message or field is malformed.
     #[error("a message is malformed: {0}")]
     Malformed(&'static str),
-    /// A token of a type that is not known, so that its length is not either.
+    /// A token has an unknown type. Its length is unknown too, so the tokens after it cannot be parsed.
     #[error("unknown token {0:#04x}")]
     UnknownToken(u8),
 }
--- a/crates/tds/src/login.rs
+++ b/crates/tds/src/login.rs
@@ -1,40 +1,42 @@
-//! LOGIN7 (2.2.6.4). A password is neither kept nor shown: nothing here asks for one.
+//! LOGIN7 (2.2.6.4). The password is neither kept nor logged, as none is required here.
 
 use crate::text;
 use bytes::{BufMut, BytesMut};
 
-/// Where the texts of a message may begin at the earliest: behind the fixed part and the table.
+/// The length of the fixed part with the offset table, in bytes: the smallest offset of a field.
 const FIXED: usize = 94;
+/// The offset of the table of field offsets and lengths.
 const TABLE: usize = 36;
-/// Texts are at most this long, in units (2.2.6.4).
-const MOST_UNITS: usize = 128;
+/// The maximum length of a string field, in UTF-16 code units (2.2.6.4).
+const MAX_UNITS: usize = 128;
+/// The flag `fIntSecurity`, in the second byte of option flags.
 const INTEGRATED: u8 = 0x80;
 
-/// What a client says of itself.
+/// The content of a LOGIN7 message, without the password.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Login {
-    /// The newest version that it speaks.
+    /// The newest protocol version that the client supports.
     pub version: u32,
-    /// The packet size that it asks for, in bytes.
+    /// The packet size that the client requests, in bytes.
     pub packet_size: u32,
-    /// Its machine.
+    /// The name of the client's machine.
     pub host: String,
-    /// Its user.
+    /// The user name.
     pub user: String,
-    /// Its program.
+    /// The application name.
     pub app: String,
-    /// Its driver.
+    /// The name of the client library (the driver).
     pub library: String,
-    /// The database that it opens.
+    /// The initial database; empty for the user's default.
     pub database: String,
-    /// Whether it wants to log in by what its system vouches for.
+    /// Whether the client requests an integrated login, by its operating system's credentials.
     pub integrated: bool,
 }
 
-/// What is wrong with a LOGIN7.
+/// Reports an invalid LOGIN7.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoginError {
-    /// It is shorter than its fixed part, or than it says.
+    /// The message is shorter than its fixed part, or its length field does not match its length.
     #[error("LOGIN7 is not as long as it says")]
     Length,
     /// A field lies outside the message or within its fixed part.
@@ -43,12 +45,13 @@
     /// Two fields share bytes.
     #[error("LOGIN7's {0} overlaps with another field")]
     Overlap(&'static str),
-    /// A field is no text, or too long a one.
+    /// A field is not valid UTF-16 or is too long.
     #[error("LOGIN7's {0} is no text")]
     Text(&'static str),
 }
 
-/// The table's entries in their order; the lengths of most count units of two bytes.
+/// The fields of the offset table: name, position of the entry in the table, and the unit of its length in
+/// bytes (2 for lengths in UTF-16 code units).
 const FIELDS: [(&str, usize, usize); 12] = [
     ("host name", 0, 2),
     ("user name", 4, 2),
@@ -64,30 +67,32 @@
     ("new password", 50, 2),
 ];
 
+/// Returns the little-endian integer at this offset; 0 beyond the end.
 fn u32_at(payload: &[u8], at: usize) -> u32 {
     let bytes = payload.get(at..at + 4).and_then(|bytes| bytes.try_into().ok());
     bytes.map_or(0, u32::from_le_bytes)
 }
 
+/// Returns the little-endian integer at this offset; 0 beyond the end.
 fn u16_at(payload: &[u8], at: usize) -> usize {
     let bytes = payload.get(at..at + 2).and_then(|bytes| bytes.try_into().ok());
     usize::from(bytes.map_or(0, u16::from_le_bytes))
 }
 
 impl Login {
-    /// Reads a message's payload, its offset table checked whole: every field lies within the message, and no
-    /// two share a byte.
+    /// Parses the payload of a message. The whole offset table is checked, also the fields that are not read:
+    /// every field must lie within the message, and no two may overlap.
     ///
     /// # Errors
-    /// When it is cut off, or its table makes no sense.
+    /// When the message's length or offset table is invalid, or a field is not valid text.
     pub fn parse(payload: &[u8]) -> Result<Self, LoginError> {
         if payload.len() < FIXED || u32_at(payload, 0) as usize != payload.len() {
             return Err(LoginError::Length);
         }
         let mut spans = Vec::with_capacity(FIELDS.len());
-        for (name, place, unit) in FIELDS {
+        for (name, entry, unit) in FIELDS {
             let (offset, length) =
-                (u16_at(payload, TABLE + place), u16_at(payload, TABLE + place + 2) * unit);
+                (u16_at(payload, TABLE + entry), u16_at(payload, TABLE + entry + 2) * unit);
             if length == 0 {
                 continue;
             }
@@ -103,7 +108,7 @@
         let text = |name: &'static str| {
             let span = spans.iter().find(|(.., field)| *field == name);
             let Some(&(from, to, _)) = span else { return Ok(String::new()) };
-            if to - from > MOST_UNITS * 2 {
+            if to - from > MAX_UNITS * 2 {
                 return Err(LoginError::Text(name));
             }
             text::decode(&payload[from..to]).ok_or(LoginError::Text(name))
@@ -120,19 +125,21 @@
         })
     }
 
-    /// Writes a message's payload, with an empty password.
+    /// Writes the payload of a message with an empty password.
     pub fn put(&self, out: &mut BytesMut) {
         let start = out.len();
         out.put_u32_le(0);
+        // Client program version 1; process and connection ids 0.
         for word in [self.version, self.packet_size, 1, 0, 0] {
             out.put_u32_le(word);
         }
-        // The byte order and character set of common machines; ODBC's rules; SQL.
+        // Option flags 1 (little-endian, ASCII, IEEE 754), option flags 2 (ODBC), the default SQL type.
         out.put_slice(&[0xe0, 0x03 | if self.integrated { INTEGRATED } else { 0 }, 0, 0]);
+        // Time zone UTC; locale en-US.
         out.put_u32_le(0);
         out.put_u32_le(0x0409);
         let texts = [&self.host, &self.user, "", &self.app, "", "", &self.library, "", &self.database];
-        let texts = texts.map(|text| text::fitting(text, MOST_UNITS));
+        let texts = texts.map(|text| text::truncated(text, MAX_UNITS));
         let mut offset = FIXED;
         let mut entry = |out: &mut BytesMut, text: &str| {
             out.put_u16_le(offset as u16);
@@ -140,6 +147,7 @@
             offset += text::units(text) * 2;
         };
         texts.iter().for_each(|text| entry(out, text));
+        // Client id (a MAC address), none.
         out.put_slice(&[0; 6]);
         (0..3).for_each(|_| entry(out, ""));
         out.put_u32_le(0);
--- a/crates/tds/src/packet.rs
+++ b/crates/tds/src/packet.rs
@@ -1,35 +1,35 @@
-//! Packets: framing, status bits, and how messages are put together from them (2.2.3).
+//! Packets: framing, status bits, and reassembly of messages (2.2.3).
 
 use crate::WireError;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Length of a packet's header in bytes.
+/// The length of a packet's header in bytes.
 pub const HEADER: usize = 8;
-/// The packet size before anything else is agreed, header included.
+/// The packet size until the login negotiates another one, in bytes, header included.
 pub const PACKET_SIZE: usize = 4096;
-/// The smallest and the largest packet size that can be agreed (2.2.6.4).
+/// The smallest and the largest packet size that can be negotiated, in bytes (2.2.6.4).
 pub const PACKET_SIZES: (usize, usize) = (512, 32_767);
 
-/// What a packet is part of (2.2.3.1.1).
+/// The type of a message, which each of its packets carries (2.2.3.1.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PacketType {
     /// A batch of SQL.
     SqlBatch,
     /// A remote procedure call.
     Rpc,
-    /// A server's answer.
+    /// A server's response.
     Result,
-    /// The client gives its open request up.
+    /// The client cancels its open request.
     Attention,
-    /// Rows to load.
+    /// Rows of a bulk load.
     BulkLoad,
-    /// A token of a federated login.
+    /// The token of a federated authentication.
     FederatedToken,
-    /// A request to the transaction manager.
+    /// A transaction manager request.
     Transaction,
     /// LOGIN7.
     Login,
-    /// A part of an integrated login.
+    /// SSPI data of an integrated login.
     Sspi,
     /// PRELOGIN, or TLS before the login.
     Prelogin,
@@ -49,13 +49,13 @@
 ];
 
 impl PacketType {
-    fn of(byte: u8) -> Option<Self> {
+    fn from_code(byte: u8) -> Option<Self> {
         TYPES.iter().find(|(code, _)| *code == byte).map(|(_, kind)| *kind)
     }
 
-    /// Whether what has come begins with a packet of this type.
-    pub fn begins(self, read: &[u8]) -> bool {
-        read.first() == Some(&self.code())
+    /// Whether the received bytes begin with a packet of this type.
+    pub fn begins(self, received: &[u8]) -> bool {
+        received.first() == Some(&self.code())
     }
 
     fn code(self) -> u8 {
@@ -63,78 +63,81 @@
     }
 }
 
-/// The status bits that a message bears besides the end mark (2.2.3.1.2).
+/// The status bits of a message, without the end-of-message bit (2.2.3.1.2).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// The client has broken the message off: the server drops it.
+    /// The client has abandoned the message: the server discards it.
     pub ignore: bool,
-    /// The session is set back to how it was after login, before the request runs.
+    /// The session is reset to its state after login before the request runs.
     pub reset: bool,
 }
 
+// The bits of a packet's status byte (2.2.3.1.2).
 const END: u8 = 0x01;
 const IGNORE: u8 = 0x02;
 const RESET: u8 = 0x08;
 const RESET_KEEP_TRANSACTION: u8 = 0x10;
 
-/// A whole message.
+/// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// What it is.
+    /// The type.
     pub kind: PacketType,
-    /// Its status bits.
+    /// The status bits.
     pub status: Status,
-    /// Its packets' contents, in a row.
+    /// The contents of its packets, concatenated.
     pub payload: Bytes,
 }
 
-/// Puts messages together from packets, however these are cut. What it keeps is bounded by the limit given,
-/// and by what has come.
+/// Reassembles messages from packets, however the byte stream is split. Its buffer is bounded by the limit
+/// given and by the bytes received.
 #[derive(Debug)]
 pub struct Assembler {
-    most: usize,
-    packet: usize,
+    max_payload_bytes: usize,
+    max_packet_bytes: usize,
     kind: Option<PacketType>,
     status: Status,
     payload: BytesMut,
 }
 
 impl Assembler {
-    /// Takes messages of at most so many bytes.
-    pub fn new(most: usize) -> Self {
+    /// Creates an assembler that accepts messages of at most `max_payload_bytes`.
+    pub fn new(max_payload_bytes: usize) -> Self {
         let (kind, status, payload) = (None, Status::default(), BytesMut::new());
-        Self { most, packet: PACKET_SIZE, kind, status, payload }
+        Self { max_payload_bytes, max_packet_bytes: PACKET_SIZE, kind, status, payload }
     }
 
-    /// The packet size that was agreed; packets are never longer, but may be as long as before the agreement.
-    pub fn set_packet_size(&mut self, packet: usize) {
-        self.packet = packet.max(PACKET_SIZE);
+    /// Sets the negotiated packet size, in bytes. Packets of up to [`PACKET_SIZE`] are accepted even if it is
+    /// smaller.
+    pub fn set_packet_size(&mut self, bytes: usize) {
+        self.max_packet_bytes = bytes.max(PACKET_SIZE);
     }
 
-    /// Bytes that it keeps of a message that is not yet whole.
+    /// Returns the capacity of the buffer that holds an incomplete message, in bytes.
     pub fn buffered_bytes(&self) -> usize {
         self.payload.capacity()
     }
 
-    /// Whether a message has begun and not ended.
+    /// Whether a message has begun whose last packet has not been consumed.
     pub fn has_partial_message(&self) -> bool {
         self.kind.is_some()
     }
 
-    /// Takes whole packets from the front of what has come; the first message that they complete.
+    /// Consumes complete packets from the front of `received` and returns the first message that they
+    /// complete.
     ///
     /// # Errors
-    /// When a header makes no sense or the message is too long: nothing after it can be read either.
-    pub fn next(&mut self, read: &mut BytesMut) -> Result<Option<Message>, WireError> {
-        while let Some(packet) = self.packet(read)? {
+    /// When a header is invalid or the message is too long. The rest of the stream is unreadable then.
+    pub fn next(&mut self, received: &mut BytesMut) -> Result<Option<Message>, WireError> {
+        while let Some(packet) = self.next_packet(received)? {
             let kind = *self.kind.get_or_insert(packet.kind);
             if kind != packet.kind {
                 return Err(WireError::Header);
             }
             self.status.ignore |= packet.status & IGNORE != 0;
             self.status.reset |= packet.status & (RESET | RESET_KEEP_TRANSACTION) != 0;
-            read.advance(HEADER);
-            let content = read.split_to(packet.length - HEADER);
+            received.advance(HEADER);
+            let content = received.split_to(packet.length - HEADER);
             if packet.status & END == 0 {
                 self.payload.extend_from_slice(&content);
                 continue;
@@ -152,19 +155,20 @@
         Ok(None)
     }
 
-    /// The packet at the front, once it is whole. What cannot be one is said as soon as its header shows it.
-    fn packet(&self, read: &BytesMut) -> Result<Option<Packet>, WireError> {
-        let Some(first) = read.first() else { return Ok(None) };
-        let kind = PacketType::of(*first).ok_or(WireError::Header)?;
-        let Some(header) = read.get(..HEADER) else { return Ok(None) };
+    /// Returns the packet at the front once it is complete. An invalid header is reported without
+    /// waiting for the content.
+    fn next_packet(&self, received: &BytesMut) -> Result<Option<Packet>, WireError> {
+        let Some(first) = received.first() else { return Ok(None) };
+        let kind = PacketType::from_code(*first).ok_or(WireError::Header)?;
+        let Some(header) = received.get(..HEADER) else { return Ok(None) };
         let length = usize::from(u16::from_be_bytes([header[2], header[3]]));
-        if length < HEADER || length > self.packet {
+        if length < HEADER || length > self.max_packet_bytes {
             return Err(WireError::Header);
         }
-        if self.payload.len() + length - HEADER > self.most {
+        if self.payload.len() + length - HEADER > self.max_payload_bytes {
             return Err(WireError::TooLong);
         }
-        Ok((read.len() >= length).then_some(Packet { kind, status: header[1], length }))
+        Ok((received.len() >= length).then_some(Packet { kind, status: header[1], length }))
     }
 }
 
@@ -176,11 +180,11 @@
 
 /// Writes a message as packets of at most `size` bytes, header included (2.2.3.1).
 pub fn put_message(out: &mut BytesMut, kind: PacketType, status: Status, payload: &[u8], size: usize) {
-    let room = size.clamp(PACKET_SIZES.0, PACKET_SIZES.1) - HEADER;
-    let packets = payload.len().div_ceil(room).max(1);
+    let max_content = size.clamp(PACKET_SIZES.0, PACKET_SIZES.1) - HEADER;
+    let packets = payload.len().div_ceil(max_content).max(1);
     out.reserve(payload.len() + packets * HEADER);
     for number in 0..packets {
-        let content = &payload[number * room..payload.len().min((number + 1) * room)];
+        let content = &payload[number * max_content..payload.len().min((number + 1) * max_content)];
         let mut bits = 0;
         if number + 1 == packets {
             bits |= END | if status.ignore { IGNORE } else { 0 };
--- a/crates/tds/src/prelogin.rs
+++ b/crates/tds/src/prelogin.rs
@@ -1,6 +1,6 @@
-//! PRELOGIN: what both sides tell before the login (2.2.6.5).
+//! PRELOGIN: the options that both sides exchange before the login (2.2.6.5).
 
-use crate::text::Read;
+use crate::text::ParseResult;
 use crate::WireError;
 use bytes::{BufMut, BytesMut};
 use winnow::binary::{be_u16, u8 as byte};
@@ -11,26 +11,26 @@
 const ENCRYPTION: u8 = 1;
 const MARS: u8 = 4;
 const END: u8 = 0xff;
-/// More options than the specification has are none of its.
-const MOST_OPTIONS: usize = 16;
+/// Above the number of options that the specification defines; a message with more is malformed.
+const MAX_OPTIONS: usize = 16;
 
-/// What a side says of encryption (2.2.6.5).
+/// The value of the ENCRYPTION option (2.2.6.5).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Encryption {
-    /// Has it, for the login alone.
+    /// Supported, and used for the login only.
     Off,
-    /// Has it and wants it.
+    /// Supported and requested.
     On,
-    /// Does not have it.
+    /// Not supported.
     #[default]
     NotSupported,
-    /// Does not go on without it.
+    /// Required: without encryption the connection ends.
     Required,
 }
 
 impl Encryption {
-    fn of(byte: u8) -> Option<Self> {
-        // Bit 0x80 announces a client's certificate and goes with encryption that is wanted.
+    fn from_code(byte: u8) -> Option<Self> {
+        // Bit 0x80 announces a client certificate; it is combined with the values that request encryption.
         Some(match byte & 0x7f {
             0 => Self::Off,
             1 => Self::On,
@@ -50,24 +50,24 @@
     }
 }
 
-/// The options that matter here.
+/// The PRELOGIN options that this crate reads and writes; others are ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Prelogin {
-    /// The program's version: major, minor, build.
+    /// The version of the sender's program: major, minor, build.
     pub version: (u8, u8, u16),
-    /// Encryption.
+    /// The encryption that the sender offers or demands.
     pub encryption: Encryption,
-    /// Whether it wants several requests at once on one connection.
+    /// Whether the sender wants MARS: several concurrent requests on one connection.
     pub mars: bool,
 }
 
 impl Prelogin {
-    /// Reads a message's payload.
+    /// Parses the payload of a message.
     ///
     /// # Errors
-    /// When an option lies outside the message, or VERSION, which comes first, is not there.
+    /// When an option lies outside the message or has an invalid value, or VERSION is not the first option.
     pub fn parse(payload: &[u8]) -> Result<Self, WireError> {
-        let options = options(&mut &payload[..]).map_err(|_| WireError::Malformed("PRELOGIN"))?;
+        let options = parse_options(&mut &payload[..]).map_err(|_| WireError::Malformed("PRELOGIN"))?;
         let mut prelogin = Self::default();
         if options.first().map(|(token, ..)| *token) != Some(VERSION) {
             return Err(WireError::Malformed("PRELOGIN without VERSION"));
@@ -81,7 +81,7 @@
                     prelogin.version = (*major, *minor, u16::from_be_bytes([*high, *low]));
                 }
                 (ENCRYPTION, [value]) => {
-                    let known = Encryption::of(*value);
+                    let known = Encryption::from_code(*value);
                     prelogin.encryption = known.ok_or(WireError::Malformed("PRELOGIN encryption"))?;
                 }
                 (MARS, [value, ..]) => prelogin.mars = *value == 1,
@@ -92,7 +92,7 @@
         Ok(prelogin)
     }
 
-    /// Writes a message's payload.
+    /// Writes the payload of a message.
     pub fn put(&self, out: &mut BytesMut) {
         let (major, minor, build) = self.version;
         let build = build.to_be_bytes();
@@ -111,12 +111,13 @@
     }
 }
 
-fn options(input: &mut &[u8]) -> Read<Vec<(u8, u16, u16)>> {
+/// Parses the option table: token, offset and length of each option.
+fn parse_options(input: &mut &[u8]) -> ParseResult<Vec<(u8, u16, u16)>> {
     let mut options = Vec::new();
     loop {
         match byte.parse_next(input)? {
             END => return Ok(options),
-            _ if options.len() == MOST_OPTIONS => return Err(ContextError::new()),
+            _ if options.len() == MAX_OPTIONS => return Err(ContextError::new()),
             token => options.push((token, be_u16.parse_next(input)?, be_u16.parse_next(input)?)),
         }
     }
--- a/crates/tds/src/request.rs
+++ b/crates/tds/src/request.rs
@@ -1,6 +1,6 @@
-//! What clients ask: batches and procedure calls (2.2.6.6, 2.2.6.7).
+//! Requests of clients: batches and procedure calls (2.2.6.6, 2.2.6.7).
 
-use crate::text::{self, whole, Read};
+use crate::text::{self, parse_whole, ParseResult};
 use crate::value::{DataType, Value};
 use crate::WireError;
 use bytes::{BufMut, BytesMut};
@@ -9,41 +9,45 @@
 use winnow::token::take;
 use winnow::Parser;
 
-/// The number of `sp_executesql` (2.2.6.6).
+/// The procedure number of `sp_executesql` (2.2.6.6).
 pub const SP_EXECUTESQL: u16 = 10;
-/// What drivers call the first parameter of `sp_executesql`, if they name it.
+/// The name of the first parameter of `sp_executesql`, which drivers may leave out.
 pub const STATEMENT_PARAMETER: &str = "@stmt";
 
+/// In place of the length of a procedure's name: a procedure number follows.
 const BY_NUMBER: u16 = 0xffff;
+/// The header type of the transaction descriptor.
 const TRANSACTION: u16 = 2;
-/// The transaction header: its own length, its type, no transaction, one request outstanding.
-const HEADERS: u32 = 22;
+/// The length of an ALL_HEADERS that holds just a transaction descriptor, in bytes.
+const ALL_HEADERS_BYTES: u32 = 22;
+/// The parameter status flag `fByRefValue`.
 const BY_REFERENCE: u8 = 0x01;
-/// A call of more than one procedure is told by this byte behind a parameter (7.2 and later).
+/// After the parameters of a call: another call follows in the same message (7.2 and later).
 const NEXT: u8 = 0xff;
+/// Like [`NEXT`], but the call that follows is not executed.
 const NEXT_NO_EXEC: u8 = 0xfe;
-/// SQL Server takes as many.
-const MOST_PARAMETERS: usize = 2_100;
+/// The maximum number of parameters of a call, as in SQL Server.
+const MAX_PARAMETERS: usize = 2_100;
 
-/// Which procedure is called.
+/// The procedure that a call names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Procedure {
-    /// One of those with a number.
+    /// A system procedure, by number.
     Number(u16),
-    /// One by name.
+    /// A procedure, by name.
     Name(String),
 }
 
 /// A parameter of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parameter {
-    /// Its name with the `@`; empty where it goes by its place.
+    /// The name including the `@`; empty if the parameter is positional.
     pub name: String,
-    /// Whether the procedure gives it back.
+    /// Whether it is an output parameter.
     pub output: bool,
-    /// Its type.
+    /// The type.
     pub kind: DataType,
-    /// Its value.
+    /// The value.
     pub value: Value,
 }
 
@@ -52,14 +56,14 @@
 pub struct Rpc {
     /// The procedure.
     pub procedure: Procedure,
-    /// Its option flags.
+    /// The option flags.
     pub options: u16,
-    /// Its parameters in their order.
+    /// The parameters in order.
     pub parameters: Vec<Parameter>,
 }
 
-/// ALL_HEADERS (2.2.5.3): their lengths must add up; what they say is not needed here.
-fn all_headers(input: &mut &[u8]) -> Read<()> {
+/// Skips ALL_HEADERS (2.2.5.3), checking that the lengths of the headers add up.
+fn skip_all_headers(input: &mut &[u8]) -> ParseResult<()> {
     let total = le_u32.verify(|total| *total >= 4).parse_next(input)?;
     let mut headers = take(total - 4).parse_next(input)?;
     while !headers.is_empty() {
@@ -69,30 +73,30 @@
     Ok(())
 }
 
-/// Writes ALL_HEADERS with a transaction descriptor of none.
+/// Writes ALL_HEADERS with a transaction descriptor that names no transaction and one outstanding request.
 pub fn put_all_headers(out: &mut BytesMut) {
-    out.put_u32_le(HEADERS);
-    out.put_u32_le(HEADERS - 4);
+    out.put_u32_le(ALL_HEADERS_BYTES);
+    out.put_u32_le(ALL_HEADERS_BYTES - 4);
     out.put_u16_le(TRANSACTION);
     out.put_u64_le(0);
     out.put_u32_le(1);
 }
 
-/// Reads a batch's payload: its text.
+/// Parses the payload of a batch and returns its SQL text.
 ///
 /// # Errors
-/// When the headers do not add up or the text is no UTF-16.
+/// When the lengths of the headers do not add up or the text is not valid UTF-16.
 pub fn batch(payload: &[u8]) -> Result<String, WireError> {
     let text = |input: &mut &[u8]| {
-        all_headers(input)?;
+        skip_all_headers(input)?;
         let units = input.len() / 2;
-        text::sized(units).parse_next(input)
+        text::parse_units(units).parse_next(input)
     };
-    whole(payload, text, "a batch")
+    parse_whole(payload, text, "a batch")
 }
 
 impl Rpc {
-    /// Writes a payload.
+    /// Writes the payload of the call.
     pub fn put(&self, out: &mut BytesMut) {
         put_all_headers(out);
         match &self.procedure {
@@ -111,7 +115,7 @@
         }
     }
 
-    /// Whether it calls `sp_executesql`, by number or by name.
+    /// Whether the procedure is `sp_executesql`, by number or by name.
     pub fn executes_sql(&self) -> bool {
         match &self.procedure {
             Procedure::Number(number) => *number == SP_EXECUTESQL,
@@ -123,30 +127,30 @@
     }
 }
 
-/// Reads a call's payload.
+/// Parses the payload of a procedure call.
 ///
 /// # Errors
-/// When it makes no sense, has a parameter of a type that is not taken, or calls more than one procedure.
+/// When the payload is malformed, has a parameter of an unsupported type, or calls more than one procedure.
 pub fn rpc(payload: &[u8]) -> Result<Rpc, WireError> {
-    whole(payload, call, "a procedure call")
+    parse_whole(payload, parse_call, "a procedure call")
 }
 
-fn call(input: &mut &[u8]) -> Read<Rpc> {
-    all_headers(input)?;
+fn parse_call(input: &mut &[u8]) -> ParseResult<Rpc> {
+    skip_all_headers(input)?;
     let procedure = match le_u16.parse_next(input)? {
         BY_NUMBER => Procedure::Number(le_u16.parse_next(input)?),
-        units => Procedure::Name(text::sized(usize::from(units)).parse_next(input)?),
+        units => Procedure::Name(text::parse_units(usize::from(units)).parse_next(input)?),
     };
     let options = le_u16.parse_next(input)?;
     let mut parameters = Vec::new();
     while let Some(first) = input.first() {
-        if matches!(*first, NEXT | NEXT_NO_EXEC) || parameters.len() == MOST_PARAMETERS {
+        if matches!(*first, NEXT | NEXT_NO_EXEC) || parameters.len() == MAX_PARAMETERS {
             return Err(ContextError::new());
         }
-        let name = text::short(input)?;
+        let name = text::parse_short(input)?;
         let status = byte.parse_next(input)?;
         let kind = DataType::parse(input)?;
-        let value = kind.value(input)?;
+        let value = kind.parse_value(input)?;
         parameters.push(Parameter { name, output: status & BY_REFERENCE != 0, kind, value });
     }
     Ok(Rpc { procedure, options, parameters })
--- a/crates/tds/src/text.rs
+++ b/crates/tds/src/text.rs
@@ -1,4 +1,4 @@
-//! Texts on the wire: UTF-16, little-endian, with their length in code units before them.
+//! Strings on the wire: little-endian UTF-16, preceded by their length in code units.
 
 use crate::WireError;
 use bytes::{BufMut, BytesMut};
@@ -7,9 +7,10 @@
 use winnow::token::take;
 use winnow::Parser;
 
-pub(crate) type Read<T> = Result<T, ContextError>;
+/// The result of a parser that runs over a complete message.
+pub(crate) type ParseResult<T> = Result<T, ContextError>;
 
-/// Decodes UTF-16; none where a surrogate stands alone or half a unit is left.
+/// Decodes UTF-16. Returns `None` for an unpaired surrogate or an odd number of bytes.
 pub(crate) fn decode(bytes: &[u8]) -> Option<String> {
     if !bytes.len().is_multiple_of(2) {
         return None;
@@ -18,59 +19,62 @@
     char::decode_utf16(units).collect::<Result<_, _>>().ok()
 }
 
-/// Writes a text as UTF-16, without its length.
+/// Writes a string as UTF-16, without a length prefix.
 pub fn put(out: &mut BytesMut, text: &str) {
     out.reserve(text.len() * 2);
     text.encode_utf16().for_each(|unit| out.put_u16_le(unit));
 }
 
-/// How many units a text takes.
+/// Returns the length of a string in UTF-16 code units.
 pub(crate) fn units(text: &str) -> usize {
     text.encode_utf16().count()
 }
 
-/// As much of a text as fits into so many units.
-pub(crate) fn fitting(text: &str, most: usize) -> &str {
+/// Truncates a string to at most `max_units` UTF-16 code units.
+pub(crate) fn truncated(text: &str, max_units: usize) -> &str {
     let mut used = 0;
     let end = text.char_indices().find(|(_, c)| {
         used += c.len_utf16();
-        used > most
+        used > max_units
     });
     end.map_or(text, |(at, _)| &text[..at])
 }
 
-/// B_VARCHAR (2.2.5.1.2): one byte of length.
-pub(crate) fn short(input: &mut &[u8]) -> Read<String> {
+/// Parses a B_VARCHAR (2.2.5.1.2): a string with a length of one byte.
+pub(crate) fn parse_short(input: &mut &[u8]) -> ParseResult<String> {
     let units = byte.parse_next(input)?;
-    sized(usize::from(units)).parse_next(input)
+    parse_units(usize::from(units)).parse_next(input)
 }
 
-/// US_VARCHAR (2.2.5.1.2): two bytes of length.
-pub(crate) fn long(input: &mut &[u8]) -> Read<String> {
+/// Parses a US_VARCHAR (2.2.5.1.2): a string with a length of two bytes.
+pub(crate) fn parse_long(input: &mut &[u8]) -> ParseResult<String> {
     let units = le_u16.parse_next(input)?;
-    sized(usize::from(units)).parse_next(input)
+    parse_units(usize::from(units)).parse_next(input)
 }
 
-pub(crate) fn sized<'a>(units: usize) -> impl Parser<&'a [u8], String, ContextError> {
+/// Returns a parser for a string of `units` code units, without a length prefix.
+pub(crate) fn parse_units<'a>(units: usize) -> impl Parser<&'a [u8], String, ContextError> {
     take(units * 2).verify_map(decode)
 }
 
+/// Writes a B_VARCHAR, truncated to the 255 units that its length can express.
 pub(crate) fn put_short(out: &mut BytesMut, text: &str) {
-    let text = fitting(text, usize::from(u8::MAX));
+    let text = truncated(text, usize::from(u8::MAX));
     out.put_u8(units(text) as u8);
     put(out, text);
 }
 
+/// Writes a US_VARCHAR, truncated to the 65,535 units that its length can express.
 pub(crate) fn put_long(out: &mut BytesMut, text: &str) {
-    let text = fitting(text, usize::from(u16::MAX));
+    let text = truncated(text, usize::from(u16::MAX));
     out.put_u16_le(units(text) as u16);
     put(out, text);
 }
 
-/// Runs a parser over the whole of a message.
-pub(crate) fn whole<'a, T>(
+/// Runs a parser that has to consume the whole message. `what` names the message in the error.
+pub(crate) fn parse_whole<'a, T>(
     bytes: &'a [u8],
-    mut parser: impl FnMut(&mut &'a [u8]) -> Read<T>,
+    mut parser: impl FnMut(&mut &'a [u8]) -> ParseResult<T>,
     what: &'static str,
 ) -> Result<T, WireError> {
     let mut input = bytes;
--- a/crates/tds/src/token.rs
+++ b/crates/tds/src/token.rs
@@ -1,6 +1,6 @@
-//! Tokens: what servers answer with (2.2.7).
+//! The tokens of a server's response (2.2.7).
 
-use crate::text::{self, Read};
+use crate::text::{self, ParseResult};
 use crate::value::{DataType, Value, COLLATION};
 use crate::WireError;
 use bytes::{BufMut, BytesMut};
@@ -23,70 +23,76 @@
 const DONE: u8 = 0xfd;
 const DONE_PROC: u8 = 0xfe;
 const DONE_IN_PROC: u8 = 0xff;
+/// As the column count of COLMETADATA: there is no metadata.
 const NO_METADATA: u16 = 0xffff;
+/// The column flag `fNullable`.
 const NULLABLE: u16 = 0x0001;
-const SQL: u8 = 1;
+/// The value of LOGINACK's interface field for Transact-SQL.
+const SQL_TSQL: u8 = 1;
+/// The feature id that ends FEATUREEXTACK.
 const NO_MORE_FEATURES: u8 = 0xff;
-/// More columns than this no answer has here; each costs memory before its first row.
-const MOST_COLUMNS: u16 = 1_024;
+/// The maximum number of columns that is accepted: well above what answers have here. Each column costs
+/// memory before the first row arrives.
+const MAX_COLUMNS: u16 = 1_024;
 
-/// A column's description.
+/// The description of a column.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Column {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its type.
+    /// The type.
     pub kind: DataType,
 }
 
-/// An error or an information (2.2.7.10, 2.2.7.13).
+/// An error or an information message (2.2.7.10, 2.2.7.13).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Notice {
-    /// Its number.
+    /// The message number; see [`crate::numbers`].
     pub number: i32,
-    /// Its state.
+    /// The state, which tells apart origins of the same number.
     pub state: u8,
-    /// Its class, also called severity: over 10 an error, from 20 on the connection ends.
+    /// The class, also called severity: above 10 for errors; from 20 on the connection ends.
     pub class: u8,
-    /// Its text.
+    /// The text.
     pub message: String,
 }
 
-/// What LOGINACK says.
+/// The content of LOGINACK (2.2.7.14).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoginAck {
-    /// The version that is spoken from now on.
+    /// The protocol version of the session.
     pub version: u32,
-    /// The server's program.
+    /// The name of the server's program.
     pub program: String,
 }
 
-/// Which of the three ends it is.
+/// The kind of execution that a DONE token ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DoneKind {
-    /// Of a batch's statement.
+    /// A statement of a batch: DONE.
     Batch,
-    /// Of a procedure.
+    /// A procedure: DONEPROC.
     Proc,
-    /// Of a statement within a procedure.
+    /// A statement within a procedure: DONEINPROC.
     InProc,
 }
 
-/// The end of something (2.2.7.6).
+/// The content of DONE, DONEPROC or DONEINPROC: the end of an execution (2.2.7.6).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Done {
-    /// More comes.
+    /// More results follow.
     pub more: bool,
-    /// It ended in an error.
+    /// The execution ended in an error.
     pub error: bool,
-    /// Its count of rows is valid.
+    /// The row count is valid.
     pub has_row_count: bool,
-    /// It acknowledges an attention.
+    /// The token acknowledges an attention, by which the client cancelled its request.
     pub attention: bool,
-    /// Rows returned or changed.
+    /// The number of rows returned or changed.
     pub rows: u64,
 }
 
+// The bits of a DONE token's status (2.2.7.6).
 const MORE: u16 = 0x0001;
 const FAILED: u16 = 0x0002;
 const COUNT: u16 = 0x0010;
@@ -95,44 +101,44 @@
 /// A change of the session's environment (2.2.7.9).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Environment {
-    /// The database.
+    /// The new database.
     Database(String),
-    /// The packet size, in bytes.
+    /// The new packet size, in bytes.
     PacketSize(usize),
-    /// The session was set back, as asked.
+    /// The session was reset on the client's request.
     Reset,
-    /// Anything else, by its number.
+    /// Any other change, by its type.
     Other(u8),
 }
 
-/// One token.
+/// A token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Token {
-    /// What the rows to come look like.
+    /// The columns of the rows that follow: COLMETADATA.
     Columns(Vec<Column>),
-    /// A row.
+    /// A row: ROW or NBCROW.
     Row(Vec<Value>),
-    /// The end of something.
+    /// The end of an execution: DONE, DONEPROC or DONEINPROC.
     Done(DoneKind, Done),
     /// An error.
     Error(Notice),
-    /// Something to know.
+    /// An information message.
     Info(Notice),
-    /// The login went well.
+    /// The login has succeeded.
     LoginAck(LoginAck),
-    /// The environment changes.
+    /// The session's environment has changed: ENVCHANGE.
     Environment(Environment),
-    /// By which columns rows are ordered.
+    /// The columns by which the rows are ordered.
     Order(Vec<u16>),
-    /// What a procedure returned.
+    /// The return status of a procedure.
     ReturnStatus(i32),
-    /// A parameter that a procedure gives back.
+    /// The value of an output parameter.
     ReturnValue(Value),
-    /// What the server says to the extensions asked for.
+    /// The server's acknowledgement of protocol extensions, whose content is skipped: FEATUREEXTACK.
     Features,
 }
 
-/// Reads the tokens of an answer one by one.
+/// An iterator over the tokens of a response. It ends after the first token that cannot be parsed.
 #[derive(Debug)]
 pub struct Tokens<'a> {
     rest: &'a [u8],
@@ -140,12 +146,12 @@
 }
 
 impl<'a> Tokens<'a> {
-    /// Over the payload of a whole answer.
+    /// Creates an iterator over the payload of a complete response.
     pub fn new(payload: &'a [u8]) -> Self {
         Self { rest: payload, columns: Vec::new() }
     }
 
-    fn read(&mut self) -> Result<Token, WireError> {
+    fn next_token(&mut self) -> Result<Token, WireError> {
         let kind = self.rest[0];
         let known = [
             RETURN_STATUS,
@@ -168,7 +174,7 @@
         }
         self.rest = &self.rest[1..];
         let token =
-            token(kind, &self.columns, &mut self.rest).map_err(|_| WireError::Malformed("a token"))?;
+            parse_token(kind, &self.columns, &mut self.rest).map_err(|_| WireError::Malformed("a token"))?;
         if let Token::Columns(columns) = &token {
             self.columns.clone_from(columns);
         }
@@ -183,27 +189,30 @@
         if self.rest.is_empty() {
             return None;
         }
-        let token = self.read();
+        let token = self.next_token();
         if token.is_err() {
-            // Nothing behind what cannot be read can be read either.
+            // The length of an invalid token is unknown, so what follows it cannot be parsed.
             self.rest = &[];
         }
         Some(token)
     }
 }
 
-fn token(kind: u8, columns: &[Column], input: &mut &[u8]) -> Read<Token> {
+/// Parses the rest of a token, after its type. `columns` are those of the last COLMETADATA.
+fn parse_token(kind: u8, columns: &[Column], input: &mut &[u8]) -> ParseResult<Token> {
     Ok(match kind {
         RETURN_STATUS => Token::ReturnStatus(le_i32.parse_next(input)?),
-        COLUMNS => Token::Columns(metadata(input)?),
-        ROW => Token::Row(columns.iter().map(|column| column.kind.value(input)).collect::<Read<_>>()?),
-        ROW_WITH_NULLS => Token::Row(row_with_nulls(columns, input)?),
-        DONE => Token::Done(DoneKind::Batch, done(input)?),
-        DONE_PROC => Token::Done(DoneKind::Proc, done(input)?),
-        DONE_IN_PROC => Token::Done(DoneKind::InProc, done(input)?),
+        COLUMNS => Token::Columns(parse_columns(input)?),
+        ROW => Token::Row(
+            columns.iter().map(|column| column.kind.parse_value(input)).collect::<ParseResult<_>>()?,
+        ),
+        ROW_WITH_NULLS => Token::Row(parse_row_with_nulls(columns, input)?),
+        DONE => Token::Done(DoneKind::Batch, parse_done(input)?),
+        DONE_PROC => Token::Done(DoneKind::Proc, parse_done(input)?),
+        DONE_IN_PROC => Token::Done(DoneKind::InProc, parse_done(input)?),
         RETURN_VALUE => {
-            (le_u16, text::short, byte, le_u32, le_u16).void().parse_next(input)?;
-            Token::ReturnValue(DataType::parse(input)?.value(input)?)
+            (le_u16, text::parse_short, byte, le_u32, le_u16).void().parse_next(input)?;
+            Token::ReturnValue(DataType::parse(input)?.parse_value(input)?)
         }
         FEATURES => {
             while byte.parse_next(input)? != NO_MORE_FEATURES {
@@ -213,29 +222,29 @@
             Token::Features
         }
         _ => {
-            // These say how long they are, and must be just so.
+            // These tokens carry their length, which their content must match exactly.
             let content: &mut &[u8] = &mut length_take(le_u16).parse_next(input)?;
             let token = match kind {
-                ERROR => Token::Error(notice(content)?),
-                INFO => Token::Info(notice(content)?),
-                LOGIN_ACK => Token::LoginAck(login_ack(content)?),
-                ENVIRONMENT => Token::Environment(environment(content)?),
+                ERROR => Token::Error(parse_notice(content)?),
+                INFO => Token::Info(parse_notice(content)?),
+                LOGIN_ACK => Token::LoginAck(parse_login_ack(content)?),
+                ENVIRONMENT => Token::Environment(parse_environment(content)?),
                 _ => {
                     Token::Order(content.chunks_exact(2).map(|c| u16::from_le_bytes([c[0], c[1]])).collect())
                 }
             };
-            let done = content.is_empty() || matches!(token, Token::Order(_));
-            return if done { Ok(token) } else { Err(ContextError::new()) };
+            let complete = content.is_empty() || matches!(token, Token::Order(_));
+            return if complete { Ok(token) } else { Err(ContextError::new()) };
         }
     })
 }
 
-fn metadata(input: &mut &[u8]) -> Read<Vec<Column>> {
+fn parse_columns(input: &mut &[u8]) -> ParseResult<Vec<Column>> {
     let count = le_u16.parse_next(input)?;
     if count == NO_METADATA {
         return Ok(Vec::new());
     }
-    if count > MOST_COLUMNS {
+    if count > MAX_COLUMNS {
         return Err(ContextError::new());
     }
     let mut columns = Vec::new();
@@ -243,57 +252,65 @@
         (le_u32, le_u16).void().parse_next(input)?;
         let kind = DataType::parse(input)?;
         if kind == DataType::NText {
+            // The name of the table, in parts.
             let parts = byte.parse_next(input)?;
-            (0..parts).try_for_each(|_| text::long(input).map(drop))?;
+            (0..parts).try_for_each(|_| text::parse_long(input).map(drop))?;
         }
-        columns.push(Column { name: text::short(input)?, kind });
+        columns.push(Column { name: text::parse_short(input)?, kind });
     }
     Ok(columns)
 }
 
-fn row_with_nulls(columns: &[Column], input: &mut &[u8]) -> Read<Vec<Value>> {
+/// Parses an NBCROW: a bitmap of the columns that are null, then the values of the others.
+fn parse_row_with_nulls(columns: &[Column], input: &mut &[u8]) -> ParseResult<Vec<Value>> {
     let nulls = take(columns.len().div_ceil(8)).parse_next(input)?;
-    let one = |(n, column): (usize, &Column)| match nulls[n / 8] >> (n % 8) & 1 {
+    let value = |(n, column): (usize, &Column)| match nulls[n / 8] >> (n % 8) & 1 {
         1 => Ok(Value::Null),
-        _ => column.kind.value(input),
+        _ => column.kind.parse_value(input),
     };
-    columns.iter().enumerate().map(one).collect()
+    columns.iter().enumerate().map(value).collect()
 }
 
-fn done(input: &mut &[u8]) -> Read<Done> {
+fn parse_done(input: &mut &[u8]) -> ParseResult<Done> {
     let (status, _, rows) = (le_u16, le_u16, le_u64).parse_next(input)?;
-    let is = |bit: u16| status & bit != 0;
-    Ok(Done { more: is(MORE), error: is(FAILED), has_row_count: is(COUNT), attention: is(ATTENTION), rows })
+    let has = |bit: u16| status & bit != 0;
+    Ok(Done {
+        more: has(MORE),
+        error: has(FAILED),
+        has_row_count: has(COUNT),
+        attention: has(ATTENTION),
+        rows,
+    })
 }
 
-fn notice(input: &mut &[u8]) -> Read<Notice> {
-    let (number, state, class, message) = (le_i32, byte, byte, text::long).parse_next(input)?;
-    (text::short, text::short, le_u32).void().parse_next(input)?;
+fn parse_notice(input: &mut &[u8]) -> ParseResult<Notice> {
+    let (number, state, class, message) = (le_i32, byte, byte, text::parse_long).parse_next(input)?;
+    (text::parse_short, text::parse_short, le_u32).void().parse_next(input)?;
     Ok(Notice { number, state, class, message })
 }
 
-fn login_ack(input: &mut &[u8]) -> Read<LoginAck> {
-    let (_, version, program, _) = (byte, be_u32, text::short, le_u32).parse_next(input)?;
+fn parse_login_ack(input: &mut &[u8]) -> ParseResult<LoginAck> {
+    let (_, version, program, _) = (byte, be_u32, text::parse_short, le_u32).parse_next(input)?;
     Ok(LoginAck { version, program })
 }
 
-fn environment(input: &mut &[u8]) -> Read<Environment> {
+fn parse_environment(input: &mut &[u8]) -> ParseResult<Environment> {
     let change = match byte.parse_next(input)? {
-        1 => Environment::Database(text::short(input)?),
+        1 => Environment::Database(text::parse_short(input)?),
         4 => {
-            let size = text::short(input)?.parse().map_err(|_| ContextError::new())?;
+            let size = text::parse_short(input)?.parse().map_err(|_| ContextError::new())?;
             Environment::PacketSize(size)
         }
         18 => Environment::Reset,
         other => Environment::Other(other),
     };
-    // The old value follows, and of what is not known all.
+    // Skips the old value, or the whole content of a change of unknown type.
     *input = &[];
     Ok(change)
 }
 
-/// A token whose content is preceded by its length.
-fn sized(out: &mut BytesMut, kind: u8, content: impl FnOnce(&mut BytesMut)) {
+/// Writes a token whose content is preceded by its length.
+fn put_sized(out: &mut BytesMut, kind: u8, content: impl FnOnce(&mut BytesMut)) {
     out.put_u8(kind);
     let start = out.len();
     out.put_u16_le(0);
@@ -325,7 +342,7 @@
     }
 }
 
-/// Writes NBCROW: nulls as bits, the others as in ROW.
+/// Writes NBCROW: a bitmap of the columns that are null, then the other values as in ROW.
 pub fn put_row_with_nulls(out: &mut BytesMut, columns: &[Column], values: &[Value]) {
     out.put_u8(ROW_WITH_NULLS);
     let mut nulls = vec![0u8; columns.len().div_ceil(8)];
@@ -347,19 +364,19 @@
     });
     let bits =
         [(done.more, MORE), (done.error, FAILED), (done.has_row_count, COUNT), (done.attention, ATTENTION)];
-    out.put_u16_le(bits.iter().filter(|(is, _)| *is).map(|(_, bit)| bit).sum());
-    // SELECT, as drivers expect where rows are counted.
+    out.put_u16_le(bits.iter().filter(|(set, _)| *set).map(|(_, bit)| bit).sum());
+    // The current command: SELECT (0xc1), which drivers expect with a row count.
     out.put_u16_le(if done.has_row_count { 0xc1 } else { 0 });
     out.put_u64_le(done.rows);
 }
 
 fn put_notice(out: &mut BytesMut, kind: u8, notice: &Notice) {
-    sized(out, kind, |out| {
+    put_sized(out, kind, |out| {
         out.put_i32_le(notice.number);
         out.put_u8(notice.state);
         out.put_u8(notice.class);
-        // The token's length has two bytes: a longer text is cut.
-        text::put_long(out, text::fitting(&notice.message, 2_048));
+        // The token's length field has two bytes: a longer text is truncated.
+        text::put_long(out, text::truncated(&notice.message, 2_048));
         text::put_short(out, "wheelpier");
         text::put_short(out, "");
         out.put_u32_le(1);
@@ -378,15 +395,15 @@
 
 /// Writes LOGINACK.
 pub fn put_login_ack(out: &mut BytesMut, ack: &LoginAck) {
-    sized(out, LOGIN_ACK, |out| {
-        out.put_u8(SQL);
+    put_sized(out, LOGIN_ACK, |out| {
+        out.put_u8(SQL_TSQL);
         out.put_u32(ack.version);
         text::put_short(out, &ack.program);
         out.put_slice(&[15, 0, 0, 0]);
     });
 }
 
-/// Writes ENVCHANGE; the old value is left empty.
+/// Writes ENVCHANGE. The old value is left empty, but for the packet size.
 pub fn put_environment(out: &mut BytesMut, change: &Environment) {
     let (kind, value) = match change {
         Environment::Database(name) => (1, name.clone()),
@@ -394,17 +411,17 @@
         Environment::Reset => (18, String::new()),
         Environment::Other(kind) => (*kind, String::new()),
     };
-    sized(out, ENVIRONMENT, |out| {
+    put_sized(out, ENVIRONMENT, |out| {
         out.put_u8(kind);
         text::put_short(out, &value);
-        // Drivers read the old packet size as a number.
+        // Drivers parse the old packet size as a number: it must not be empty.
         text::put_short(out, if kind == 4 { &value } else { "" });
     });
 }
 
-/// Writes the ENVCHANGE that tells the collation of texts.
+/// Writes the ENVCHANGE that reports the collation of the session.
 pub fn put_collation(out: &mut BytesMut) {
-    sized(out, ENVIRONMENT, |out| {
+    put_sized(out, ENVIRONMENT, |out| {
         out.put_u8(7);
         out.put_u8(COLLATION.len() as u8);
         out.put_slice(&COLLATION);
@@ -414,7 +431,7 @@
 
 /// Writes ORDER.
 pub fn put_order(out: &mut BytesMut, columns: &[u16]) {
-    sized(out, ORDER, |out| columns.iter().for_each(|column| out.put_u16_le(*column)));
+    put_sized(out, ORDER, |out| columns.iter().for_each(|column| out.put_u16_le(*column)));
 }
 
 /// Writes RETURNSTATUS.
--- a/crates/tds/src/value.rs
+++ b/crates/tds/src/value.rs
@@ -1,62 +1,70 @@
-//! Data types and values, as parameters and columns bear them (2.2.5.4, 2.2.5.5).
+//! Data types and values of parameters and columns (2.2.5.4, 2.2.5.5).
 
-use crate::text::{self, Read};
+use crate::text::{self, ParseResult};
 use bytes::{BufMut, Bytes, BytesMut};
 use winnow::binary::{le_i16, le_i32, le_i64, le_u16, le_u32, le_u64, u8 as byte};
 use winnow::error::ContextError;
 use winnow::token::take;
 use winnow::Parser;
 
-/// How many bytes a chunk of a long value is written with at most.
+/// The maximum size of a chunk in which a partially length-prefixed value is written, in bytes.
 pub const CHUNK: usize = 16 * 1024;
+/// The maximum length of the values of a type that is not partially length-prefixed, in bytes.
+const MAX_SHORT_BYTES: u16 = 8_000;
+/// As the maximum length in a TYPE_INFO: values are partially length-prefixed (PLP).
 const PLP: u16 = 0xffff;
+/// As the length of a short value: null.
+const SHORT_NULL: u16 = 0xffff;
+/// As the total length of a PLP value: null.
 const PLP_NULL: u64 = u64::MAX;
+/// As the total length of a PLP value: unknown, the sum of the chunks.
 const PLP_UNKNOWN: u64 = u64::MAX - 1;
-/// Latin1_General_CI_AS, as most servers have it (2.2.5.1.2).
+/// Latin1_General_CI_AS, the collation of most servers (2.2.5.1.2).
 pub(crate) const COLLATION: [u8; 5] = [0x09, 0x04, 0xd0, 0x00, 0x34];
 
-/// A data type with what its values need to be read.
+/// A data type, with the parameters that its values are decoded by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DataType {
-    /// A whole number of 1, 2, 4 or 8 bytes; nullable ones say their length with each value.
+    /// An integer of 1, 2, 4 or 8 bytes; bit is read as one of 1 byte. Each value of a nullable type has a
+    /// length.
     Int {
-        /// Bytes of a value.
+        /// The size of a value in bytes.
         size: u8,
         /// Whether a value may be null.
         nullable: bool,
     },
     /// nvarchar or nchar, at most 8,000 bytes.
     NVarChar,
-    /// nvarchar(max), in chunks.
+    /// nvarchar(max), partially length-prefixed.
     NVarCharMax,
     /// varchar or char, at most 8,000 bytes.
     VarChar,
-    /// varchar(max), in chunks.
+    /// varchar(max), partially length-prefixed.
     VarCharMax,
-    /// ntext, with four bytes of length.
+    /// ntext, with a length of four bytes.
     NText,
     /// varbinary or binary, at most 8,000 bytes.
     VarBinary,
-    /// varbinary(max), in chunks.
+    /// varbinary(max), partially length-prefixed.
     VarBinaryMax,
 }
 
-/// A value.
+/// A decoded value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Value {
-    /// No value.
+    /// SQL NULL.
     Null,
-    /// A whole number.
+    /// An integer.
     Int(i64),
-    /// A text.
+    /// A string.
     Text(String),
     /// Bytes.
     Binary(Bytes),
 }
 
 impl DataType {
-    /// Reads a TYPE_INFO (2.2.5.6).
-    pub(crate) fn parse(input: &mut &[u8]) -> Read<Self> {
+    /// Parses a TYPE_INFO (2.2.5.6).
+    pub(crate) fn parse(input: &mut &[u8]) -> ParseResult<Self> {
         let kind = byte.parse_next(input)?;
         Ok(match kind {
             0x30 => Self::Int { size: 1, nullable: false },
@@ -69,18 +77,18 @@
                 Self::Int { size, nullable: true }
             }
             0xe7 | 0xef => {
-                let most = le_u16.parse_next(input)?;
-                collation(input)?;
-                if most == PLP {
+                let max_length = le_u16.parse_next(input)?;
+                skip_collation(input)?;
+                if max_length == PLP {
                     Self::NVarCharMax
                 } else {
                     Self::NVarChar
                 }
             }
             0xa7 | 0xaf => {
-                let most = le_u16.parse_next(input)?;
-                collation(input)?;
-                if most == PLP {
+                let max_length = le_u16.parse_next(input)?;
+                skip_collation(input)?;
+                if max_length == PLP {
                     Self::VarCharMax
                 } else {
                     Self::VarChar
@@ -92,7 +100,7 @@
             },
             0x63 => {
                 le_u32.parse_next(input)?;
-                collation(input)?;
+                skip_collation(input)?;
                 Self::NText
             }
             _ => return Err(ContextError::new()),
@@ -111,12 +119,12 @@
             }),
             Self::NVarChar | Self::NVarCharMax => {
                 out.put_u8(0xe7);
-                out.put_u16_le(if self == Self::NVarChar { 8_000 } else { PLP });
+                out.put_u16_le(if self == Self::NVarChar { MAX_SHORT_BYTES } else { PLP });
                 out.put_slice(&COLLATION);
             }
             Self::VarChar | Self::VarCharMax => {
                 out.put_u8(0xa7);
-                out.put_u16_le(if self == Self::VarChar { 8_000 } else { PLP });
+                out.put_u16_le(if self == Self::VarChar { MAX_SHORT_BYTES } else { PLP });
                 out.put_slice(&COLLATION);
             }
             Self::NText => {
@@ -126,31 +134,35 @@
             }
             Self::VarBinary | Self::VarBinaryMax => {
                 out.put_u8(0xa5);
-                out.put_u16_le(if self == Self::VarBinary { 8_000 } else { PLP });
+                out.put_u16_le(if self == Self::VarBinary { MAX_SHORT_BYTES } else { PLP });
             }
         }
     }
 
-    /// Reads a value of this type.
-    pub(crate) fn value(self, input: &mut &[u8]) -> Read<Value> {
+    /// Parses a value of this type.
+    pub(crate) fn parse_value(self, input: &mut &[u8]) -> ParseResult<Value> {
         match self {
-            Self::Int { size, nullable } => int(input, size, nullable),
-            Self::NVarChar => short(input)?.map_or(Ok(Value::Null), wide),
-            Self::NVarCharMax => plp(input)?.map_or(Ok(Value::Null), |bytes| wide(&bytes)),
-            Self::VarChar => short(input)?.map_or(Ok(Value::Null), narrow),
-            Self::VarCharMax => plp(input)?.map_or(Ok(Value::Null), |bytes| narrow(&bytes)),
+            Self::Int { size, nullable } => parse_int(input, size, nullable),
+            Self::NVarChar => parse_short(input)?.map_or(Ok(Value::Null), decode_utf16),
+            Self::NVarCharMax => parse_plp(input)?.map_or(Ok(Value::Null), |bytes| decode_utf16(&bytes)),
+            Self::VarChar => parse_short(input)?.map_or(Ok(Value::Null), decode_ascii),
+            Self::VarCharMax => parse_plp(input)?.map_or(Ok(Value::Null), |bytes| decode_ascii(&bytes)),
             Self::NText => match le_u32.parse_next(input)? {
                 u32::MAX => Ok(Value::Null),
-                length => wide(take(length).parse_next(input)?),
+                length => decode_utf16(take(length).parse_next(input)?),
             },
             Self::VarBinary => {
-                Ok(short(input)?.map_or(Value::Null, |bytes| Value::Binary(Bytes::copy_from_slice(bytes))))
+                Ok(parse_short(input)?
+                    .map_or(Value::Null, |bytes| Value::Binary(Bytes::copy_from_slice(bytes))))
+            }
+            Self::VarBinaryMax => {
+                Ok(parse_plp(input)?.map_or(Value::Null, |bytes| Value::Binary(bytes.into())))
             }
-            Self::VarBinaryMax => Ok(plp(input)?.map_or(Value::Null, |bytes| Value::Binary(bytes.into()))),
         }
     }
 
-    /// Writes a value of this type; what does not fit into it goes as null.
+    /// Writes a value of this type. A value of another type is written as null, or as 0 where the type is an
+    /// integer that is not nullable.
     pub(crate) fn put_value(self, out: &mut BytesMut, value: &Value) {
         match (self, value) {
             (Self::Int { size, nullable }, Value::Int(number)) => {
@@ -174,24 +186,26 @@
             (Self::VarBinaryMax, Value::Binary(bytes)) => put_plp(out, bytes),
             (Self::NVarCharMax | Self::VarCharMax | Self::VarBinaryMax, _) => out.put_u64_le(PLP_NULL),
             (Self::NText, _) => out.put_u32_le(u32::MAX),
-            (Self::NVarChar | Self::VarChar | Self::VarBinary, _) => out.put_u16_le(PLP),
+            (Self::NVarChar | Self::VarChar | Self::VarBinary, _) => out.put_u16_le(SHORT_NULL),
         }
     }
 }
 
+/// Returns a string in little-endian UTF-16.
 fn utf16(text: &str) -> BytesMut {
     let mut out = BytesMut::new();
     text::put(&mut out, text);
     out
 }
 
+/// Writes a value with a length of two bytes, truncated to [`MAX_SHORT_BYTES`].
 fn put_short(out: &mut BytesMut, bytes: &[u8]) {
-    let bytes = &bytes[..bytes.len().min(8_000)];
+    let bytes = &bytes[..bytes.len().min(usize::from(MAX_SHORT_BYTES))];
     out.put_u16_le(bytes.len() as u16);
     out.put_slice(bytes);
 }
 
-/// Writes bytes as a partially length-prefixed value (2.2.5.2.3).
+/// Writes a partially length-prefixed value (2.2.5.2.3), in chunks of at most [`CHUNK`] bytes.
 pub fn put_plp(out: &mut BytesMut, bytes: &[u8]) {
     out.reserve(bytes.len() + 12 + bytes.len().div_ceil(CHUNK) * 4);
     out.put_u64_le(bytes.len() as u64);
@@ -202,11 +216,11 @@
     out.put_u32_le(0);
 }
 
-fn collation(input: &mut &[u8]) -> Read<()> {
+fn skip_collation(input: &mut &[u8]) -> ParseResult<()> {
     take(5usize).void().parse_next(input)
 }
 
-fn int(input: &mut &[u8], size: u8, nullable: bool) -> Read<Value> {
+fn parse_int(input: &mut &[u8], size: u8, nullable: bool) -> ParseResult<Value> {
     let length = if nullable { byte.parse_next(input)? } else { size };
     Ok(Value::Int(match length {
         0 => return Ok(Value::Null),
@@ -218,17 +232,19 @@
     }))
 }
 
-fn short<'a>(input: &mut &'a [u8]) -> Read<Option<&'a [u8]>> {
+/// Parses a value with a length of two bytes; null as `None`.
+fn parse_short<'a>(input: &mut &'a [u8]) -> ParseResult<Option<&'a [u8]>> {
     match le_u16.parse_next(input)? {
-        PLP => Ok(None),
+        SHORT_NULL => Ok(None),
         length => take(length).map(Some).parse_next(input),
     }
 }
 
-/// A long value: its chunks in a row. The length claimed ahead only has to agree in the end.
-fn plp(input: &mut &[u8]) -> Read<Option<Vec<u8>>> {
-    let claimed = le_u64.parse_next(input)?;
-    if claimed == PLP_NULL {
+/// Parses a partially length-prefixed value: its chunks up to an empty one. The total length that precedes
+/// them is only compared with theirs at the end; it sizes no allocation.
+fn parse_plp(input: &mut &[u8]) -> ParseResult<Option<Vec<u8>>> {
+    let total = le_u64.parse_next(input)?;
+    if total == PLP_NULL {
         return Ok(None);
     }
     let mut bytes = Vec::new();
@@ -238,18 +254,18 @@
             length => bytes.extend_from_slice(take(length).parse_next(input)?),
         }
     }
-    match claimed == PLP_UNKNOWN || claimed == bytes.len() as u64 {
+    match total == PLP_UNKNOWN || total == bytes.len() as u64 {
         true => Ok(Some(bytes)),
         false => Err(ContextError::new()),
     }
 }
 
-fn wide(bytes: &[u8]) -> Read<Value> {
+fn decode_utf16(bytes: &[u8]) -> ParseResult<Value> {
     text::decode(bytes).map(Value::Text).ok_or_else(ContextError::new)
 }
 
-/// Which letters bytes above 127 mean depends on the collation: only what is the same in all is taken.
-fn narrow(bytes: &[u8]) -> Read<Value> {
+/// Decodes a varchar value. Only ASCII is accepted: the meaning of bytes above 127 depends on the collation.
+fn decode_ascii(bytes: &[u8]) -> ParseResult<Value> {
     match std::str::from_utf8(bytes) {
         Ok(text) if text.is_ascii() => Ok(Value::Text(text.to_owned())),
         _ => Err(ContextError::new()),
--- a/crates/tds/tests/hostile.rs
+++ b/crates/tds/tests/hostile.rs
@@ -1,42 +1,44 @@
-//! What no honest peer sends: each is turned down with its reason, and costs no memory.
+//! Input that no conforming peer sends is rejected with a specific error, and allocates no memory by the
+//! lengths that it claims.
 
 use bytes::{BufMut, BytesMut};
 use rstest::rstest;
 use wheelpier_tds::*;
 
 #[rstest]
-#[case::of_no_type(&[0x51, 0, 0, 8], WireError::Header)]
+#[case::of_unknown_type(&[0x51, 0, 0, 8], WireError::Header)]
 #[case::shorter_than_its_header(&[1, 1, 0, 7, 0, 0, 0, 0], WireError::Header)]
-#[case::longer_than_agreed(&[1, 1, 0x10, 1, 0, 0, 0, 0], WireError::Header)]
-#[case::more_than_is_taken(&[1, 1, 0x10, 0, 0, 0, 0, 0], WireError::TooLong)]
-#[case::of_another_type_within(&[1, 0, 0, 9, 0, 0, 0, 0, 7, 3, 1, 0, 9, 0, 0, 0, 0, 7], WireError::Header)]
-fn packets_are_turned_down(#[case] bytes: &[u8], #[case] expected: WireError) {
-    let mut read = BytesMut::from(bytes);
-    assert_eq!(Assembler::new(4000).next(&mut read), Err(expected));
+#[case::longer_than_negotiated(&[1, 1, 0x10, 1, 0, 0, 0, 0], WireError::Header)]
+#[case::longer_than_the_limit(&[1, 1, 0x10, 0, 0, 0, 0, 0], WireError::TooLong)]
+#[case::type_changes_within(&[1, 0, 0, 9, 0, 0, 0, 0, 7, 3, 1, 0, 9, 0, 0, 0, 0, 7], WireError::Header)]
+fn invalid_packets_are_rejected(#[case] bytes: &[u8], #[case] expected: WireError) {
+    let mut received = BytesMut::from(bytes);
+    assert_eq!(Assembler::new(4000).next(&mut received), Err(expected));
 }
 
 #[test]
-fn a_message_without_end_is_turned_down_at_the_limit() {
+fn an_endless_message_is_rejected_at_the_limit() {
     let mut assembler = Assembler::new(10_000);
     let mut packet = vec![1, 0, 0x10, 0, 0, 0, 1, 0];
     packet.resize(PACKET_SIZE, 7);
-    let mut read = BytesMut::new();
+    let mut received = BytesMut::new();
     let results: Vec<_> = (0..3)
         .map(|_| {
-            read.put_slice(&packet);
-            assembler.next(&mut read)
+            received.put_slice(&packet);
+            assembler.next(&mut received)
         })
         .collect();
     assert_eq!(results, [Ok(None), Ok(None), Err(WireError::TooLong)]);
 }
 
-/// A value that claims 3 GB, or a length that does not fit, is no value; nothing is set aside for it.
+/// A value whose total length (here up to 3 GB) or chunk length does not match the bytes that follow is
+/// rejected, without an allocation of that length.
 #[rstest]
-#[case::claims_more_than_comes(&[0, 0, 0, 192, 0, 0, 0, 0, 4, 0, 0, 0, 1, 2, 3, 4, 0, 0, 0, 0])]
-#[case::claims_less_than_comes(&[1, 0, 0, 0, 0, 0, 0, 0, 4, 0, 0, 0, 1, 2, 3, 4, 0, 0, 0, 0])]
+#[case::total_above_the_chunks(&[0, 0, 0, 192, 0, 0, 0, 0, 4, 0, 0, 0, 1, 2, 3, 4, 0, 0, 0, 0])]
+#[case::total_below_the_chunks(&[1, 0, 0, 0, 0, 0, 0, 0, 4, 0, 0, 0, 1, 2, 3, 4, 0, 0, 0, 0])]
 #[case::a_chunk_of_4_gb(&[254, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1])]
-#[case::without_its_end(&[254, 255, 255, 255, 255, 255, 255, 255, 4, 0, 0, 0, 1, 2, 3, 4])]
-fn long_values_are_turned_down(#[case] value: &[u8]) {
+#[case::without_terminator(&[254, 255, 255, 255, 255, 255, 255, 255, 4, 0, 0, 0, 1, 2, 3, 4])]
+fn invalid_plp_values_are_rejected(#[case] value: &[u8]) {
     let mut payload = BytesMut::new();
     put_columns(&mut payload, &[Column { name: "content".to_owned(), kind: DataType::VarBinaryMax }]);
     payload.put_u8(0xd1);
@@ -46,17 +48,17 @@
 }
 
 #[rstest]
-#[case::unknown(&[0x42, 1, 2, 3], WireError::UnknownToken(0x42))]
-#[case::cut_off(&[0xfd, 0, 0, 0], WireError::Malformed("a token"))]
-#[case::longer_than_the_answer(&[0xaa, 0xff, 0xff, 1], WireError::Malformed("a token"))]
-#[case::with_more_than_belongs_to_it(&[0xad, 11, 0, 1, 0x74, 0, 0, 4, 0, 15, 0, 0, 0, 9], WireError::Malformed("a token"))]
+#[case::of_unknown_type(&[0x42, 1, 2, 3], WireError::UnknownToken(0x42))]
+#[case::truncated(&[0xfd, 0, 0, 0], WireError::Malformed("a token"))]
+#[case::longer_than_the_response(&[0xaa, 0xff, 0xff, 1], WireError::Malformed("a token"))]
+#[case::trailing_bytes(&[0xad, 11, 0, 1, 0x74, 0, 0, 4, 0, 15, 0, 0, 0, 9], WireError::Malformed("a token"))]
 #[case::with_60_000_columns(&[0x81, 0x60, 0xea], WireError::Malformed("a token"))]
-fn tokens_are_turned_down(#[case] bytes: &[u8], #[case] expected: WireError) {
+fn invalid_tokens_are_rejected(#[case] bytes: &[u8], #[case] expected: WireError) {
     assert_eq!(Tokens::new(bytes).collect::<Vec<_>>(), [Err(expected)]);
 }
 
 #[test]
-fn unpaired_surrogates_are_no_text() {
+fn invalid_utf_16_is_rejected() {
     let mut payload = BytesMut::new();
     put_all_headers(&mut payload);
     payload.put_u16_le(0xd800);
@@ -67,7 +69,7 @@
 }
 
 #[test]
-fn headers_that_do_not_add_up_are_turned_down() {
+fn header_lengths_that_do_not_add_up_are_rejected() {
     for lengths in [[0u32, 18], [23, 18], [22, 17], [22, 0], [u32::MAX, 18], [22, u32::MAX]] {
         let mut payload = BytesMut::new();
         put_all_headers(&mut payload);
@@ -78,18 +80,18 @@
 }
 
 #[test]
-fn prelogin_options_outside_are_turned_down() {
-    let good = {
+fn invalid_prelogin_options_are_rejected() {
+    let valid = {
         let mut out = BytesMut::new();
         Prelogin::default().put(&mut out);
         out
     };
     for (at, byte) in [(2, 200), (4, 200), (0, 1), (5, 0), (8, 200), (9, 7)] {
-        let mut bent = good.clone();
-        bent[at] = byte;
-        assert!(Prelogin::parse(&bent).is_err(), "byte {at} as {byte}");
+        let mut invalid = valid.clone();
+        invalid[at] = byte;
+        assert!(Prelogin::parse(&invalid).is_err(), "byte {at} as {byte}");
     }
-    assert!(Prelogin::parse(&good[..3]).is_err());
+    assert!(Prelogin::parse(&valid[..3]).is_err());
 }
 
 fn login() -> BytesMut {
@@ -100,18 +102,18 @@
 }
 
 #[rstest]
-#[case::shorter_than_it_says(0, 255, LoginError::Length)]
-#[case::runs_out(38, 200, LoginError::Outside("host name"))]
-#[case::in_the_fixed_part(36, 10, LoginError::Outside("host name"))]
+#[case::wrong_length(0, 255, LoginError::Length)]
+#[case::beyond_the_end(38, 200, LoginError::Outside("host name"))]
+#[case::within_the_fixed_part(36, 10, LoginError::Outside("host name"))]
 #[case::overlaps(40, 96, LoginError::Overlap("user name"))]
-fn login_tables_are_checked(#[case] at: usize, #[case] byte: u8, #[case] expected: LoginError) {
+fn invalid_login_tables_are_rejected(#[case] at: usize, #[case] byte: u8, #[case] expected: LoginError) {
     let mut payload = login();
     payload[at] = byte;
     assert_eq!(Login::parse(&payload), Err(expected));
 }
 
 #[test]
-fn login_texts_are_checked() {
+fn invalid_login_texts_are_rejected() {
     let mut payload = login();
     payload[95] = 0xd8;
     assert_eq!(Login::parse(&payload), Err(LoginError::Text("host name")));
@@ -119,7 +121,7 @@
 }
 
 #[test]
-fn a_second_procedure_in_one_call_is_turned_down() {
+fn a_second_call_in_one_message_is_rejected() {
     let mut payload = BytesMut::new();
     Rpc { procedure: Procedure::Number(SP_EXECUTESQL), options: 0, parameters: Vec::new() }.put(&mut payload);
     assert!(rpc(&payload).is_ok());
--- a/crates/tds/tests/round_trip.rs
+++ b/crates/tds/tests/round_trip.rs
@@ -1,11 +1,12 @@
-//! What one side writes the other reads, however the bytes are cut.
+//! The parsers return what the encoders wrote, however the byte stream is split, and reject other input
+//! without a panic.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
 use wheelpier_tds::*;
 
-fn value_of(kind: DataType) -> BoxedStrategy<Value> {
-    let some = match kind {
+fn value_of_type(kind: DataType) -> BoxedStrategy<Value> {
+    let non_null = match kind {
         DataType::Int { size, .. } => {
             let bits = u32::from(size) * 8;
             any::<i64>()
@@ -19,14 +20,14 @@
         DataType::VarBinary => {
             prop::collection::vec(any::<u8>(), 0..60).prop_map(|b| Value::Binary(b.into())).boxed()
         }
-        // Over one chunk.
+        // Up to three chunks.
         DataType::VarBinaryMax => {
             prop::collection::vec(any::<u8>(), 0..3 * CHUNK).prop_map(|b| Value::Binary(b.into())).boxed()
         }
     };
     match kind {
-        DataType::Int { nullable: false, .. } => some,
-        _ => prop_oneof![1 => Just(Value::Null), 4 => some].boxed(),
+        DataType::Int { nullable: false, .. } => non_null,
+        _ => prop_oneof![1 => Just(Value::Null), 4 => non_null].boxed(),
     }
 }
 
@@ -48,13 +49,13 @@
 
 fn parameter() -> impl Strategy<Value = Parameter> {
     (data_type(), "@[a-zA-Z0-9]{1,10}", any::<bool>()).prop_flat_map(|(kind, name, output)| {
-        value_of(kind).prop_map(move |value| Parameter { name: name.clone(), output, kind, value })
+        value_of_type(kind).prop_map(move |value| Parameter { name: name.clone(), output, kind, value })
     })
 }
 
 fn row() -> impl Strategy<Value = (Vec<Column>, Vec<Value>)> {
     prop::collection::vec(("[a-z]{1,12}", data_type()), 1..12).prop_flat_map(|columns| {
-        let values: Vec<_> = columns.iter().map(|(_, kind)| value_of(*kind)).collect();
+        let values: Vec<_> = columns.iter().map(|(_, kind)| value_of_type(*kind)).collect();
         let columns: Vec<_> = columns.into_iter().map(|(name, kind)| Column { name, kind }).collect();
         (Just(columns), values)
     })
@@ -64,10 +65,10 @@
     #![proptest_config(ProptestConfig::with_cases(96))]
 
     #[test]
-    fn messages_survive_any_cut(
+    fn messages_are_reassembled_from_any_pieces(
         payload in prop::collection::vec(any::<u8>(), 0..9000),
         size in 512usize..9000,
-        cut in 1usize..700,
+        piece_bytes in 1usize..700,
         reset: bool,
     ) {
         let mut wire = BytesMut::new();
@@ -76,27 +77,27 @@
         put_message(&mut wire, PacketType::Attention, Status::default(), &[], size);
         let mut assembler = Assembler::new(9000);
         assembler.set_packet_size(size);
-        let (mut read, mut messages) = (BytesMut::new(), Vec::new());
-        for piece in wire.chunks(cut) {
-            read.extend_from_slice(piece);
-            while let Some(message) = assembler.next(&mut read).unwrap() {
+        let (mut received, mut messages) = (BytesMut::new(), Vec::new());
+        for piece in wire.chunks(piece_bytes) {
+            received.extend_from_slice(piece);
+            while let Some(message) = assembler.next(&mut received).unwrap() {
                 messages.push(message);
             }
         }
         let payload = Bytes::from(payload);
         prop_assert_eq!(&messages[0], &Message { kind: PacketType::Rpc, status, payload });
         prop_assert_eq!(messages[1].kind, PacketType::Attention);
-        prop_assert!(messages.len() == 2 && read.is_empty() && !assembler.has_partial_message());
+        prop_assert!(messages.len() == 2 && received.is_empty() && !assembler.has_partial_message());
     }
 
     #[test]
-    fn calls_come_back_as_they_went(
+    fn calls_round_trip(
         parameters in prop::collection::vec(parameter(), 0..6),
-        named in "[a-z_]{1,20}",
-        numbered: bool,
+        name in "[a-z_]{1,20}",
+        by_number: bool,
         options: u16,
     ) {
-        let procedure = if numbered { Procedure::Number(SP_EXECUTESQL) } else { Procedure::Name(named) };
+        let procedure = if by_number { Procedure::Number(SP_EXECUTESQL) } else { Procedure::Name(name) };
         let call = Rpc { procedure, options, parameters };
         let mut payload = BytesMut::new();
         call.put(&mut payload);
@@ -104,7 +105,7 @@
     }
 
     #[test]
-    fn batches_come_back_as_they_went(text in "\\PC{0,200}") {
+    fn batches_round_trip(text in "\\PC{0,200}") {
         let mut payload = BytesMut::new();
         put_all_headers(&mut payload);
         text.encode_utf16().for_each(|unit| payload.extend_from_slice(&unit.to_le_bytes()));
@@ -112,7 +113,7 @@
     }
 
     #[test]
-    fn rows_come_back_as_they_went((columns, values) in row()) {
+    fn rows_round_trip((columns, values) in row()) {
         let mut payload = BytesMut::new();
         put_columns(&mut payload, &columns);
         put_row(&mut payload, &columns, &values);
@@ -131,7 +132,7 @@
     }
 
     #[test]
-    fn logins_come_back_as_they_went(
+    fn logins_round_trip(
         texts in prop::array::uniform5("\\PC{0,60}"),
         packet_size in 512u32..32_767,
         integrated: bool,
@@ -145,31 +146,31 @@
     }
 
     #[test]
-    fn whatever_comes_is_read_or_turned_down(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn any_bytes_are_parsed_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let _ = (Prelogin::parse(&bytes), Login::parse(&bytes), batch(&bytes), rpc(&bytes));
         let _ = Tokens::new(&bytes).count();
-        let mut read = BytesMut::from(&bytes[..]);
+        let mut received = BytesMut::from(&bytes[..]);
         let mut assembler = Assembler::new(300);
-        while let Ok(Some(message)) = assembler.next(&mut read) {
+        while let Ok(Some(message)) = assembler.next(&mut received) {
             prop_assert!(message.payload.len() <= 300);
         }
     }
 
-    /// What is nearly right goes further into the parsers than noise does.
+    /// Nearly valid input gets further into the parsers than random bytes.
     #[test]
-    fn a_bent_call_or_answer_is_read_or_turned_down(
+    fn a_corrupted_call_or_response_is_parsed_or_rejected(
         parameters in prop::collection::vec(parameter(), 1..4),
         (columns, values) in row(),
-        place: prop::sample::Index,
+        position: prop::sample::Index,
         byte: u8,
     ) {
         let mut call = BytesMut::new();
         Rpc { procedure: Procedure::Number(10), options: 0, parameters }.put(&mut call);
-        let mut answer = BytesMut::new();
-        put_columns(&mut answer, &columns);
-        put_row(&mut answer, &columns, &values);
-        for payload in [&mut call, &mut answer] {
-            let at = place.index(payload.len());
+        let mut response = BytesMut::new();
+        put_columns(&mut response, &columns);
+        put_row(&mut response, &columns, &values);
+        for payload in [&mut call, &mut response] {
+            let at = position.index(payload.len());
             payload[at] = byte;
             let _ = rpc(payload);
             let _ = Tokens::new(payload).count();
@@ -179,7 +180,7 @@
 }
 
 #[test]
-fn notices_changes_and_the_handshake_come_back_as_they_went() {
+fn notices_changes_and_the_handshake_round_trip() {
     let notice = Notice { number: 40501, state: 1, class: 16, message: "later, \u{65e5}".to_owned() };
     let ack = LoginAck { version: version::V7_4, program: "wheelpier".to_owned() };
     let changes =
