--- a/crates/pgwire/src/backend.rs
+++ b/crates/pgwire/src/backend.rs
@@ -1,82 +1,86 @@
-//! What ledger hosts answer.
+//! Messages of ledger hosts (backends).
 
-use super::{announced, body, framed, Input, WireError};
+use super::{body, length_field, parse_partial, Input, WireError};
 use winnow::binary::{be_u16, be_u32, u8 as byte};
 use winnow::combinator::{repeat, terminated};
 use winnow::error::{ContextError, ErrMode};
 use winnow::token::{literal, one_of, take, take_till};
 use winnow::{ModalResult, Parser};
 
-/// The longest message that is taken: a value of 64 KiB, which comes as bytes. With some 480 connections on
-/// either side, answers and statements at their longest still fit into the memory of a proxy.
+/// The maximum length of a host's message: a value of 64 KiB, which arrives in binary, and its frame. With
+/// about 480 connections on each side, answers and statements of maximum length still fit into a proxy's
+/// memory.
 pub const MAX_HOST_MESSAGE_BYTES: usize = 72 * 1024;
-/// The longest row that is passed on without being held whole: a value of 4 MiB and what stands around it.
+/// The maximum length of a large row, which is forwarded in parts and never buffered whole: a value of 4 MiB
+/// and its frame.
 pub const MAX_ROW_BYTES: usize = 4 * 1024 * 1024 + 1024;
-/// What stands in a row of one column before its value: the kind and the length, the count, the value's own length.
-const BEFORE_VALUE: usize = 5 + 2 + 4;
+/// The bytes before the value in a row of one column: message type and length, number of columns, length of
+/// the value.
+const VALUE_OFFSET: usize = 5 + 2 + 4;
 
 /// A message of a ledger host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackendMessage<'a> {
-    /// Authentication; true when none is needed.
+    /// An authentication request; true for AuthenticationOk, when no password is needed.
     Authentication(bool),
-    /// A parameter and its value.
+    /// The name and value of a run-time parameter: ParameterStatus.
     Parameter(&'a str, &'a str),
-    /// The description of the rows to come: how many columns they have.
+    /// The description of the rows that follow: their number of columns.
     RowDescription(u16),
-    /// A row: its columns, null as none.
+    /// The columns of a row; null as `None`.
     DataRow(Vec<Option<&'a [u8]>>),
-    /// The statement is done.
+    /// The statement has completed.
     CommandComplete,
-    /// The empty query's answer.
+    /// The response to an empty query.
     EmptyQuery,
-    /// An error.
+    /// An error: ErrorResponse.
     Error(ErrorFields<'a>),
-    /// The next query may come.
+    /// The host is ready for the next query: ReadyForQuery.
     Ready,
-    /// A notice or anything else that needs no care.
+    /// A notice or another message that the proxy ignores, by its type.
     Other(u8),
 }
 
-/// The fields of an error that matter here.
+/// The fields of an ErrorResponse that the proxy uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ErrorFields<'a> {
-    /// SQLSTATE.
+    /// The SQLSTATE.
     pub code: &'a str,
-    /// The message.
+    /// The primary message.
     pub message: &'a str,
     /// The detail.
     pub detail: &'a str,
-    /// Whether the connection ends with it.
+    /// Whether the severity is FATAL or PANIC: the host closes the connection.
     pub fatal: bool,
 }
 
 impl<'a> BackendMessage<'a> {
-    /// Reads the next message; none while it is cut off.
+    /// Parses the next message and returns it with its length; `None` while it is incomplete.
     ///
     /// # Errors
-    /// When it is too long or malformed: the connection is of no more use.
+    /// When the message is too long or malformed: the connection cannot be used any more.
     pub fn parse(bytes: &'a [u8]) -> Result<Option<(Self, usize)>, WireError> {
-        if bytes.get(1..).and_then(announced).is_some_and(|length| length > MAX_HOST_MESSAGE_BYTES) {
+        if bytes.get(1..).and_then(length_field).is_some_and(|length| length > MAX_HOST_MESSAGE_BYTES) {
             return Err(WireError::TooLong);
         }
-        framed(bytes, message)
+        parse_partial(bytes, message)
     }
 
-    /// The number of bytes in the row that begins here, if it has one column and is longer than
-    /// [`MAX_HOST_MESSAGE_BYTES`] but may be passed on part by part.
+    /// Returns the length of the row at the front, if it is a large one: of one column and longer than
+    /// [`MAX_HOST_MESSAGE_BYTES`], but at most [`MAX_ROW_BYTES`]. Such a row is forwarded in parts.
     pub fn large_row(bytes: &[u8]) -> Option<usize> {
-        let length = bytes.get(1..).and_then(announced)?;
-        let column = bytes.get(5..BEFORE_VALUE)?;
-        let value = announced(&column[2..])?;
-        let fits =
-            bytes[0] == b'D' && column[..2] == [0, 1] && value.checked_add(BEFORE_VALUE) == Some(length + 1);
-        (fits && (MAX_HOST_MESSAGE_BYTES + 1..=MAX_ROW_BYTES).contains(&length)).then_some(length + 1)
+        let length = bytes.get(1..).and_then(length_field)?;
+        let column = bytes.get(5..VALUE_OFFSET)?;
+        let value = length_field(&column[2..])?;
+        let is_single_value =
+            bytes[0] == b'D' && column[..2] == [0, 1] && value.checked_add(VALUE_OFFSET) == Some(length + 1);
+        (is_single_value && (MAX_HOST_MESSAGE_BYTES + 1..=MAX_ROW_BYTES).contains(&length))
+            .then_some(length + 1)
     }
 
-    /// Whether a message that begins here may be such a row, but too little of it has come to tell.
+    /// Whether the message at the front may be a large row, but too few bytes have arrived to tell.
     pub fn may_be_large_row(bytes: &[u8]) -> bool {
-        bytes.first() == Some(&b'D') && bytes.len() < BEFORE_VALUE
+        bytes.first() == Some(&b'D') && bytes.len() < VALUE_OFFSET
     }
 }
 
@@ -92,7 +96,7 @@
         }
         b'T' => {
             let columns = be_u16.parse_next(content)?;
-            let _: () = repeat(usize::from(columns), field).parse_next(content)?;
+            let _: () = repeat(usize::from(columns), column_description).parse_next(content)?;
             BackendMessage::RowDescription(columns)
         }
         b'D' => {
@@ -111,23 +115,24 @@
         }
         other => return Ok(BackendMessage::Other(other)),
     };
-    // What stands behind the fields, where nothing can stand, shows that the length does not fit.
+    // Bytes after the last field: the message's length is wrong.
     match content.is_empty() {
         true => Ok(message),
         false => Err(ErrMode::Cut(ContextError::new())),
     }
 }
 
-/// One column's description: its name, table, number, type, size, modifier and format.
-fn field(content: &mut &[u8]) -> ModalResult<()> {
+/// Skips the description of a column: name, table, column number, type, size, modifier and format.
+fn column_description(content: &mut &[u8]) -> ModalResult<()> {
     (text, take(18usize)).void().parse_next(content)
 }
 
-/// A text up to its zero.
+/// Parses a string that is terminated by a zero byte.
 fn text<'a>(content: &mut &'a [u8]) -> ModalResult<&'a str> {
     terminated(take_till(0.., 0u8), literal(0u8)).try_map(std::str::from_utf8).parse_next(content)
 }
 
+/// Parses a column of a row; null as `None`.
 fn column<'a>(content: &mut &'a [u8]) -> ModalResult<Option<&'a [u8]>> {
     match be_u32.parse_next(content)? {
         u32::MAX => Ok(None),
--- a/crates/pgwire/src/encode.rs
+++ b/crates/pgwire/src/encode.rs
@@ -1,8 +1,8 @@
-//! What is written, to clients and to ledger hosts.
+//! Encoders of messages to clients and to ledger hosts.
 
 use bytes::{BufMut, BytesMut};
 
-/// One message: its kind, its length and what `content` puts.
+/// Writes a message: type, length, and the content that `content` writes.
 fn message(out: &mut BytesMut, kind: u8, content: impl FnOnce(&mut BytesMut)) {
     out.put_u8(kind);
     let start = out.len();
@@ -12,12 +12,13 @@
     out[start..start + 4].copy_from_slice(&length.to_be_bytes());
 }
 
+/// Writes a string and its terminating zero byte.
 fn text(out: &mut BytesMut, text: &str) {
     out.put_slice(text.as_bytes());
     out.put_u8(0);
 }
 
-/// The startup packet of a session.
+/// Writes the startup packet that opens a session with protocol 3.0.
 pub fn startup(out: &mut BytesMut, user: &str, database: &str) {
     let start = out.len();
     out.put_u32(0);
@@ -29,7 +30,7 @@
     out[start..start + 4].copy_from_slice(&length.to_be_bytes());
 }
 
-/// A simple query.
+/// Writes a simple query.
 pub fn query(out: &mut BytesMut, statement: &[u8]) {
     message(out, b'Q', |out| {
         out.put_slice(statement);
@@ -37,7 +38,9 @@
     });
 }
 
-/// The whole greeting of a client: no password, its parameters, its key, ready.
+/// Writes the reply to a startup packet: NegotiateProtocolVersion with minor version 0 if the client
+/// requested a newer one, AuthenticationOk, the parameters, the cancel key (process, secret), and
+/// ReadyForQuery.
 pub fn startup_reply(out: &mut BytesMut, minor: u16, key: (u32, u32)) {
     if minor > 0 {
         message(out, b'v', |out| {
@@ -62,17 +65,18 @@
     ready(out);
 }
 
-/// ReadyForQuery, outside a transaction.
+/// Writes ReadyForQuery, outside a transaction.
 pub fn ready(out: &mut BytesMut) {
     message(out, b'Z', |out| out.put_u8(b'I'));
 }
 
-/// A row of one column of bytes: its description, itself, and the statement's end.
+/// Writes the result of a statement that returns one bytea value: RowDescription, DataRow and
+/// CommandComplete.
 pub fn single_value_result(out: &mut BytesMut, name: &str, value: &[u8]) {
     message(out, b'T', |out| {
         out.put_u16(1);
         text(out, name);
-        // No table, no column of one; bytea of any length, in binary.
+        // No table and column number; type bytea (17) of variable length, no modifier, binary format.
         out.put_u32(0);
         out.put_u16(0);
         out.put_u32(17);
@@ -88,7 +92,7 @@
     command_complete(out, "SELECT 1");
 }
 
-/// A parameter and its value.
+/// Writes ParameterStatus: the name and value of a run-time parameter.
 pub fn parameter(out: &mut BytesMut, name: &str, value: &str) {
     message(out, b'S', |out| {
         text(out, name);
@@ -96,22 +100,22 @@
     });
 }
 
-/// The answer to an empty query.
+/// Writes EmptyQueryResponse.
 pub fn empty_query(out: &mut BytesMut) {
     message(out, b'I', |_| {});
 }
 
-/// The end of a statement that returns nothing.
+/// Writes CommandComplete with the command tag.
 pub fn command_complete(out: &mut BytesMut, tag: &str) {
     message(out, b'C', |out| text(out, tag));
 }
 
-/// An error with its SQLSTATE and, where there is one, a detail.
-pub fn error(out: &mut BytesMut, severity: &str, code: &str, problem: &str, detail: Option<&str>) {
+/// Writes ErrorResponse with a SQLSTATE and an optional detail.
+pub fn error(out: &mut BytesMut, severity: &str, code: &str, message_text: &str, detail: Option<&str>) {
     message(out, b'E', |out| {
-        let fields = [(b'S', severity), (b'V', severity), (b'C', code), (b'M', problem)];
-        for (kind, value) in fields.into_iter().chain(detail.map(|detail| (b'D', detail))) {
-            out.put_u8(kind);
+        let fields = [(b'S', severity), (b'V', severity), (b'C', code), (b'M', message_text)];
+        for (field, value) in fields.into_iter().chain(detail.map(|detail| (b'D', detail))) {
+            out.put_u8(field);
             text(out, value);
         }
         out.put_u8(0);
--- a/crates/pgwire/src/frontend.rs
+++ b/crates/pgwire/src/frontend.rs
@@ -1,86 +1,89 @@
-//! What clients write.
+//! Messages of clients (frontends).
 
-use super::{announced, body, framed, Input, WireError};
+use super::{body, length_field, parse_partial, Input, WireError};
 use winnow::binary::{be_u32, u8 as byte};
 use winnow::error::{ContextError, ErrMode};
 use winnow::{ModalResult, Parser};
 
-/// The longest startup packet that is taken, as PostgreSQL does.
-const MOST_STARTUP: usize = 10_000;
-/// Values are 64 KiB at most; as hexadecimal digits with statement and comment they are twice that and some.
+/// The maximum length of a startup packet, as in PostgreSQL.
+const MAX_STARTUP_BYTES: usize = 10_000;
+/// The maximum length of a statement: a value of 64 KiB takes 128 KiB as hexadecimal digits, and the rest of
+/// the statement and its comment up to 8 KiB.
 pub const MAX_STATEMENT_BYTES: usize = 136 * 1024;
 
+// The request codes that take the place of a protocol version.
 const SSL: u32 = 80_877_103;
 const GSS: u32 = 80_877_104;
 const CANCEL: u32 = 80_877_102;
 
-/// What a session is known by to those who call off what runs on it (BackendKeyData, CancelRequest).
+/// The key by which a CancelRequest names the session whose statement it cancels. The client receives it in
+/// BackendKeyData.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CancelKey {
-    /// The process that serves the session.
+    /// The id of the process that serves the session.
     pub process: u32,
-    /// What only the session's client knows.
+    /// The secret that only the session's client is sent.
     pub secret: u32,
 }
 
 impl CancelKey {
-    /// The key of a session that cannot be called upon.
+    /// The key of a session whose statements cannot be cancelled.
     pub const NONE: Self = Self { process: 0, secret: 0 };
 }
 
 /// The first packet of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Startup {
-    /// Asks for encryption: answered `N`, after which the client goes on in clear.
+    /// A request for encryption. The server replies `N`, and the client continues unencrypted.
     Encryption,
-    /// Asks to cancel what runs on the connection of that key.
+    /// A request to cancel the statement that runs in the session of this key.
     Cancel(CancelKey),
-    /// Opens a session with this minor version of protocol 3.
+    /// Opens a session with protocol version 3.
     Session {
-        /// Minor version asked for.
+        /// The minor version that the client requests.
         minor: u16,
     },
-    /// Another major version.
+    /// A protocol version other than 3.
     Unsupported,
 }
 
-/// A message of a client whose session is open.
+/// A message of a client in an open session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrontendMessage<'a> {
-    /// A simple query; the text without its terminator.
+    /// A simple query: its text without the terminating zero.
     Query(&'a [u8]),
-    /// Part of the extended query protocol, or a function call; not served here.
+    /// Part of the extended query protocol, or a function call. Not supported.
     Extended,
-    /// The end of a run of extended messages: wants ReadyForQuery.
+    /// The end of a sequence of extended messages, which ReadyForQuery answers.
     Sync,
-    /// Means nothing outside COPY.
+    /// COPY data or its end, meaningless outside COPY.
     Copy,
-    /// The client takes its leave.
+    /// The client closes the session.
     Terminate,
-    /// No message of the protocol.
+    /// A message type that the protocol does not define.
     Unknown(u8),
 }
 
 impl Startup {
-    /// Reads the first packet; none while it is cut off.
+    /// Parses the first packet and returns it with its length; `None` while it is incomplete.
     ///
     /// # Errors
-    /// When it cannot be a startup packet.
+    /// When the bytes are not a valid startup packet.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, WireError> {
-        if announced(bytes).is_some_and(|length| length > MOST_STARTUP) {
+        if length_field(bytes).is_some_and(|length| length > MAX_STARTUP_BYTES) {
             return Err(WireError::TooLong);
         }
-        framed(bytes, startup)
+        parse_partial(bytes, startup)
     }
 }
 
 fn startup(input: &mut Input<'_>) -> ModalResult<Startup> {
-    let mut packet = body(input, MOST_STARTUP)?;
+    let mut packet = body(input, MAX_STARTUP_BYTES)?;
     let code = be_u32.parse_next(&mut packet)?;
     Ok(match code {
         SSL | GSS => Startup::Encryption,
         CANCEL => Startup::Cancel(cancel_key(&mut packet)?),
-        // Names and values, each with its zero, and one more at the end.
+        // Names and values, each terminated by a zero byte, and another zero byte at the end.
         _ if code >> 16 == 3 && packet.last() != Some(&0) => return Err(ErrMode::Cut(ContextError::new())),
         _ if code >> 16 == 3 => Startup::Session { minor: (code & 0xffff) as u16 },
         _ => Startup::Unsupported,
@@ -97,15 +100,15 @@
 }
 
 impl<'a> FrontendMessage<'a> {
-    /// Reads the next message; none while it is cut off.
+    /// Parses the next message and returns it with its length; `None` while it is incomplete.
     ///
     /// # Errors
-    /// When it is too long or malformed: nothing after it can be read either.
+    /// When the message is too long or malformed. The rest of the stream is unreadable then.
     pub fn parse(bytes: &'a [u8]) -> Result<Option<(Self, usize)>, WireError> {
-        if bytes.get(1..).and_then(announced).is_some_and(|length| length > MAX_STATEMENT_BYTES) {
+        if bytes.get(1..).and_then(length_field).is_some_and(|length| length > MAX_STATEMENT_BYTES) {
             return Err(WireError::TooLong);
         }
-        framed(bytes, message)
+        parse_partial(bytes, message)
     }
 }
 
@@ -113,7 +116,7 @@
     let kind = byte.parse_next(input)?;
     let content = body(input, MAX_STATEMENT_BYTES)?;
     Ok(match kind {
-        // The text ends with its zero and holds no other: a host would stop reading there.
+        // The text must end with the only zero byte: a host stops reading at the first one.
         b'Q' => match content.split_last() {
             Some((0, text)) if !text.contains(&0) => FrontendMessage::Query(text),
             _ => return Err(ErrMode::Cut(ContextError::new())),
--- a/crates/pgwire/src/lib.rs
+++ b/crates/pgwire/src/lib.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL's protocol 3 as bytes: parsers and encoders for both sides, no sockets.
+//! Parsers and encoders for PostgreSQL's wire protocol, version 3, for clients and servers. No sockets.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
@@ -18,31 +18,33 @@
 use winnow::token::take;
 use winnow::{ModalResult, Parser, Partial};
 
-/// Input that may still be cut off.
+/// Input that may end in an incomplete message.
 pub(crate) type Input<'a> = Partial<&'a [u8]>;
 
-/// What is wrong with a message.
+/// Reports an invalid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// Longer than this side takes.
+    /// The message is longer than the limit of its type.
     #[error("a message is longer than is taken here")]
     TooLong,
-    /// Its length or its fields make no sense.
+    /// The length or a field of the message is invalid.
     #[error("a message is malformed")]
     Malformed,
 }
 
-/// A message of the length that the next four bytes give, itself included.
-pub(crate) fn body<'a>(input: &mut Input<'a>, most: usize) -> ModalResult<&'a [u8]> {
+/// Parses a message's length field and returns the content that follows it. The length includes the field
+/// itself.
+pub(crate) fn body<'a>(input: &mut Input<'a>, max_bytes: usize) -> ModalResult<&'a [u8]> {
     let length = be_u32.parse_next(input)? as usize;
-    if length < 4 || length - 4 > most {
+    if length < 4 || length - 4 > max_bytes {
         return Err(ErrMode::Cut(ContextError::new()));
     }
     take(length - 4).parse_next(input)
 }
 
-/// Runs a parser over bytes that may be cut off: the value and how many bytes it took, or none yet.
-pub(crate) fn framed<'a, T>(
+/// Runs a parser over input that may be incomplete. Returns the value and the number of bytes consumed, or
+/// `None` while the message is incomplete.
+pub(crate) fn parse_partial<'a, T>(
     bytes: &'a [u8],
     parser: impl FnOnce(&mut Input<'a>) -> ModalResult<T>,
 ) -> Result<Option<(T, usize)>, WireError> {
@@ -50,8 +52,8 @@
     let start = input.checkpoint();
     match parser(&mut input) {
         Ok(value) => {
-            let left = input.into_inner().len();
-            Ok(Some((value, bytes.len() - left)))
+            let remaining = input.into_inner().len();
+            Ok(Some((value, bytes.len() - remaining)))
         }
         Err(ErrMode::Incomplete(Needed::Unknown | Needed::Size(_))) => {
             input.reset(&start);
@@ -61,8 +63,8 @@
     }
 }
 
-/// The length that a message announces, as soon as it is known.
-pub(crate) fn announced(bytes: &[u8]) -> Option<usize> {
+/// Returns the value of the length field at the front, once its four bytes have arrived.
+pub(crate) fn length_field(bytes: &[u8]) -> Option<usize> {
     let length = bytes.get(..4)?;
     Some(u32::from_be_bytes([length[0], length[1], length[2], length[3]]) as usize)
 }
--- a/crates/pgwire/src/statement.rs
+++ b/crates/pgwire/src/statement.rs
@@ -1,6 +1,6 @@
-//! The two statements that clients send, read whole: the form, the key and the comment, which tells what is
-//! asked and how long the client waits. What is not exactly so never reaches a ledger host, which would answer
-//! or close on it whatever else waits there.
+//! The parser of the two statements that clients send, including their comment, which carries the request's
+//! class, timeout and so on. A statement of any other form never reaches a ledger host: the host might fail
+//! it or close the connection, on which other requests wait.
 
 use std::ops::Range;
 use winnow::combinator::{alt, delimited, eof, separated, separated_pair};
@@ -9,79 +9,81 @@
 use winnow::token::{take_till, take_while};
 use winnow::Parser;
 
-/// A statement on the table.
+/// A statement on the table `kv`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KvStatement<'a> {
-    /// Whether it writes.
+    /// Whether it is the INSERT.
     pub is_write: bool,
-    /// The quoted key.
+    /// The key, without quotes.
     pub key: &'a str,
-    /// Where a write's value stands, in hexadecimal digits.
+    /// The bytes of the statement that hold a write's value, as hexadecimal digits; `None` for a read.
     pub value_range: Option<Range<usize>>,
-    /// What its comment says.
+    /// The parsed comment.
     pub comment: Comment,
 }
 
-/// What a statement's comment says, and where.
+/// The parsed comment of a statement. Its entries are named `id`, `c`, `t`, `d`, `r`, `k`, `cluster` and
+/// `after`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comment {
-    /// Identifies the request; new for every try.
+    /// `id`: identifies the request. A client's retry has a new one.
     pub id: String,
-    /// The class by name.
+    /// `c`: the name of the request class.
     pub class: String,
-    /// The tenant by name, where the statement names one: an installation may have none.
+    /// `t`: the name of the tenant, if any: an installation may have no tenants.
     pub tenant: Option<String>,
-    /// How long the client waits, in milliseconds.
+    /// `d`: the time that the client waits for the answer, in milliseconds.
     pub timeout_ms: f64,
-    /// Whether the client marks this as a retry.
+    /// `r`: whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// The idempotency key, in a keyed class.
+    /// `k`: the idempotency key, in a class with keys.
     pub key: Option<String>,
-    /// The group of hosts that hold the data.
+    /// `cluster`: the group of hosts that hold the data.
     pub group: u32,
-    /// When the session's last write was committed, in Unix milliseconds.
+    /// `after`: the time of the session's last write's commit, in Unix milliseconds.
     pub last_write_ms: Option<f64>,
-    /// Where the wait stands in the statement, to be replaced for each attempt.
+    /// The bytes of the statement that hold the value of `d`, which is replaced in each attempt.
     pub timeout_range: Range<usize>,
 }
 
-/// What is wrong with a statement.
+/// Reports a statement that is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StatementError {
-    /// It is neither of the two that are served.
+    /// The statement has none of the supported forms.
     #[error("the statement is neither of the two that are served, with a comment of names and values")]
     Form,
-    /// A name that every request needs is not there.
+    /// A required entry of the comment is missing or empty.
     #[error("the comment lacks `{0}`")]
     Lacks(&'static str),
-    /// A name stands there more than once: which one counts?
+    /// An entry of the comment occurs more than once, so that its value is ambiguous.
     #[error("the comment holds `{0}` twice")]
     Twice(String),
-    /// The value of a name cannot be read.
+    /// The value of an entry is invalid.
     #[error("the comment's `{0}` is not a sensible value")]
     Value(&'static str),
 }
 
 type Text<'a> = LocatingSlice<&'a str>;
+/// The name and value of an entry, and the bytes of the statement that hold the value.
 type Pair<'a> = (&'a str, &'a str, Range<usize>);
-type Read<T> = Result<T, ContextError>;
+type ParseResult<T> = Result<T, ContextError>;
 
 impl<'a> KvStatement<'a> {
-    /// Reads a statement to its last byte.
+    /// Parses a complete statement.
     ///
     /// # Errors
-    /// When it has another form, or its comment says too little, too much or what makes no sense.
+    /// When the statement has another form, or an entry of its comment is missing, duplicated or invalid.
     pub fn parse(text: &'a str) -> Result<Self, StatementError> {
         let statement = (alt((read, write)), pairs, eof);
         let mut statement = statement.map(|(start, pairs, _)| (start, pairs));
         let ((key, value_range), pairs) =
             statement.parse(LocatingSlice::new(text)).map_err(|_| StatementError::Form)?;
-        Ok(Self { is_write: value_range.is_some(), key, value_range, comment: Comment::of(&pairs)? })
+        Ok(Self { is_write: value_range.is_some(), key, value_range, comment: Comment::from_pairs(&pairs)? })
     }
 }
 
 impl Comment {
-    fn of(pairs: &[Pair<'_>]) -> Result<Self, StatementError> {
+    fn from_pairs(pairs: &[Pair<'_>]) -> Result<Self, StatementError> {
         for (n, (name, ..)) in pairs.iter().enumerate() {
             if pairs[..n].iter().any(|(other, ..)| other == name) {
                 return Err(StatementError::Twice((*name).to_owned()));
@@ -89,50 +91,55 @@
         }
         let find = |name: &str| pairs.iter().find(|(n, ..)| *n == name);
         let value = |name: &'static str| find(name).map(|(_, value, _)| *value);
-        let needed = |name| value(name).ok_or(StatementError::Lacks(name));
-        let word = |name| match needed(name)? {
+        let required = |name| value(name).ok_or(StatementError::Lacks(name));
+        let identifier = |name| match required(name)? {
             "" => Err(StatementError::Lacks(name)),
-            text if text.len() <= MOST_WORD && text.chars().all(wordly) => Ok(text.to_owned()),
+            text if text.len() <= MAX_IDENTIFIER_BYTES && text.chars().all(is_identifier_char) => {
+                Ok(text.to_owned())
+            }
             _ => Err(StatementError::Value(name)),
         };
         let number = |name, text| decimal(text).ok_or(StatementError::Value(name));
-        let group = needed("cluster")?;
+        let group = required("cluster")?;
         let group = group.parse().ok().filter(|_| group.bytes().all(|b| b.is_ascii_digit()));
         Ok(Self {
-            id: word("id")?,
-            class: word("c")?,
-            tenant: value("t").filter(|name| !name.is_empty()).map(|_| word("t")).transpose()?,
-            timeout_ms: number("d", needed("d")?)?,
+            id: identifier("id")?,
+            class: identifier("c")?,
+            tenant: value("t").filter(|name| !name.is_empty()).map(|_| identifier("t")).transpose()?,
+            timeout_ms: number("d", required("d")?)?,
             is_retry: value("r") == Some("1"),
-            key: find("k").map(|_| word("k")).transpose()?,
+            key: find("k").map(|_| identifier("k")).transpose()?,
             group: group.ok_or(StatementError::Value("cluster"))?,
             last_write_ms: value("after").map(|text| number("after", text)).transpose()?,
-            timeout_range: find("d").map(|(_, _, place)| place.clone()).ok_or(StatementError::Lacks("d"))?,
+            timeout_range: find("d").map(|(_, _, range)| range.clone()).ok_or(StatementError::Lacks("d"))?,
         })
     }
 }
 
-/// Ids, names and keys are short.
-const MOST_WORD: usize = 128;
-/// So many digits are a time in milliseconds, with room; more are none.
-const MOST_DIGITS: usize = 20;
+/// The maximum length of ids, names and keys.
+const MAX_IDENTIFIER_BYTES: usize = 128;
+/// The maximum length of a number; any time in milliseconds is shorter.
+const MAX_NUMBER_BYTES: usize = 20;
 
-fn wordly(c: char) -> bool {
+fn is_identifier_char(c: char) -> bool {
     c.is_alphanumeric() || matches!(c, '-' | '_' | '.' | ':')
 }
 
-/// A plain decimal number: neither a sign nor an exponent nor the words that floats have.
+/// Parses a plain decimal number. Signs, exponents and words such as `inf`, which Rust's parser accepts, are
+/// invalid.
 fn decimal(text: &str) -> Option<f64> {
-    let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
-    let digits = |t: &str| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit());
-    (text.len() <= MOST_DIGITS && digits(whole) && digits(part)).then(|| text.parse().ok()).flatten()
+    let (integer, fraction) = text.split_once('.').unwrap_or((text, "0"));
+    let digits = |part: &str| !part.is_empty() && part.bytes().all(|b| b.is_ascii_digit());
+    (text.len() <= MAX_NUMBER_BYTES && digits(integer) && digits(fraction))
+        .then(|| text.parse().ok())
+        .flatten()
 }
 
-fn read<'a>(input: &mut Text<'a>) -> Read<(&'a str, Option<Range<usize>>)> {
+fn read<'a>(input: &mut Text<'a>) -> ParseResult<(&'a str, Option<Range<usize>>)> {
     delimited("SELECT content FROM kv WHERE name = ", quoted, ' ').map(|key| (key, None)).parse_next(input)
 }
 
-fn write<'a>(input: &mut Text<'a>) -> Read<(&'a str, Option<Range<usize>>)> {
+fn write<'a>(input: &mut Text<'a>) -> ParseResult<(&'a str, Option<Range<usize>>)> {
     let key = delimited("INSERT INTO kv (name, content) VALUES (", quoted, ", ");
     let hex =
         take_while(0.., |c: char| c.is_ascii_hexdigit()).verify(|hex: &str| hex.len().is_multiple_of(2));
@@ -140,18 +147,18 @@
     (key, value.map(Some)).parse_next(input)
 }
 
-fn quoted<'a>(input: &mut Text<'a>) -> Read<&'a str> {
+fn quoted<'a>(input: &mut Text<'a>) -> ParseResult<&'a str> {
     delimited('\'', take_while(1.., |c: char| c != '\'' && !c.is_control()), '\'').parse_next(input)
 }
 
-fn pairs<'a>(input: &mut Text<'a>) -> Read<Vec<Pair<'a>>> {
+fn pairs<'a>(input: &mut Text<'a>) -> ParseResult<Vec<Pair<'a>>> {
     let blank = || take_while(0.., ' ');
     delimited(("/*", blank()), separated(1.., pair, ','), (blank(), "*/")).parse_next(input)
 }
 
-fn pair<'a>(input: &mut Text<'a>) -> Read<Pair<'a>> {
+fn pair<'a>(input: &mut Text<'a>) -> ParseResult<Pair<'a>> {
     let name = take_while(1.., |c: char| c.is_ascii_alphanumeric() || c == '_');
     let value = take_till(0.., |c: char| c == ',' || c == '*' || c.is_whitespace()).with_span();
-    let (name, (value, place)) = separated_pair(name, '=', value).parse_next(input)?;
-    Ok((name, value, place))
+    let (name, (value, range)) = separated_pair(name, '=', value).parse_next(input)?;
+    Ok((name, value, range))
 }
