--- a/crates/faults/src/calls.rs
+++ b/crates/faults/src/calls.rs
@@ -1,4 +1,4 @@
-//! The C library's functions that this library stands before: each asks the plan, and then goes on to the real one.
+//! The functions that replace those of the C library: each applies the plan's effect and calls the original.
 
 use crate::descriptors::{self, Kind};
 use crate::plan::{Call, Effect, Plan};
@@ -9,7 +9,7 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-/// The next function of that name after this library's.
+/// Resolves the original function of this name: the next one after this library's in the search order.
 macro_rules! real {
     ($name:literal as $type:ty) => {{
         static ADDRESS: OnceLock<usize> = OnceLock::new();
@@ -23,37 +23,40 @@
     }};
 }
 
+/// Sets errno and returns -1, the result of a failed call.
 fn fail(number: i32) -> c_int {
     // SAFETY: the address is this thread's errno.
     unsafe { *libc::__errno_location() = number };
     -1
 }
 
-/// What happens to a transfer on a connection. Other descriptors are left alone: the runtime's own, by which it learns of
-/// signals, never wait, and recv(2) is interrupted only where it waits.
-fn effect(call: Call, descriptor: c_int) -> Option<Effect> {
+/// Returns the effect on a transfer over a connection. Other descriptors are not affected: the runtime's own,
+/// which notify it of signals, never block, and recv(2) is interrupted only when it blocks.
+fn transfer_effect(call: Call, descriptor: c_int) -> Option<Effect> {
     let kind = descriptors::kind(descriptor)?;
     Plan::of_process().effect(call, Some(kind))
 }
 
+/// Delays the calling thread if the effect says so.
 fn hold(effect: Option<Effect>) {
     if let Some(Effect::Hold(span)) = effect {
         std::thread::sleep(span);
     }
 }
 
-/// The port of an address of the internet's protocols, version 4 or 6; both keep it in the same place.
+/// Returns the port of an IPv4 or IPv6 address; both have it at the same offset.
 ///
 /// # Safety
-/// The address is null, or points to as many bytes as its family has.
+/// The address must be null or point to an address of its family's size.
 unsafe fn port(address: *const sockaddr) -> Option<u16> {
     let family = i32::from(unsafe { address.as_ref() }?.sa_family);
     let inet = matches!(family, libc::AF_INET | libc::AF_INET6);
     inet.then(|| u16::from_be(unsafe { (*address.cast::<libc::sockaddr_in>()).sin_port }))
 }
 
+/// Returns the local port of a socket.
 fn local_port(descriptor: c_int) -> Option<u16> {
-    // SAFETY: all zeros are an address of no family; the length is the buffer's.
+    // SAFETY: an all-zero address is valid, of an unspecified family; the length is the buffer's.
     unsafe {
         let mut address: libc::sockaddr_storage = zeroed();
         let mut length = size_of::<libc::sockaddr_storage>() as socklen_t;
@@ -62,10 +65,10 @@
     }
 }
 
-/// accept4(2).
+/// Replaces accept4(2).
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     listener: c_int,
@@ -85,25 +88,25 @@
     accepted
 }
 
-/// socket(2).
+/// Replaces socket(2).
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let real = real!("socket" as unsafe extern "C" fn(c_int, c_int, c_int) -> c_int);
     if let Some(Effect::Error(number)) = Plan::of_process().effect(Call::Socket, None) {
         return fail(number);
     }
-    let made = unsafe { real(domain, kind, protocol) };
-    descriptors::set(made, None);
-    made
+    let created = unsafe { real(domain, kind, protocol) };
+    descriptors::set(created, None);
+    created
 }
 
-/// connect(2).
+/// Replaces connect(2).
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     let real = real!("connect" as unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int);
@@ -118,15 +121,15 @@
     connected
 }
 
-/// epoll_wait(2).
+/// Replaces epoll_wait(2).
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(
     descriptor: c_int,
     events: *mut epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
     let real = real!("epoll_wait" as unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int);
@@ -134,15 +137,15 @@
     if let Some(Effect::Error(number)) = effect {
         return fail(number);
     }
-    let ready = unsafe { real(descriptor, events, most, timeout) };
+    let ready = unsafe { real(descriptor, events, max_events, timeout) };
     hold(effect);
     ready
 }
 
-/// recv(2).
+/// Replaces recv(2).
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     descriptor: c_int,
@@ -151,11 +154,11 @@
     flags: c_int,
 ) -> ssize_t {
     let real = real!("recv" as unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
-    // A look at what has come is no transfer.
-    let effect = if flags & libc::MSG_PEEK == 0 { effect(Call::Read, descriptor) } else { None };
+    // MSG_PEEK consumes nothing: it is not a transfer.
+    let effect = if flags & libc::MSG_PEEK == 0 { transfer_effect(Call::Read, descriptor) } else { None };
     let length = match effect {
         Some(Effect::Error(number)) => return fail(number) as ssize_t,
-        Some(Effect::Short) => length.min(Plan::of_process().few()),
+        Some(Effect::Short) => length.min(Plan::of_process().draw_short_length()),
         _ => length,
     };
     let read = unsafe { real(descriptor, bytes, length, flags) };
@@ -163,10 +166,10 @@
     read
 }
 
-/// send(2).
+/// Replaces send(2).
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     descriptor: c_int,
@@ -175,10 +178,10 @@
     flags: c_int,
 ) -> ssize_t {
     let real = real!("send" as unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
-    let effect = effect(Call::Write, descriptor);
+    let effect = transfer_effect(Call::Write, descriptor);
     let length = match effect {
         Some(Effect::Error(number)) => return fail(number) as ssize_t,
-        Some(Effect::Short) => length.min(Plan::of_process().few()),
+        Some(Effect::Short) => length.min(Plan::of_process().draw_short_length()),
         _ => length,
     };
     let written = unsafe { real(descriptor, bytes, length, flags) };
@@ -186,17 +189,17 @@
     written
 }
 
-/// writev(2).
+/// Replaces writev(2).
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
     let real = real!("writev" as unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t);
-    let effect = effect(Call::Write, descriptor);
+    let effect = transfer_effect(Call::Write, descriptor);
     let count = match effect {
         Some(Effect::Error(number)) => return fail(number) as ssize_t,
-        // The first part only.
+        // Only the first buffer.
         Some(Effect::Short) => count.min(1),
         _ => count,
     };
@@ -205,27 +208,28 @@
     written
 }
 
-/// clock_gettime(2): the wall clock steps, the monotonic one runs on.
+/// Replaces clock_gettime(2). Steps affect the wall clock; the monotonic clock runs on.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     let real = real!("clock_gettime" as unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int);
     let read = unsafe { real(clock, time) };
     let is_wall = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
     if read == 0 && is_wall && Plan::of_process().steps_clock() {
-        let ahead = Plan::of_process().step_ms(since_start());
-        // SAFETY: the call above has filled it in.
+        let offset_ms = Plan::of_process().clock_offset_ms(since_start());
+        // SAFETY: the call above has succeeded and written to it.
         let time = unsafe { &mut *time };
         let nanoseconds =
-            time.tv_sec as i128 * 1_000_000_000 + time.tv_nsec as i128 + ahead as i128 * 1_000_000;
+            time.tv_sec as i128 * 1_000_000_000 + time.tv_nsec as i128 + offset_ms as i128 * 1_000_000;
         time.tv_sec = nanoseconds.div_euclid(1_000_000_000) as libc::time_t;
         time.tv_nsec = nanoseconds.rem_euclid(1_000_000_000) as libc::c_long;
     }
     read
 }
 
+/// Returns the time since the first call of this function, which stands for the start of the process.
 fn since_start() -> Duration {
     static START: OnceLock<Instant> = OnceLock::new();
     START.get_or_init(Instant::now).elapsed()
@@ -233,26 +237,26 @@
 
 /// Whether a descriptor is a listening socket.
 fn is_listening(descriptor: c_int) -> bool {
-    let mut listens: c_int = 0;
+    let mut is_listening: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
-    let value = (&raw mut listens).cast::<c_void>();
-    // SAFETY: the value and its length are this function's own.
+    let value = (&raw mut is_listening).cast::<c_void>();
+    // SAFETY: the value and its length are local variables of this function.
     let result = unsafe {
         libc::getsockopt(descriptor, libc::SOL_SOCKET, libc::SO_ACCEPTCONN, value, &raw mut length)
     };
-    result == 0 && listens != 0
+    result == 0 && is_listening != 0
 }
 
-/// Kinds are kept by number, and numbers are used again: a closed descriptor is of no kind.
+/// Replaces close(2). Forgets the descriptor's kind, since the kernel reuses its number.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn close(descriptor: c_int) -> c_int {
     let real = real!("close" as unsafe extern "C" fn(c_int) -> c_int);
     descriptors::set(descriptor, None::<Kind>);
     let plan = Plan::of_process();
-    if plan.closes_listeners_late() && is_listening(descriptor) {
+    if plan.delays_listener_close() && is_listening(descriptor) {
         hold(plan.effect(Call::CloseListener, None));
     }
     unsafe { real(descriptor) }
--- a/crates/faults/src/descriptors.rs
+++ b/crates/faults/src/descriptors.rs
@@ -1,20 +1,20 @@
-//! What each descriptor of the process is for: told by where it was accepted or connects to.
+//! The kind of peer at the other end of each descriptor, by the port that it was accepted at or connected to.
 
 use crate::plan::{CONSOLE, DISCOVERY};
 use std::sync::atomic::{AtomicU8, Ordering::Relaxed};
 use std::sync::OnceLock;
 
-/// Who is at the other end.
+/// The kind of peer at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Kind {
     /// A client.
     Client = 1,
-    /// An operator's call.
+    /// An operator, at the console.
     Console = 2,
     /// A ledger host.
     Host = 3,
-    /// Discovery.
+    /// The discovery service.
     Discovery = 4,
 }
 
@@ -30,25 +30,26 @@
     }
 }
 
-/// Descriptors beyond this are of no kind.
-const KNOWN: usize = 4096;
+/// The number of descriptors whose kind is kept. Higher ones have no kind.
+const MAX_DESCRIPTORS: usize = 4096;
 
-static KINDS: [AtomicU8; KNOWN] = [const { AtomicU8::new(0) }; KNOWN];
+/// The kinds by descriptor; 0 if unknown.
+static KINDS: [AtomicU8; MAX_DESCRIPTORS] = [const { AtomicU8::new(0) }; MAX_DESCRIPTORS];
 
-/// The kind of a descriptor, if it is known.
+/// Returns the kind of a descriptor, if it is known.
 pub(crate) fn kind(descriptor: i32) -> Option<Kind> {
     let kind = KINDS.get(usize::try_from(descriptor).ok()?)?.load(Relaxed);
     [Kind::Client, Kind::Console, Kind::Host, Kind::Discovery].into_iter().find(|known| *known as u8 == kind)
 }
 
-/// Notes what a descriptor is for.
+/// Records the kind of a descriptor; `None` forgets it.
 pub(crate) fn set(descriptor: i32, kind: Option<Kind>) {
     if let Some(entry) = usize::try_from(descriptor).ok().and_then(|at| KINDS.get(at)) {
         entry.store(kind.map_or(0, |kind| kind as u8), Relaxed);
     }
 }
 
-/// The kind of a connection that was accepted at this port.
+/// Returns the kind of a connection that was accepted at this port.
 pub(crate) fn accepted_at(port: u16) -> Kind {
     if port_in(CONSOLE) == Some(port) {
         Kind::Console
@@ -57,7 +58,7 @@
     }
 }
 
-/// The kind of a connection to this port.
+/// Returns the kind of a connection to this port.
 pub(crate) fn connected_to(port: u16) -> Kind {
     if port_in(DISCOVERY) == Some(port) {
         Kind::Discovery
@@ -66,6 +67,7 @@
     }
 }
 
+/// Returns the port of the address in an environment variable: [`CONSOLE`] or [`DISCOVERY`]. Read once.
 fn port_in(variable: &'static str) -> Option<u16> {
     static PORTS: OnceLock<[Option<u16>; 2]> = OnceLock::new();
     let read = |name: &str| std::env::var(name).ok()?.rsplit_once(':')?.1.parse().ok();
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which faults are played: read once from the environment of the process.
+//! The faults that are injected, read once from the environment of the process.
 
 use crate::descriptors::Kind;
 use std::fmt;
@@ -6,26 +6,27 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-/// The faults: rules separated by `;`. Without it every call goes through.
+/// The environment variable that holds the plan: rules separated by `;`. If it is unset, no call is affected.
 ///
 /// ```text
-/// seed=7                         draws of another run
-/// accept4:client:EMFILE:1/3      one call in three on such a descriptor fails with that error
-/// read:host:short:1/2            one in two takes a few bytes only (`write` likewise)
-/// write:client:hold=2:1/1        after each call the thread is held up for 2 ms
-/// close_listener::hold=300:1/1   the thread is held up for 300 ms before a listening socket is closed
-/// clock::step=3600000@2000:1/1   the wall clock is so many milliseconds ahead from 2000 ms after the start on
+/// seed=7                         the seed of the random draws
+/// accept4:client:EMFILE:1/3      one call in three on a descriptor of this kind fails with this error
+/// read:host:short:1/2            one call in two transfers a few bytes only (`write` likewise)
+/// write:client:hold=2:1/1        the thread is delayed for 2 ms after each call
+/// close_listener::hold=300:1/1   the thread is delayed for 300 ms before a listening socket is closed
+/// clock::step=3600000@2000:1/1   the wall clock is 3600000 ms ahead, beginning 2000 ms after the start
 /// ```
 ///
-/// Calls: `accept4`, `socket`, `connect`, `wait`, `read`, `write`, `close_listener` (only held up), `clock`. Kinds: `client`, `console`, `host`,
-/// `discovery`, or nothing for any.
+/// Calls: `accept4`, `socket`, `connect`, `wait`, `read`, `write`, `close_listener` (with `hold` only),
+/// `clock`. Kinds of descriptors: `client`, `console`, `host`, `discovery`, or empty for any.
 pub const VARIABLE: &str = "WHEELPIER_FAULTS";
-/// The variables that tell where the process is asked by operators and where it asks for its list.
+/// The environment variable that holds the console's address, which operators connect to.
 pub const CONSOLE: &str = "GW_CONSOLE";
-/// Discovery's address.
+/// The environment variable that holds the address of the discovery service, which supplies the endpoint
+/// list.
 pub const DISCOVERY: &str = "GW_DISCOVERY";
 
-/// A system call that may fail.
+/// A system call that a rule can affect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// accept4(2)
@@ -46,20 +47,20 @@
     Clock,
 }
 
-/// What happens to it.
+/// The effect of a rule on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It fails with this error number.
+    /// The call fails with this error number.
     Error(i32),
-    /// It transfers a few bytes only.
+    /// The call transfers a few bytes only.
     Short,
-    /// The thread is held up behind it; before it, if it closes a listening socket.
+    /// The thread is delayed after the call, or before it if it closes a listening socket.
     Hold(Duration),
-    /// The clock is so many milliseconds ahead, from a moment after the start on.
+    /// The wall clock is `ms` milliseconds ahead (behind, if negative) from `from` after the start on.
     Step { ms: i64, from: Duration },
 }
 
-/// One rule of a plan.
+/// A rule of a plan: `times` calls in `of` are affected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rule {
     call: Call,
@@ -69,20 +70,20 @@
     of: u64,
 }
 
-/// The faults of a process.
+/// The faults to inject into a process, and the state of its random draws.
 #[derive(Debug, Default)]
 pub struct Plan {
     rules: Vec<Rule>,
-    draws: AtomicU64,
+    random_state: AtomicU64,
 }
 
-/// A rule that cannot be read.
+/// Reports a rule that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlanError(String);
 
 impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{VARIABLE}: `{}` is no rule", self.0)
+        write!(f, "{VARIABLE}: `{}` is not a valid rule", self.0)
     }
 }
 
@@ -142,23 +143,24 @@
 }
 
 impl Plan {
-    /// Reads a plan.
+    /// Parses a plan.
     ///
     /// # Errors
-    /// When a rule cannot be read.
+    /// When a rule cannot be parsed.
     pub fn parse(text: &str) -> Result<Self, PlanError> {
         let mut plan = Self::default();
         for part in text.split(';').map(str::trim).filter(|part| !part.is_empty()) {
             let problem = || PlanError(part.to_owned());
             match part.strip_prefix("seed=") {
-                Some(seed) => plan.draws = AtomicU64::new(seed.parse().map_err(|_| problem())?),
+                Some(seed) => plan.random_state = AtomicU64::new(seed.parse().map_err(|_| problem())?),
                 None => plan.rules.push(Rule::parse(part).ok_or_else(problem)?),
             }
         }
         Ok(plan)
     }
 
-    /// The plan of this process; a plan that cannot be read ends it, so that no test passes without its faults.
+    /// Returns the plan of this process. An invalid plan ends the process, so that no test passes without its
+    /// faults.
     pub(crate) fn of_process() -> &'static Self {
         static PLAN: OnceLock<Plan> = OnceLock::new();
         PLAN.get_or_init(|| match Self::parse(&std::env::var(VARIABLE).unwrap_or_default()) {
@@ -170,18 +172,18 @@
         })
     }
 
-    /// What happens to this call, if anything: the first rule whose turn it is.
+    /// Returns the effect on this call, if any: that of the first matching rule whose random draw hits.
     pub(crate) fn effect(&self, call: Call, kind: Option<Kind>) -> Option<Effect> {
-        let concerns = |rule: &&Rule| rule.call == call && (rule.kind.is_none() || rule.kind == kind);
+        let matches = |rule: &&Rule| rule.call == call && (rule.kind.is_none() || rule.kind == kind);
         self.rules
             .iter()
-            .filter(concerns)
+            .filter(matches)
             .find(|rule| self.draw() % rule.of < rule.times)
             .map(|rule| rule.effect)
     }
 
-    /// How far the wall clock is ahead, in milliseconds, so long after the start.
-    pub(crate) fn step_ms(&self, since_start: Duration) -> i64 {
+    /// Returns the offset of the wall clock at this time after the start, in milliseconds.
+    pub(crate) fn clock_offset_ms(&self, since_start: Duration) -> i64 {
         let steps = self.rules.iter().filter_map(|rule| match rule.effect {
             Effect::Step { ms, from } if from <= since_start => Some(ms),
             _ => None,
@@ -189,28 +191,28 @@
         steps.sum()
     }
 
-    /// Whether the clock is read through this library at all.
+    /// Whether the plan affects the wall clock.
     pub(crate) fn steps_clock(&self) -> bool {
-        self.concerns(Call::Clock)
+        self.affects(Call::Clock)
     }
 
-    /// Whether the close of a listening socket may be held up.
-    pub(crate) fn closes_listeners_late(&self) -> bool {
-        self.concerns(Call::CloseListener)
+    /// Whether the plan affects the close of listening sockets.
+    pub(crate) fn delays_listener_close(&self) -> bool {
+        self.affects(Call::CloseListener)
     }
 
-    fn concerns(&self, call: Call) -> bool {
+    fn affects(&self, call: Call) -> bool {
         self.rules.iter().any(|rule| rule.call == call)
     }
 
-    /// So many bytes, 1 to 7, for a short transfer.
-    pub(crate) fn few(&self) -> usize {
+    /// Draws the length of a short transfer, 1 to 7 bytes.
+    pub(crate) fn draw_short_length(&self) -> usize {
         1 + (self.draw() % 7) as usize
     }
 
-    /// The next number of a fixed sequence (SplitMix64).
+    /// Returns the next number of a sequence that the seed determines (SplitMix64).
     fn draw(&self) -> u64 {
-        let state = self.draws.fetch_add(0x9e37_79b9_7f4a_7c15, Relaxed);
+        let state = self.random_state.fetch_add(0x9e37_79b9_7f4a_7c15, Relaxed);
         let mixed = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^ (mixed >> 31)
--- a/crates/faults/src/plan/tests.rs
+++ b/crates/faults/src/plan/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_plan_is_read_and_its_rules_have_their_share() {
+fn rules_affect_their_share_of_the_matching_calls() {
     let plan =
         Plan::parse("seed=7; accept4:client:EMFILE:1/3; read:host:short:1/1; write::hold=2:0/1").unwrap();
     let effects = (0..3_000).filter_map(|_| plan.effect(Call::Accept, Some(Kind::Client)));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn one_seed_draws_the_same() {
+fn equal_seeds_give_equal_draws() {
     let draws = || {
         let plan = Plan::parse("seed=11;wait::EINTR:1/4").unwrap();
         (0..100).map(|_| plan.effect(Call::Wait, None).is_some()).collect::<Vec<_>>()
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn the_clock_steps_from_its_moment_on() {
+fn the_clock_steps_at_the_configured_time() {
     let plan = Plan::parse("clock::step=-3600000@500:1/1").unwrap();
-    assert_eq!(plan.step_ms(Duration::from_millis(499)), 0);
-    assert_eq!(plan.step_ms(Duration::from_millis(500)), -3_600_000);
+    assert_eq!(plan.clock_offset_ms(Duration::from_millis(499)), 0);
+    assert_eq!(plan.clock_offset_ms(Duration::from_millis(500)), -3_600_000);
 }
 
 #[test]
-fn what_is_no_rule_is_told() {
+fn invalid_rules_are_named_in_the_error() {
     for text in ["accept4", "accept4:client:EWHAT:1/3", "fork::EINTR:1/2", "read:host:short:1/0", "seed=x"] {
         assert!(Plan::parse(text).unwrap_err().to_string().contains(text), "{text}");
     }
