--- a/crates/pgwire/src/frontend.rs
+++ b/crates/pgwire/src/frontend.rs
@@ -16,8 +16,7 @@
 const GSS: u32 = 80_877_104;
 const CANCEL: u32 = 80_877_102;
 
-/// The key by which a CancelRequest names the session whose statement it cancels. The client receives it in
-/// BackendKeyData.
+/// The key that names a session in a CancelRequest. The client receives it in BackendKeyData.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CancelKey {
     /// The id of the process that serves the session.
--- a/crates/tds/src/prelogin.rs
+++ b/crates/tds/src/prelogin.rs
@@ -11,7 +11,7 @@
 const ENCRYPTION: u8 = 1;
 const MARS: u8 = 4;
 const END: u8 = 0xff;
-/// Above the number of options that the specification defines; a message with more is malformed.
+/// The maximum number of options that is accepted; the specification defines fewer.
 const MAX_OPTIONS: usize = 16;
 
 /// The value of the ENCRYPTION option (2.2.6.5).
