--- a/crates/testbench/src/soak/run_queue.rs
+++ b/crates/testbench/src/soak/run_queue.rs
@@ -1,28 +1,29 @@
-//! Evidence beside a judgement on time: how long a process that is judged was ready to run and had no processor, and how late
-//! the judging thread was itself. It changes no judgement.
+//! Measurements that explain a missed deadline: how long the process under test was ready to run but had no
+//! processor, and how late the timers of the measuring thread fired. They are printed with a failure and
+//! never change its verdict.
 
 use std::cell::Cell;
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// The processor time of a thread since it began, as the system counts it. Time in which it waits for something, or is
-/// stopped, is in neither. A wait for a processor is counted as a whole once it ends: one that began earlier may make a
-/// figure longer than the time that it is of.
+/// The scheduler statistics of a thread since its start, from `schedstat`. Time in which the thread is
+/// blocked or stopped counts towards neither field. The system adds a wait for a processor as a whole when
+/// the wait ends, so that the difference of two samples can exceed the time between them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessorTime {
-    /// On a processor.
+    /// Time spent running on a processor.
     pub running: Duration,
-    /// Ready to run, without a processor.
+    /// Time spent in a run queue: ready to run, without a processor.
     pub queued: Duration,
 }
 
 impl ProcessorTime {
-    /// That of a process's first thread, if it has not been waited for yet.
+    /// Returns the statistics of a process's main thread, or `None` once the process has been reaped.
     fn of_process(id: u32) -> Option<Self> {
         Self::read(&format!("/proc/{id}/schedstat"))
     }
 
-    /// That of this thread, if the system tells.
+    /// Returns the statistics of the calling thread, or `None` if the system has none.
     pub fn of_this_thread() -> Option<Self> {
         Self::read("/proc/thread-self/schedstat")
     }
@@ -31,7 +32,7 @@
         Self::parse(&std::fs::read_to_string(path).ok()?)
     }
 
-    /// The first two fields, in nanoseconds.
+    /// Parses the first two fields of a `schedstat` file, both in nanoseconds.
     fn parse(schedstat: &str) -> Option<Self> {
         let mut fields =
             schedstat.split_ascii_whitespace().map(|field| field.parse().map(Duration::from_nanos));
@@ -46,73 +47,73 @@
     }
 }
 
-/// How much later than asked for the timers of a thread fired, all together, with the one that is late now.
+/// The summed delay with which a thread's timers fired, including that of a timer that is overdue now.
 #[derive(Debug, Default)]
 pub struct TimerLateness {
-    fired: Cell<Duration>,
+    total_late: Cell<Duration>,
     due: Cell<Option<Instant>>,
 }
 
 impl TimerLateness {
-    /// Timers may fire so much later on an idle machine.
+    /// Delay that is ignored: timers fire up to this much late on an idle machine, too.
     const GRANULARITY: Duration = Duration::from_millis(2);
 
-    /// Notes that a timer is set that is to fire after this time.
-    pub fn timer_set(&self, asked: Duration) {
-        self.due.set(Some(Instant::now() + asked));
+    /// Records that a timer is set that is due after `delay`.
+    pub fn timer_set(&self, delay: Duration) {
+        self.due.set(Some(Instant::now() + delay));
     }
 
-    /// Notes that the timer has fired.
+    /// Records that the timer has fired.
     pub fn timer_fired(&self) {
-        self.fired.set(self.total());
+        self.total_late.set(self.total());
         self.due.set(None);
     }
 
-    /// All that was noted.
+    /// Returns the summed delay of all timers so far.
     pub fn total(&self) -> Duration {
         let late = self.due.get().map_or(Duration::ZERO, |due| due.elapsed());
-        self.fired.get() + if late > Self::GRANULARITY { late } else { Duration::ZERO }
+        self.total_late.get() + if late > Self::GRANULARITY { late } else { Duration::ZERO }
     }
 }
 
-/// The start of what is judged: a request that is sent, a signal.
+/// The values at the start of a measured operation (a request, a signal) that its delays are computed from.
 #[derive(Clone, Copy, Debug)]
 pub struct DelayBaseline {
     at: Instant,
     process: u32,
-    of_process: Option<ProcessorTime>,
-    of_this_thread: Option<ProcessorTime>,
+    process_time: Option<ProcessorTime>,
+    thread_time: Option<ProcessorTime>,
     timers_late: Duration,
 }
 
-/// Where the time went since a start; of an unknown figure nothing is shown but a question mark.
+/// The delays since a baseline. `Display` prints a question mark for an unknown figure.
 #[derive(Clone, Copy, Debug)]
 pub struct Delays {
-    took: Duration,
-    of_process: Option<ProcessorTime>,
-    of_this_thread: Option<ProcessorTime>,
+    elapsed: Duration,
+    process_time: Option<ProcessorTime>,
+    thread_time: Option<ProcessorTime>,
     timers_late: Duration,
 }
 
 impl DelayBaseline {
-    /// Now, by this thread, of a process that runs.
+    /// Takes a baseline now, for a running process and the calling thread.
     pub fn now(process: u32, timers: &TimerLateness) -> Self {
         Self {
             at: Instant::now(),
             process,
-            of_process: ProcessorTime::of_process(process),
-            of_this_thread: ProcessorTime::of_this_thread(),
+            process_time: ProcessorTime::of_process(process),
+            thread_time: ProcessorTime::of_this_thread(),
             timers_late: timers.total(),
         }
     }
 
-    /// What has come together since, by the same thread.
+    /// Returns the delays since the baseline. It has to be called by the thread that took the baseline.
     pub fn delays(&self, timers: &TimerLateness) -> Delays {
         let since = |now: Option<ProcessorTime>, start: Option<ProcessorTime>| Some(now?.since(start?));
         Delays {
-            took: self.at.elapsed(),
-            of_process: since(ProcessorTime::of_process(self.process), self.of_process),
-            of_this_thread: since(ProcessorTime::of_this_thread(), self.of_this_thread),
+            elapsed: self.at.elapsed(),
+            process_time: since(ProcessorTime::of_process(self.process), self.process_time),
+            thread_time: since(ProcessorTime::of_this_thread(), self.thread_time),
             timers_late: timers.total().saturating_sub(self.timers_late),
         }
     }
@@ -127,11 +128,11 @@
             f,
             "in {} ms its process ran {} ms and waited {} ms for a processor, \
              this thread ran {} ms and waited {} ms, its timers were {} ms late",
-            self.took.as_millis(),
-            running(self.of_process),
-            queued(self.of_process),
-            running(self.of_this_thread),
-            queued(self.of_this_thread),
+            self.elapsed.as_millis(),
+            running(self.process_time),
+            queued(self.process_time),
+            running(self.thread_time),
+            queued(self.thread_time),
             self.timers_late.as_millis()
         )
     }
@@ -141,9 +142,9 @@
 mod tests {
     use super::*;
 
-    /// Guards against a record that takes running for waiting.
+    /// Guards against swapping the two fields: time spent running must not count as time spent waiting.
     #[test]
-    fn the_second_field_is_the_time_without_a_processor() {
+    fn the_second_field_is_the_time_in_the_run_queue() {
         let (running, queued) = (Duration::from_millis(3), Duration::from_millis(790));
         assert_eq!(ProcessorTime::parse("3000000 790000000 12\n"), Some(ProcessorTime { running, queued }));
         for wrong in ["", "5", "5 x 1", "-1 2 3"] {
@@ -151,24 +152,25 @@
         }
     }
 
-    /// Guards against a record that blames the machine for a process that sleeps.
+    /// Guards against counting the sleep of a process as a wait for a processor.
     #[test]
-    fn a_process_that_sleeps_waits_for_no_processor() {
-        let mut sleeps = std::process::Command::new("sleep").arg("5").spawn().unwrap();
+    fn a_sleeping_process_does_not_wait_for_a_processor() {
+        let mut sleeper = std::process::Command::new("sleep").arg("5").spawn().unwrap();
         std::thread::sleep(Duration::from_millis(100));
         let timers = TimerLateness::default();
-        let start = DelayBaseline::now(sleeps.id(), &timers);
+        let start = DelayBaseline::now(sleeper.id(), &timers);
         std::thread::sleep(Duration::from_millis(300));
         let delays = start.delays(&timers);
-        sleeps.kill().unwrap();
-        sleeps.wait().unwrap();
-        assert!(delays.took >= Duration::from_millis(300));
-        let of_process = delays.of_process.expect("the system counts it");
-        assert!(of_process.running + of_process.queued < Duration::from_millis(50), "{delays}");
-        assert!(start.delays(&timers).of_process.is_none(), "nothing is known of one that has ended");
+        sleeper.kill().unwrap();
+        sleeper.wait().unwrap();
+        assert!(delays.elapsed >= Duration::from_millis(300));
+        let process_time = delays.process_time.expect("the system counts it");
+        assert!(process_time.running + process_time.queued < Duration::from_millis(50), "{delays}");
+        assert!(start.delays(&timers).process_time.is_none(), "a process that has ended has no statistics");
     }
 
-    /// Guards against a record that misses this program's own lateness, above all that of a timer that is still to fire.
+    /// Guards against missing delays of this program's own timers, above all of a timer that is still to
+    /// fire.
     #[test]
     fn timers_that_fire_late_are_summed() {
         let timers = TimerLateness::default();
