--- a/crates/testbench/src/demo.rs
+++ b/crates/testbench/src/demo.rs
@@ -1,9 +1,9 @@
-//! The whole thing on one machine, to be seen: ledger sets, discovery, a proxy with a port for each protocol,
-//! and a trickle of load.
+//! A demonstration on one machine: emulated hosts, discovery, a proxy with a port for each protocol, and
+//! light load.
 
 use crate::load::{self, Target};
 use crate::rig::Rig;
-use crate::{runtime, span, TestbenchError};
+use crate::{parse_duration, runtime, TestbenchError};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{interval_at, sleep, Instant};
@@ -13,57 +13,58 @@
 use wheelpier_emulator::spec::{Freshness, Spec};
 use wheelpier_emulator::SECOND;
 
-/// Without an end of its own the load is planned so far ahead.
-const LONGEST: Duration = Duration::from_secs(3_600);
+/// The duration of a demonstration that no option limits, since the load is planned in advance.
+const MAX_DURATION: Duration = Duration::from_secs(3_600);
 
-/// How long and how much.
+/// The arguments of `demo`.
 #[derive(Debug, clap::Args)]
 pub struct Demo {
-    /// Ends by itself after this time; else with Ctrl-C, or after an hour.
-    #[arg(long = "for", value_name = "SPAN", value_parser = span)]
+    /// Ends after this time; otherwise at Ctrl-C, or after an hour.
+    #[arg(long = "for", value_name = "SPAN", value_parser = parse_duration)]
     span: Option<Duration>,
-    /// Requests a second, over each protocol.
+    /// Requests per second over each protocol.
     #[arg(long, default_value_t = 20.0)]
     rate: f64,
-    /// What is shown: sapporo, or tip-ledger, the second deployment.
-    #[arg(long, default_value = "sapporo", value_parser = named)]
+    /// The emulated deployment: sapporo or tip-ledger.
+    #[arg(long, default_value = "sapporo", value_parser = parse_spec)]
     spec: Box<Spec>,
-    /// Arrivals and the world are drawn from it.
+    /// Seed of the requests and of the emulated hosts.
     #[arg(long, default_value_t = 7)]
     seed: u64,
 }
 
 impl Demo {
-    /// Runs until its time is over or Ctrl-C.
+    /// Runs until the time is over or Ctrl-C is pressed.
     pub fn run(&self) -> Result<(), TestbenchError> {
-        runtime()?.block_on(self.show())
+        runtime()?.block_on(self.play())
     }
 
-    async fn show(&self) -> Result<(), TestbenchError> {
+    async fn play(&self) -> Result<(), TestbenchError> {
         let spec = (*self.spec).clone();
         let wires = vec![Wire::Postgres, Wire::Tds];
         let options =
             Options { spec: spec.clone(), seed: self.seed, wires, script: Script::empty(), proxies: 1 };
         let rig = Rig::start(options, self.rate * 2.0).await?;
-        self.greet(&rig, &spec)?;
-        let span = self.span.unwrap_or(LONGEST);
+        self.print_instructions(&rig, &spec)?;
+        let span = self.span.unwrap_or(MAX_DURATION);
         let loads = async {
-            let one = |wire, seed| self.load(&rig, &spec, wire, seed, span);
-            let both = (one(Wire::Postgres, self.seed), one(Wire::Tds, self.seed + 1));
-            let (postgres, tds) = tokio::join!(both.0, both.1);
+            let load = |wire, seed| self.load(&rig, &spec, wire, seed, span);
+            let (postgres, tds) = (load(Wire::Postgres, self.seed), load(Wire::Tds, self.seed + 1));
+            let (postgres, tds) = tokio::join!(postgres, tds);
             postgres.and(tds)
         };
         tokio::select! {
-            done = loads => done?,
-            () = watch(&rig) => {}
+            result = loads => result?,
+            () = print_counters(&rig) => {}
             () = sleep(span) => {}
             interrupted = tokio::signal::ctrl_c() => interrupted?,
         }
-        println!("ends: {}", rig.proxy.counters);
+        println!("final counters: {}", rig.proxy.counters);
         rig.proxy.end().await
     }
 
-    fn greet(&self, rig: &Rig, spec: &Spec) -> Result<(), TestbenchError> {
+    /// Prints the address for each protocol and an example statement of each class.
+    fn print_instructions(&self, rig: &Rig, spec: &Spec) -> Result<(), TestbenchError> {
         for wire in [Wire::Postgres, Wire::Tds] {
             println!("{wire} {}", rig.port(wire)?);
         }
@@ -71,9 +72,9 @@
             let key = (class.freshness == Freshness::Write).then(|| "5c0f".to_owned());
             let (id, session) = (format!("demo-{}", n + 1), "till-1".to_owned());
             let value = vec![0x9f, 0x03];
-            let shown =
+            let example =
                 Planned { at: 0, id, class: n, tenant: 0, roams: None, group: 0, session, key, value };
-            println!("{}", shown.statement(spec, class.deadline));
+            println!("{}", example.statement(spec, class.deadline));
         }
         Ok(())
     }
@@ -94,8 +95,8 @@
     }
 }
 
-/// Says each second what the proxy has done so far.
-async fn watch(rig: &Rig) {
+/// Prints the counters of the proxy each second.
+async fn print_counters(rig: &Rig) {
     let second = Duration::from_secs(1);
     let mut ticks = interval_at(Instant::now() + second, second);
     loop {
@@ -104,6 +105,6 @@
     }
 }
 
-fn named(name: &str) -> Result<Box<Spec>, String> {
+fn parse_spec(name: &str) -> Result<Box<Spec>, String> {
     Spec::named(name).map(Box::new)
 }
--- a/crates/testbench/src/load.rs
+++ b/crates/testbench/src/load.rs
@@ -1,5 +1,6 @@
-//! Open-loop load: each request goes out at its time, whatever became of those before. A latency counts from
-//! the time at which the request was to go out, so that a late sender hides nothing (coordinated omission).
+//! Open-loop load: each request is sent at its scheduled time, whether earlier ones were answered or not. A
+//! latency is measured from the scheduled time, so that a late sender does not hide delays (coordinated
+//! omission).
 
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
@@ -17,15 +18,15 @@
 use wheelpier_emulator::spec::{Freshness, Spec};
 use wheelpier_emulator::Micros;
 
-/// Beyond its deadline a client waits so long for an answer that breaks the rule.
-const PATIENCE: Duration = Duration::from_millis(500);
-/// The longest latency that is told apart, in microseconds.
-const LONGEST: u64 = 60_000_000;
+/// The time after its deadline for which a client still waits for an answer, to see that it is late.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// The largest latency that the histograms record, in microseconds. Larger ones count as this value.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// How the requests of a class fared.
+/// The results of the requests of one class.
 #[derive(Clone, Debug)]
 pub struct ClassResult {
-    /// The class.
+    /// The name of the class.
     pub name: &'static str,
     /// Requests sent.
     pub offered: u64,
@@ -37,46 +38,46 @@
     pub refused: u64,
     /// Requests failed.
     pub failed: u64,
-    /// Sent once more because an idle connection ended under it.
+    /// Requests sent a second time because their idle connection had been closed.
     pub resent: u64,
-    /// Of those that were served, in microseconds.
+    /// Latencies of the served requests, in microseconds.
     pub latency: Histogram<u64>,
 }
 
 impl ClassResult {
     fn new(name: &'static str) -> Self {
-        // Fails only where the bounds make no sense.
-        let latency =
-            Histogram::new_with_max(LONGEST, 3).unwrap_or_else(|_| Histogram::new(3).expect("3 digits"));
+        // Fails only for invalid bounds.
+        let latency = Histogram::new_with_max(MAX_LATENCY_US, 3)
+            .unwrap_or_else(|_| Histogram::new(3).expect("3 digits"));
         Self { name, offered: 0, served: 0, in_time: 0, refused: 0, failed: 0, resent: 0, latency }
     }
 
-    /// A percentile in milliseconds.
+    /// Returns a percentile of the latency in milliseconds.
     pub fn percentile(&self, percent: f64) -> f64 {
         self.latency.value_at_quantile(percent / 100.0) as f64 / 1e3
     }
 }
 
-/// Where the load goes.
+/// The proxy that the load is sent to, and the emulated installation behind it.
 #[derive(Clone, Debug)]
 pub struct Target {
     /// The protocol that clients speak.
     pub wire: Wire,
     /// The proxy's client port.
     pub address: SocketAddr,
-    /// The installation.
+    /// The specification of the installation.
     pub spec: Rc<Spec>,
     /// The emulator's clock.
     pub clock: Clock,
-    /// The emulated hosts, which are notified of each request.
+    /// The mailbox of the emulated hosts, which are notified of each request.
     pub world: mpsc::Sender<WorldMessage>,
 }
 
-/// Why a request has no answer.
+/// The reason why a request has no answer.
 enum Failure {
-    /// It had no connection to go out on.
-    Door,
-    /// Its connection ended before the answer.
+    /// No connection could be opened, or it was closed before the proxy sent anything.
+    NotAccepted,
+    /// The connection failed before the answer arrived.
     Lost,
 }
 
@@ -86,7 +87,7 @@
     results: RefCell<Vec<ClassResult>>,
 }
 
-/// Sends what is planned and waits for all answers.
+/// Sends the planned requests and waits for all answers. Returns the results of each class.
 pub async fn run(target: Target, plan: Vec<Planned>) -> Vec<ClassResult> {
     let results = target.spec.classes.iter().map(|class| ClassResult::new(class.name)).collect();
     let load = Rc::new(Load { target, idle: RefCell::default(), results: RefCell::new(results) });
@@ -98,48 +99,48 @@
 
 async fn send_all(load: Rc<Load>, plan: Vec<Planned>) {
     let start = Instant::now();
-    let mut open = JoinSet::new();
+    let mut running = JoinSet::new();
     for planned in plan {
-        let at = start + Duration::from_micros(planned.at as u64);
-        sleep_until(at).await;
-        while open.try_join_next().is_some() {}
+        let due = start + Duration::from_micros(planned.at as u64);
+        sleep_until(due).await;
+        while running.try_join_next().is_some() {}
         let load = Rc::clone(&load);
-        open.spawn_local(async move { load.one(planned, at).await });
+        running.spawn_local(async move { load.run_request(planned, due).await });
     }
-    while open.join_next().await.is_some() {}
+    while running.join_next().await.is_some() {}
 }
 
 impl Load {
-    async fn one(&self, planned: Planned, at: Instant) {
+    async fn run_request(&self, planned: Planned, due: Instant) {
         let Target { spec, clock, world, .. } = &self.target;
         let class = planned.class;
-        let patience = Duration::from_micros(spec.classes[class].deadline as u64);
+        let deadline = Duration::from_micros(spec.classes[class].deadline as u64);
         self.results.borrow_mut()[class].offered += 1;
-        let until = clock.now() + patience.as_micros() as Micros;
+        let until = clock.now() + deadline.as_micros() as Micros;
         let (id, session) = (planned.id.clone(), planned.session.clone());
         let _ =
             world.send(WorldMessage::Asked { id, session, proxy: ProxyIncarnation::default(), until }).await;
-        let answer = timeout(patience + PATIENCE, self.ask(&planned, patience)).await;
-        let told = match &answer {
+        let answer = timeout(deadline + ANSWER_GRACE, self.send(&planned, deadline)).await;
+        let message = match &answer {
             Ok(Ok(Answer::Served(value))) => {
                 let writes = spec.classes[class].freshness == Freshness::Write;
                 let wrote = writes.then(|| planned.session.clone());
                 WorldMessage::Answered { id: planned.id, value: Some(value.clone()), wrote }
             }
             Ok(Ok(_)) => WorldMessage::Answered { id: planned.id, value: None, wrote: None },
-            // Closed at the door, with nothing said: it was never taken.
-            Ok(Err(Failure::Door)) => WorldMessage::Withdrawn(planned.id),
+            // The connection was refused or closed before it was served: the proxy never took the request.
+            Ok(Err(Failure::NotAccepted)) => WorldMessage::Withdrawn(planned.id),
             _ => WorldMessage::Lost(planned.id),
         };
-        let _ = world.send(told).await;
-        self.count(class, at.elapsed(), answer.ok().and_then(Result::ok));
+        let _ = world.send(message).await;
+        self.count(class, due.elapsed(), answer.ok().and_then(Result::ok));
     }
 
-    /// Asks on an idle connection, or on a new one. A proxy may close a connection between requests: if that crosses
-    /// a request, its client sends it once more on a new one.
-    async fn ask(&self, planned: &Planned, patience: Duration) -> Result<Answer, Failure> {
+    /// Sends a request on an idle connection, or on a new one. A proxy may close a connection between
+    /// requests; if a request is on its way then, it is sent a second time on a new connection.
+    async fn send(&self, planned: &Planned, deadline: Duration) -> Result<Answer, Failure> {
         let Target { wire, address, spec, .. } = &self.target;
-        let wait = patience.as_micros() as Micros;
+        let wait = deadline.as_micros() as Micros;
         let idle = self.idle.borrow_mut().pop();
         if let Some(mut client) = idle {
             if let Ok(answer) = client.ask(planned, spec, wait).await {
@@ -148,9 +149,11 @@
             }
             self.results.borrow_mut()[planned.class].resent += 1;
         }
-        let mut client = Client::connect(*wire, *address).await.map_err(|_| Failure::Door)?;
-        let answer = client.ask(planned, spec, wait).await.map_err(|e| match e.kind() {
-            io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset if client.silent() => Failure::Door,
+        let mut client = Client::connect(*wire, *address).await.map_err(|_| Failure::NotAccepted)?;
+        let answer = client.ask(planned, spec, wait).await.map_err(|error| match error.kind() {
+            io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset if client.silent() => {
+                Failure::NotAccepted
+            }
             _ => Failure::Lost,
         })?;
         self.idle.borrow_mut().push(client);
@@ -173,7 +176,7 @@
     }
 }
 
-/// How many requests were sent once more.
+/// Returns the number of requests that were sent a second time.
 pub fn resent(results: &[ClassResult]) -> u64 {
     results.iter().map(|class| class.resent).sum()
 }
--- a/crates/testbench/src/main.rs
+++ b/crates/testbench/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory of wheelpier: see the library.
+//! The test bench of wheelpier. The code is in the library.
 
 use std::process::ExitCode;
 
--- a/crates/testbench/src/parity.rs
+++ b/crates/testbench/src/parity.rs
@@ -1,4 +1,4 @@
-//! The same arrivals and faults over PostgreSQL and over TDS, side by side: they have to fare alike.
+//! Runs the same requests and faults over PostgreSQL and over TDS side by side. The results have to agree.
 
 use crate::load::{self, ClassResult, Target};
 use crate::rig::Rig;
@@ -11,28 +11,28 @@
 use wheelpier_emulator::spec::Spec;
 use wheelpier_emulator::SECOND;
 
-/// They fare alike if no figure differs by more than this, in per cent.
-const ALIKE: f64 = 5.0;
+/// The largest difference of a figure between the protocols, in per cent.
+const MAX_DIFFERENCE_PERCENT: f64 = 5.0;
 
-/// What is compared and how long.
+/// The arguments of `parity`.
 #[derive(Debug, clap::Args)]
 pub struct Parity {
-    /// Arrivals, faults and the world are drawn from it.
+    /// Seed of the requests, the faults and the emulated hosts.
     #[arg(long, default_value_t = 7)]
     seed: u64,
     /// Seconds of load.
     #[arg(long, default_value_t = 30.0)]
     seconds: f64,
-    /// Requests a second, over each protocol.
+    /// Requests per second over each protocol.
     #[arg(long, default_value_t = 2_400.0)]
     rate: f64,
-    /// Ledger sets, of five hosts each.
+    /// Replicated groups, of five hosts each.
     #[arg(long, default_value_t = 24)]
     sets: usize,
-    /// PostgreSQL on both sides: how much two runs of the same differ.
+    /// Uses PostgreSQL on both sides, to show how much two runs of the same protocol differ.
     #[arg(long)]
     control: bool,
-    /// No faults.
+    /// Runs without faults.
     #[arg(long)]
     calm: bool,
 }
@@ -44,16 +44,16 @@
 }
 
 impl Parity {
-    /// Whether they fare alike and no rule is broken.
+    /// Runs both protocols and prints the results. Returns whether they agree and no rule is broken.
     pub fn run(&self) -> Result<bool, TestbenchError> {
-        let one = |wire| {
+        let start = |wire| {
             let options = self.options(wire);
             let (seed, rate, seconds) = (self.seed, self.rate, self.seconds);
             thread::spawn(move || runtime()?.block_on(play(options, wire, seed, rate, seconds)))
         };
-        // Side by side, so that what else the machine does weighs on both.
+        // Both at the same time, so that other load on the machine affects them equally.
         let other = if self.control { Wire::Postgres } else { Wire::Tds };
-        let running = [Wire::Postgres, other].map(one);
+        let running = [Wire::Postgres, other].map(start);
         let mut outcomes = Vec::with_capacity(running.len());
         for thread in running {
             outcomes.push(thread.join().map_err(|_| TestbenchError::Ended)??);
@@ -89,14 +89,15 @@
     Ok(Outcome { wire, classes, verdict })
 }
 
-/// What of a class is compared: the share that is served, p50 and p99. What lies beyond p99 are the few requests that a takeover
-/// caught: shown, but two runs of the same protocol differ there as much as two protocols do (`--control`).
-fn figures(class: &ClassResult) -> [f64; 3] {
+/// Returns the compared figures of a class: the percentage served, p50 and p99. Higher percentiles
+/// are printed only: they stem from the few requests that met a takeover, and differ as much between two runs
+/// of the same protocol (`--control`) as between the protocols.
+fn compared_figures(class: &ClassResult) -> [f64; 3] {
     let share = 100.0 * class.served as f64 / class.offered.max(1) as f64;
     [share, class.percentile(50.0), class.percentile(99.0)]
 }
 
-/// By how much the second differs from the first, in per cent of the first.
+/// Returns the difference between two figures, in per cent of the first.
 fn difference(first: f64, second: f64) -> f64 {
     if first == second {
         0.0
@@ -105,6 +106,7 @@
     }
 }
 
+/// Prints the results. Returns whether they agree and no rule is broken.
 fn report(outcomes: &[Outcome]) -> bool {
     let [first, second] = outcomes else { return false };
     let mut rows = Vec::new();
@@ -123,7 +125,7 @@
                 format!("{:.0}", class.percentile(99.9)),
             ]);
         }
-        for (one, other) in figures(one).into_iter().zip(figures(other)) {
+        for (one, other) in compared_figures(one).into_iter().zip(compared_figures(other)) {
             worst = worst.max(difference(one, other));
         }
     }
@@ -142,12 +144,12 @@
     for outcome in outcomes {
         match load::resent(&outcome.classes) {
             0 => {}
-            resent => println!("{}: {resent} requests sent once more on a new connection", outcome.wire),
+            resent => println!("{}: {resent} requests sent again on a new connection", outcome.wire),
         }
         for breach in outcome.verdict.breaches.iter().take(5) {
             println!("{}: {}: {}", outcome.wire, breach.rule, breach.what);
         }
     }
     println!("parity: worst difference {worst:.1}%, rules broken {broken}");
-    worst <= ALIKE && broken == 0
+    worst <= MAX_DIFFERENCE_PERCENT && broken == 0
 }
--- a/crates/testbench/src/rig.rs
+++ b/crates/testbench/src/rig.rs
@@ -1,5 +1,5 @@
-//! An installation with a proxy before it: the proxy on a thread of its own, as in service, everything else on
-//! another.
+//! An emulated installation with a proxy in front of it. The proxy runs on a thread of its own, as in
+//! production; everything else shares another thread.
 
 use crate::{runtime, TestbenchError};
 use serde_json::json;
@@ -14,12 +14,14 @@
 use wheelpier::protocol::Protocol;
 use wheelpier_emulator::net::{Clock, Installation, Options, Wire};
 
-/// What the proxy of an experiment is given.
+/// The memory limit of the proxy in MB.
 const MEMORY_MB: u32 = 192;
+/// The socket limit of the proxy.
 const SOCKETS: u32 = 1_024;
 
-/// What a proxy's ports speak beside PostgreSQL, and its hosts where they speak TDS.
-fn operator(kind: &str) -> String {
+/// Returns operator settings that add a TDS listener, and TDS as the protocol of the hosts with type
+/// `KIND-tds`.
+fn operator_settings(kind: &str) -> String {
     format!(
         "
 hosts: {{types: {{{kind}-tds: tds}}}}
@@ -28,19 +30,19 @@
     )
 }
 
-/// An emulated installation with one proxy before it.
+/// An emulated installation with one proxy in front of it.
 pub struct Rig {
     /// The emulator's clock.
     pub clock: Clock,
-    /// Hosts and discovery.
+    /// The emulated hosts and discovery service.
     pub installation: Installation,
     /// The proxy.
     pub proxy: ProxyThread,
 }
 
-/// A proxy that serves on a thread of its own.
+/// A proxy that runs on a thread of its own.
 pub struct ProxyThread {
-    /// Where clients connect, by protocol.
+    /// The address for clients of each protocol.
     pub addresses: Vec<(Protocol, SocketAddr)>,
     /// The proxy's counters.
     pub counters: Arc<Counters>,
@@ -51,7 +53,8 @@
 }
 
 impl Rig {
-    /// Starts both; the proxy listens for both protocols. `rate` is what it has to expect, a second.
+    /// Starts an installation and its proxy, which listens for both protocols. `rate` is the expected number
+    /// of requests per second in the settings.
     pub async fn start(options: Options, rate: f64) -> Result<Self, TestbenchError> {
         let (spec, seed) = (options.spec.clone(), options.seed);
         let clock = Clock::start();
@@ -61,39 +64,40 @@
             "seed": format!("{seed:x}"), "known": installation.known, "settings": spec.settings(rate),
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
         });
-        let operator = OperatorSettings::read(&operator(spec.host_type), "the lab's own")?;
+        let operator =
+            OperatorSettings::read(&operator_settings(spec.host_type), "the test bench's operator settings")?;
         let config = Config::read(&config.to_string(), |_| None)?.with_operator(operator)?;
         let proxy = ProxyThread::start(config).await?;
         Ok(Self { clock, installation, proxy })
     }
 
-    /// Where clients of a protocol connect.
+    /// Returns the address for clients of a protocol.
     pub fn port(&self, wire: Wire) -> Result<SocketAddr, TestbenchError> {
         let protocol = match wire {
             Wire::Postgres => Protocol::Postgres,
             Wire::Tds => Protocol::Tds,
         };
-        let found = self.proxy.addresses.iter().find(|(other, _)| *other == protocol);
-        found.map(|(_, address)| *address).ok_or(TestbenchError::Ended)
+        let address = self.proxy.addresses.iter().find(|(other, _)| *other == protocol);
+        address.map(|(_, address)| *address).ok_or(TestbenchError::Ended)
     }
 }
 
 impl ProxyThread {
     async fn start(config: Config) -> Result<Self, TestbenchError> {
-        let (control, asked) = mpsc::channel(4);
+        let (control, control_messages) = mpsc::channel(4);
         let (bound, started) = oneshot::channel();
         let thread = std::thread::spawn(move || {
             runtime()?.block_on(async {
                 let proxy = Proxy::bind(config).await?;
                 let _ = bound.send((proxy.addresses()?, proxy.counters(), proxy.budget()));
-                proxy.serve(asked).await
+                proxy.serve(control_messages).await
             })
         });
         let (addresses, counters, budget) = started.await.map_err(|_| TestbenchError::Ended)?;
         Ok(Self { addresses, counters, budget, control, thread })
     }
 
-    /// Lets it drain and end.
+    /// Drains the proxy and waits for its end.
     pub async fn end(self) -> Result<(), TestbenchError> {
         let _ = self.control.send(Control::Drain).await;
         let ended = tokio::task::spawn_blocking(move || self.thread.join()).await;
--- a/crates/testbench/src/scale.rs
+++ b/crates/testbench/src/scale.rs
@@ -1,4 +1,4 @@
-//! What a fleet's membership costs and how fast it is, by the number of members, in virtual time.
+//! Measures the traffic and the delays of fleet membership by the number of members, in virtual time.
 
 use crate::members::{Fleet, FleetFault};
 use crate::{table, TestbenchError};
@@ -6,181 +6,194 @@
 use std::path::PathBuf;
 use wheelpier_emulator::SECOND;
 
-/// Members, seed and chart.
+/// The arguments of `scale`.
 #[derive(Debug, clap::Args)]
 pub struct Scale {
-    /// How many members, one fleet each.
+    /// Numbers of members; each number is measured in a fleet of its own.
     #[arg(long, value_delimiter = ',', default_values_t = [10, 100, 300])]
     members: Vec<usize>,
-    /// All that is drawn comes from it.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 7)]
     seed: u64,
-    /// How long each stretch lasts, in virtual seconds.
+    /// Length of each traffic measurement in virtual seconds.
     #[arg(long, default_value_t = 20)]
     seconds: i64,
-    /// Members that are killed one after the other.
+    /// Number of members that are killed one after the other.
     #[arg(long, default_value_t = 5)]
     kills: usize,
-    /// A chart (SVG) of the traffic and of the times.
+    /// Writes a chart of the traffic and the delays to this SVG file.
     #[arg(long)]
     chart: Option<PathBuf>,
 }
 
-/// What one fleet did.
-struct Line {
+/// The measured results of one fleet.
+struct FleetResult {
     members: usize,
-    settled_ms: i64,
+    /// Time until all members had the same view after the start.
+    formed_ms: i64,
+    /// Traffic without faults.
     calm: Traffic,
-    storm: Traffic,
-    /// From a kill to the view without the member.
-    out_ms: (i64, i64),
-    /// From there until all living members have it.
+    /// Traffic while a fifth of all messages is lost.
+    lossy: Traffic,
+    /// Median and maximum of the time from a kill to the first view without the member.
+    eviction_ms: (i64, i64),
+    /// Longest time from such a view until all living members had adopted it.
     spread_ms: i64,
-    /// Members put out that nothing was wrong with.
-    wrongly_out: usize,
+    /// Evictions of members that had not failed.
+    wrongly_evicted: usize,
 }
 
+/// Traffic that a member sends per second, on average.
 #[derive(Clone, Copy)]
 struct Traffic {
     bytes: f64,
     messages: f64,
 }
 
-/// From so many members on the goal holds.
-const LARGE: usize = 300;
-/// The most that a calm member may send a second there, and in a storm.
-const GOAL: (f64, f64) = (2_048.0, 10_240.0);
+/// The number of members from which the traffic goal applies.
+const LARGE_FLEET: usize = 300;
+/// The most bytes per second that a member may send: without faults, and while a fifth of all messages is
+/// lost.
+const TRAFFIC_GOAL: (f64, f64) = (2_048.0, 10_240.0);
 
 impl Scale {
-    /// Measures each fleet.
+    /// Measures each fleet and prints the results. Returns whether the goals are met.
     ///
     /// # Errors
-    /// When the chart cannot be written.
+    /// Fails if the chart cannot be written.
     pub fn run(&self) -> Result<bool, TestbenchError> {
-        let mut lines = Vec::new();
+        let mut results = Vec::new();
         for members in &self.members {
-            lines.push(self.measure(*members));
+            results.push(self.measure(*members));
             eprintln!("{members} members: done");
         }
-        let cells = |line: &Line| {
+        let cells = |result: &FleetResult| {
             vec![
-                line.members.to_string(),
-                line.settled_ms.to_string(),
-                format!("{:.0}", line.calm.bytes),
-                format!("{:.1}", line.calm.messages),
-                format!("{:.0}", line.storm.bytes),
-                format!("{:.1}", line.storm.messages),
-                line.out_ms.0.to_string(),
-                line.out_ms.1.to_string(),
-                line.spread_ms.to_string(),
-                line.wrongly_out.to_string(),
+                result.members.to_string(),
+                result.formed_ms.to_string(),
+                format!("{:.0}", result.calm.bytes),
+                format!("{:.1}", result.calm.messages),
+                format!("{:.0}", result.lossy.bytes),
+                format!("{:.1}", result.lossy.messages),
+                result.eviction_ms.0.to_string(),
+                result.eviction_ms.1.to_string(),
+                result.spread_ms.to_string(),
+                result.wrongly_evicted.to_string(),
             ]
         };
-        let rows: Vec<Vec<String>> = lines.iter().map(cells).collect();
+        let rows: Vec<Vec<String>> = results.iter().map(cells).collect();
         let head = [
             "members",
             "formed ms",
             "calm B/s",
             "msg/s",
-            "storm B/s",
+            "lossy B/s",
             "msg/s",
-            "out p50 ms",
-            "worst",
+            "evict p50 ms",
+            "max ms",
             "spread ms",
-            "wrongly out",
+            "wrongly evicted",
         ];
         println!("{}", table::lay_out(&head, &rows));
         if let Some(path) = &self.chart {
-            draw(path, &lines)
-                .map_err(|problem| TestbenchError::Io(std::io::Error::other(problem.to_string())))?;
+            draw(path, &results)
+                .map_err(|error| TestbenchError::Io(std::io::Error::other(error.to_string())))?;
         }
-        let wrongly: usize = lines.iter().map(|line| line.wrongly_out).sum();
-        let cheap = lines
+        let wrongly_evicted: usize = results.iter().map(|result| result.wrongly_evicted).sum();
+        let within_goal = results
             .iter()
-            .filter(|line| line.members >= LARGE)
-            .all(|line| line.calm.bytes <= GOAL.0 && line.storm.bytes <= GOAL.1);
+            .filter(|result| result.members >= LARGE_FLEET)
+            .all(|result| result.calm.bytes <= TRAFFIC_GOAL.0 && result.lossy.bytes <= TRAFFIC_GOAL.1);
         println!(
-            "scale: wrongly out {wrongly}, traffic {}",
-            if cheap { "within the goal" } else { "beyond the goal" }
+            "scale: wrongly evicted {wrongly_evicted}, traffic {}",
+            if within_goal { "within the goal" } else { "beyond the goal" }
         );
-        Ok(wrongly == 0 && cheap)
+        Ok(wrongly_evicted == 0 && within_goal)
     }
 
-    fn measure(&self, members: usize) -> Line {
+    fn measure(&self, members: usize) -> FleetResult {
         let mut fleet = Fleet::new(members, members.min(5), false, self.seed);
-        let settled_ms = fleet.settles_within(300 * SECOND) / 1_000;
+        let formed_ms = fleet.settles_within(300 * SECOND) / 1_000;
         fleet.play(Vec::new(), 5 * SECOND);
-        let calm = self.stretch(&mut fleet, members, Vec::new());
+        let calm = self.measure_traffic(&mut fleet, members, Vec::new());
         let epoch = fleet.epoch();
-        let storm = self.stretch(&mut fleet, members, vec![(0, FleetFault::Loss(0.2))]);
-        let wrongly_out = fleet.epoch() - epoch;
+        let lossy = self.measure_traffic(&mut fleet, members, vec![(0, FleetFault::Loss(0.2))]);
+        let wrongly_evicted = fleet.epoch() - epoch;
         fleet.play(vec![(0, FleetFault::Heal)], SECOND);
         fleet.settles_within(60 * SECOND);
-        let (mut outs, mut spreads) = (Vec::new(), Vec::new());
-        let mut more = 0;
+        let (mut eviction_times, mut spread_times) = (Vec::new(), Vec::new());
+        let mut further_evictions = 0;
         for n in 0..self.kills.min(members / 3) {
-            let (begin, epoch) = (fleet.now, fleet.epoch());
-            // Voters and others in turn.
+            let (killed_at, epoch) = (fleet.now, fleet.epoch());
+            // Kills voters and other members alternately.
             let victim = if n % 2 == 0 { members - 1 - n } else { n };
             fleet.play(vec![(0, FleetFault::Kill(victim))], 6 * SECOND);
             let name = fleet.names[victim].clone();
-            let out = fleet.views.range(epoch + 1..).find(|(_, view)| view.member_named(&name).is_none());
-            let Some((at, first)) = out.map(|(at, _)| (*at, fleet.adopted[at])) else { continue };
-            outs.push((first - begin) / 1_000);
+            let eviction =
+                fleet.views.range(epoch + 1..).find(|(_, view)| view.member_named(&name).is_none());
+            let Some((at, first)) = eviction.map(|(at, _)| (*at, fleet.adopted[at])) else { continue };
+            eviction_times.push((first - killed_at) / 1_000);
             let last = fleet.known.range((at, 0)..(at + 1, 0)).map(|(_, when)| *when).max().unwrap_or(first);
-            spreads.push((last - first) / 1_000);
-            more += (fleet.epoch() - epoch).saturating_sub(1);
+            spread_times.push((last - first) / 1_000);
+            further_evictions += (fleet.epoch() - epoch).saturating_sub(1);
         }
-        outs.sort_unstable();
-        let middle = outs.get(outs.len() / 2).copied().unwrap_or(0);
-        Line {
+        eviction_times.sort_unstable();
+        let median = eviction_times.get(eviction_times.len() / 2).copied().unwrap_or(0);
+        FleetResult {
             members,
-            settled_ms,
+            formed_ms,
             calm,
-            storm,
-            out_ms: (middle, outs.last().copied().unwrap_or(0)),
-            spread_ms: spreads.into_iter().max().unwrap_or(0),
-            wrongly_out: (wrongly_out + more) as usize,
+            lossy,
+            eviction_ms: (median, eviction_times.last().copied().unwrap_or(0)),
+            spread_ms: spread_times.into_iter().max().unwrap_or(0),
+            wrongly_evicted: (wrongly_evicted + further_evictions) as usize,
         }
     }
 
-    fn stretch(&self, fleet: &mut Fleet, members: usize, faults: Vec<(i64, FleetFault)>) -> Traffic {
+    fn measure_traffic(&self, fleet: &mut Fleet, members: usize, faults: Vec<(i64, FleetFault)>) -> Traffic {
         let (bytes, messages) = (fleet.bytes, fleet.messages);
         fleet.play(faults, self.seconds * SECOND);
-        let each = |sum: u64| sum as f64 / members as f64 / self.seconds as f64;
-        Traffic { bytes: each(fleet.bytes - bytes), messages: each(fleet.messages - messages) }
+        let per_member = |sum: u64| sum as f64 / members as f64 / self.seconds as f64;
+        Traffic { bytes: per_member(fleet.bytes - bytes), messages: per_member(fleet.messages - messages) }
     }
 }
 
-fn draw(path: &std::path::Path, lines: &[Line]) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(path: &std::path::Path, results: &[FleetResult]) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(path, (760, 320)).into_drawing_area();
     area.fill(&WHITE)?;
     let (left, right) = area.split_horizontally(380);
-    let most_members = lines.iter().map(|line| line.members).max().unwrap_or(10) as f64 * 1.3;
-    let of = |what: fn(&Line) -> f64| -> Vec<f64> { lines.iter().map(what).collect() };
+    let max_members = results.iter().map(|result| result.members).max().unwrap_or(10) as f64 * 1.3;
+    let series_of = |value: fn(&FleetResult) -> f64| -> Vec<f64> { results.iter().map(value).collect() };
     let panels = [
         (
             &left,
-            "bytes a member a second",
-            [("calm", of(|l| l.calm.bytes)), ("a fifth lost", of(|l| l.storm.bytes))],
+            "bytes per member and second",
+            [
+                ("calm", series_of(|result| result.calm.bytes)),
+                ("a fifth lost", series_of(|result| result.lossy.bytes)),
+            ],
         ),
         (
             &right,
             "milliseconds",
-            [("kill to view, p50", of(|l| l.out_ms.0 as f64)), ("view to all", of(|l| l.spread_ms as f64))],
+            [
+                ("kill to first view, p50", series_of(|result| result.eviction_ms.0 as f64)),
+                ("first view to last member", series_of(|result| result.spread_ms as f64)),
+            ],
         ),
     ];
     for (panel, title, series) in panels {
-        let most = series.iter().flat_map(|(_, values)| values).copied().fold(1.0, f64::max) * 1.15;
+        let max_value = series.iter().flat_map(|(_, values)| values).copied().fold(1.0, f64::max) * 1.15;
         let mut chart = ChartBuilder::on(panel)
             .caption(title, ("sans-serif", 14))
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(48)
-            .build_cartesian_2d((8.0..most_members).log_scale(), 0.0..most)?;
+            .build_cartesian_2d((8.0..max_members).log_scale(), 0.0..max_value)?;
         chart.configure_mesh().x_desc("members").draw()?;
         for ((name, values), colour) in series.into_iter().zip([BLUE, RED]) {
-            let points: Vec<(f64, f64)> = lines.iter().map(|l| l.members as f64).zip(values).collect();
+            let points: Vec<(f64, f64)> =
+                results.iter().map(|result| result.members as f64).zip(values).collect();
             chart
                 .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
                 .label(name)
--- a/crates/testbench/src/starve.rs
+++ b/crates/testbench/src/starve.rs
@@ -1,5 +1,4 @@
-//! A crowd of slow clients beside the usual load: the sale-writes must not notice. The same arrivals twice, without the
-//! crowd and with it.
+//! Runs the same load twice, without and with a crowd of slow clients: the crowd must not impair sale-writes.
 
 use crate::load::{self, ClassResult, Target};
 use crate::rig::Rig;
@@ -21,31 +20,32 @@
 use wheelpier_emulator::world::LARGE_ID_PREFIX;
 use wheelpier_emulator::SECOND;
 
-/// The head of a query as long as the longest, of which a byte a second comes.
-const BEGUN: [u8; 5] = [b'Q', 0, 1, 0xff, 0xff];
-/// Slow writers begin with so much, so that there is something to hold.
-const BEFORE: usize = 8 * 1024;
-/// Whoever is cut off comes again after this time.
-const AGAIN: Duration = Duration::from_millis(500);
-/// With the crowd sale-writes may fare worse by so much, in per cent.
-const WORSE: f64 = 1.0;
+/// The head of a query message of nearly 128 KiB, close to the longest that a proxy accepts. A slow writer
+/// sends its content at one byte per second.
+const QUERY_HEAD: [u8; 5] = [b'Q', 0, 1, 0xff, 0xff];
+/// The bytes of a query that a slow writer sends at once, so that the proxy has to buffer them.
+const INITIAL_BYTES: usize = 8 * 1024;
+/// The pause after which a client of the crowd connects again when its connection was closed.
+const RECONNECT_DELAY: Duration = Duration::from_millis(500);
+/// The largest decrease of sale-writes served in time with the crowd, in percentage points.
+const MAX_LOSS_PERCENT: f64 = 1.0;
 
-/// How large a crowd, and how long.
+/// The arguments of `starve`.
 #[derive(Debug, clap::Args)]
 pub struct Starve {
-    /// Arrivals and the world are drawn from it.
+    /// Seed of the requests and of the emulated hosts.
     #[arg(long, default_value_t = 7)]
     seed: u64,
-    /// Seconds of load.
+    /// Seconds of load in each run.
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 240.0)]
     rate: f64,
-    /// Clients that send a byte a second.
+    /// Clients that send one byte per second.
     #[arg(long, default_value_t = 500)]
     writers: usize,
-    /// Clients that ask for 64 KiB and never read them.
+    /// Clients that request 64 KiB and never read the answer.
     #[arg(long, default_value_t = 500)]
     readers: usize,
 }
@@ -53,18 +53,19 @@
 struct Outcome {
     classes: Vec<ClassResult>,
     verdict: Verdict,
-    /// The most that was accounted for, and what there was.
+    /// The peak of the memory that the proxy's budget accounts for, and the budget's cap, in bytes.
     memory: (u64, u64),
 }
 
 impl Starve {
-    /// Whether the sale-writes fare as well with the crowd as without it.
+    /// Runs both loads and prints the results. Returns whether sale-writes were served as well with the crowd
+    /// as without.
     pub fn run(&self) -> Result<bool, TestbenchError> {
         let (seed, seconds, rate) = (self.seed, self.seconds, self.rate);
         let mut outcomes = Vec::with_capacity(2);
         for crowd in [(0, 0), (self.writers, self.readers)] {
-            let one = thread::spawn(move || runtime()?.block_on(play(seed, seconds, rate, crowd)));
-            outcomes.push(one.join().map_err(|_| TestbenchError::Ended)??);
+            let run = thread::spawn(move || runtime()?.block_on(play(seed, seconds, rate, crowd)));
+            outcomes.push(run.join().map_err(|_| TestbenchError::Ended)??);
         }
         Ok(report(&outcomes))
     }
@@ -76,71 +77,72 @@
     let options = Options { spec: spec.clone(), seed, wires, script: Script::empty(), proxies: 1 };
     let rig = Rig::start(options, rate).await?;
     let (world, clock, address) = (rig.installation.mailbox(), rig.clock, rig.port(Wire::Postgres)?);
-    // On a thread of its own: it must not slow the load's clients down.
-    let (end, ended) = tokio::sync::watch::channel(());
+    // A thread of its own, so that the crowd does not slow down the clients of the load.
+    let (stop, stopped) = tokio::sync::watch::channel(());
     let tenant = spec.tenants.first().map_or("", |(name, _)| name);
-    let slow = thread::spawn(move || runtime()?.block_on(mill_about(address, crowd, tenant, ended)));
+    let crowd_thread = thread::spawn(move || runtime()?.block_on(run_crowd(address, crowd, tenant, stopped)));
     sleep(Duration::from_secs(1)).await;
     let planned = plan(&spec, seed, rate, (seconds * SECOND as f64) as i64);
     let wire = Wire::Postgres;
     let classes = load::run(Target { wire, address, spec: Rc::new(spec), clock, world }, planned).await;
-    drop(end);
+    drop(stop);
     let verdict = rig.installation.verdict().await?;
     let memory = (rig.proxy.budget.peak_used(), rig.proxy.budget.cap());
     rig.proxy.end().await?;
-    slow.join().map_err(|_| TestbenchError::Ended)??;
+    crowd_thread.join().map_err(|_| TestbenchError::Ended)??;
     Ok(Outcome { classes, verdict, memory })
 }
 
-/// The crowd, until the other side of `ended` is dropped.
-async fn mill_about(
+/// Runs the crowd until the sender of `stopped` is dropped.
+async fn run_crowd(
     address: SocketAddr,
     (writers, readers): (usize, usize),
     tenant: &'static str,
-    mut ended: tokio::sync::watch::Receiver<()>,
+    mut stopped: tokio::sync::watch::Receiver<()>,
 ) -> io::Result<()> {
     let mut crowd = JoinSet::new();
     for _ in 0..writers {
         crowd.spawn(async move {
             loop {
                 let _ = write_slowly(address).await;
-                sleep(AGAIN).await;
+                sleep(RECONNECT_DELAY).await;
             }
         });
     }
     for number in 0..readers {
         crowd.spawn(async move {
-            for turn in 0_u64.. {
-                let _ = never_read(address, tenant, number, turn).await;
-                sleep(AGAIN).await;
+            for attempt in 0_u64.. {
+                let _ = never_read(address, tenant, number, attempt).await;
+                sleep(RECONNECT_DELAY).await;
             }
         });
     }
-    let _ = ended.changed().await;
+    let _ = stopped.changed().await;
     crowd.shutdown().await;
     Ok(())
 }
 
 async fn write_slowly(address: SocketAddr) -> io::Result<()> {
     let mut stream = Client::connect(Wire::Postgres, address).await?.into_stream();
-    stream.write_all(&BEGUN).await?;
-    stream.write_all(&[b' '; BEFORE]).await?;
+    stream.write_all(&QUERY_HEAD).await?;
+    stream.write_all(&[b' '; INITIAL_BYTES]).await?;
     loop {
         sleep(Duration::from_secs(1)).await;
         stream.write_all(b" ").await?;
     }
 }
 
-async fn never_read(address: SocketAddr, tenant: &str, number: usize, turn: u64) -> io::Result<()> {
+async fn never_read(address: SocketAddr, tenant: &str, number: usize, attempt: u64) -> io::Result<()> {
     let mut stream: TcpStream = Client::connect(Wire::Postgres, address).await?.into_stream();
-    let id = format!("{LARGE_ID_PREFIX}{number}x{turn}");
+    let id = format!("{LARGE_ID_PREFIX}{number}x{attempt}");
     let text = format!(
-        "SELECT content FROM kv WHERE name = 'k{number}' /* id={id},c=daily-report,t={tenant},d=1000,cluster=0 */\0"
+        "SELECT content FROM kv WHERE name = 'k{number}' \
+         /* id={id},c=daily-report,t={tenant},d=1000,cluster=0 */\0"
     );
     stream.write_all(b"Q").await?;
     stream.write_all(&(text.len() as u32 + 4).to_be_bytes()).await?;
     stream.write_all(text.as_bytes()).await?;
-    // Stays until the proxy closes, or half a minute: the answer fills the way.
+    // Waits half a minute at most for the answer, which is never read and fills the buffers on the way.
     let _ = timeout(Duration::from_secs(30), stream.readable()).await;
     sleep(Duration::from_secs(8)).await;
     Ok(())
@@ -169,22 +171,23 @@
         println!("{}: {}", breach.rule, breach.what);
     }
     for (name, outcome) in [("alone", alone), ("crowd", crowded)] {
-        println!("{name}: {} requests sent once more on a new connection", load::resent(&outcome.classes));
+        println!("{name}: {} requests sent again on a new connection", load::resent(&outcome.classes));
     }
-    let written = |outcome: &Outcome| {
+    let served_percent = |outcome: &Outcome| {
         let spec = Spec::sapporo();
         let write = spec.classes.iter().position(|class| class.freshness == Freshness::Write).unwrap_or(0);
         let class = &outcome.classes[write];
         100.0 * class.in_time as f64 / class.offered.max(1) as f64
     };
-    let (with, without) = (written(crowded), written(alone));
+    let (with, without) = (served_percent(crowded), served_percent(alone));
     let broken = alone.verdict.breaches.len() + crowded.verdict.breaches.len();
     let (peak, cap) = (alone.memory.0.max(crowded.memory.0), crowded.memory.1);
     let mb = |bytes: u64| bytes as f64 / f64::from(1 << 20);
     println!(
-        "starve: sale-write served in time {with:.1}% against {without:.1}%, rules broken {broken}, peak memory {:.1} of {:.1} MB",
+        "starve: sale-write served in time {with:.1}% against {without:.1}%, rules broken {broken}, \
+         peak memory {:.1} of {:.1} MB",
         mb(peak),
         mb(cap)
     );
-    with >= without - WORSE && broken == 0 && peak <= cap
+    with >= without - MAX_LOSS_PERCENT && broken == 0 && peak <= cap
 }
--- a/crates/testbench/src/table.rs
+++ b/crates/testbench/src/table.rs
@@ -1,6 +1,6 @@
-//! Tables for people: columns as wide as they need.
+//! Markdown tables with aligned columns, for the output of experiments.
 
-/// Lays rows out in columns; the first column to the left, the others to the right.
+/// Formats a Markdown table. The first column is aligned to the left, the others to the right.
 pub fn lay_out(head: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = head.iter().map(|cell| cell.len()).collect();
     for row in rows {
@@ -25,13 +25,13 @@
             .collect();
         format!("| {} |\n", cells.join(" | "))
     };
-    let rule: Vec<String> = widths
+    let separator: Vec<String> = widths
         .iter()
         .enumerate()
-        .map(|(n, w)| "-".repeat(*w - usize::from(n > 0)) + if n > 0 { ":" } else { "" })
+        .map(|(n, width)| "-".repeat(*width - usize::from(n > 0)) + if n > 0 { ":" } else { "" })
         .collect();
     let mut table = line(head.to_vec());
-    table += &line(rule.iter().map(String::as_str).collect());
+    table += &line(separator.iter().map(String::as_str).collect());
     rows.iter().for_each(|row| table += &line(row.iter().map(String::as_str).collect()));
     table
 }
