--- a/crates/testbench/benches/messages.rs
+++ b/crates/testbench/benches/messages.rs
@@ -1,4 +1,4 @@
-//! What a message costs: a request and its answer, written and read, in both protocols.
+//! Measures the cost of encoding and decoding a request and its answer in both protocols.
 
 use bytes::BytesMut;
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion, Throughput};
@@ -14,9 +14,9 @@
     /* id=9b1f03aa5c7e2d41,c=own-sales,t=minato-asaichi,d=480,cluster=2,after=1767225600123 */";
 
 fn tds_message(kind: PacketType, payload: &[u8]) -> BytesMut {
-    let mut out = BytesMut::new();
-    put_message(&mut out, kind, Status::default(), payload, PACKET_SIZE);
-    out
+    let mut buffer = BytesMut::new();
+    put_message(&mut buffer, kind, Status::default(), payload, PACKET_SIZE);
+    buffer
 }
 
 fn tds_read() -> BytesMut {
@@ -51,31 +51,31 @@
 }
 
 fn postgres_answer(value: &[u8]) -> BytesMut {
-    let mut out = BytesMut::new();
-    row(&mut out, "content", value);
-    ready(&mut out);
-    out
+    let mut buffer = BytesMut::new();
+    row(&mut buffer, "content", value);
+    ready(&mut buffer);
+    buffer
 }
 
 fn requests(c: &mut Criterion) {
     let mut group = c.benchmark_group("request");
     group.bench_function("postgres/write", |b| {
         b.iter(|| {
-            let mut out = BytesMut::with_capacity(256);
-            query(&mut out, black_box(READ.as_bytes()));
-            out
+            let mut buffer = BytesMut::with_capacity(256);
+            query(&mut buffer, black_box(READ.as_bytes()));
+            buffer
         });
     });
     let mut wire = BytesMut::new();
     query(&mut wire, READ.as_bytes());
     group.bench_function("postgres/read", |b| b.iter(|| FrontendMessage::parse(black_box(&wire)).is_ok()));
     group.bench_function("tds/write batch", |b| b.iter(tds_read));
-    let assembled = |mut wire: BytesMut| Assembler::new(65_536).next(&mut wire).ok().flatten();
+    let assemble = |mut wire: BytesMut| Assembler::new(65_536).next(&mut wire).ok().flatten();
     let wire = tds_read();
     group.bench_function("tds/read batch", |b| {
         b.iter_batched(
             || wire.clone(),
-            |wire| assembled(wire).map(|message| batch(&message.payload).is_ok()),
+            |wire| assemble(wire).map(|message| batch(&message.payload).is_ok()),
             BatchSize::SmallInput,
         );
     });
@@ -83,7 +83,7 @@
     group.bench_function("tds/read call", |b| {
         b.iter_batched(
             || wire.clone(),
-            |wire| assembled(wire).map(|message| rpc(&message.payload).is_ok()),
+            |wire| assemble(wire).map(|message| rpc(&message.payload).is_ok()),
             BatchSize::SmallInput,
         );
     });
--- a/crates/testbench/tests/deployments.rs
+++ b/crates/testbench/tests/deployments.rs
@@ -1,4 +1,5 @@
-//! Each deployment on sockets: a real proxy before the stand-in's ledger sets and discovery, under faults.
+//! Runs each emulated deployment on sockets, with a real proxy in front of emulated hosts and discovery,
+//! under faults.
 
 use rstest::rstest;
 use std::rc::Rc;
@@ -14,7 +15,8 @@
 const SECONDS: f64 = 8.0;
 const SEED: u64 = 11;
 
-/// A primary's death, a drain and lag under load, over either protocol: every rule is tried and none is broken.
+/// A primary's death, a drain and lag under load, over each protocol: no rule is broken, and the rules that
+/// each run has to exercise are exercised.
 #[rstest]
 #[case::sapporo(Spec::sapporo(), Wire::Postgres)]
 #[case::tip_ledger(Spec::tip_ledger(), Wire::Postgres)]
@@ -32,15 +34,15 @@
     let classes = load::run(target, planned).await;
     let verdict = rig.installation.verdict().await.expect("a verdict");
     println!("{} over {wire}, seed {SEED}: {classes:?}", spec.name);
-    rig.proxy.end().await.expect("a good end");
+    rig.proxy.end().await.expect("the proxy ends without an error");
     for (rule, tried, broken) in &verdict.rules {
         assert_eq!(*broken, 0, "{rule}: {:?}", verdict.breaches);
         let always = matches!(rule, Rule::Answer | Rule::Value | Rule::Drain | Rule::Stale | Rule::Key);
-        assert!(*tried > 0 || !always, "{rule} was never tried");
+        assert!(*tried > 0 || !always, "{rule} was never checked");
     }
     for class in &classes {
         let served = class.served as f64 / class.offered.max(1) as f64;
-        // A set without a primary takes no writes and has no data that is fresh, for up to 7 of the 8 s.
+        // A group without a primary serves neither writes nor fresh reads, for up to 7 of the 8 s.
         assert!(served > 0.5, "{}: {served:.2} of {} served", class.name, class.offered);
     }
 }
--- a/crates/testbench/tests/drivers.rs
+++ b/crates/testbench/tests/drivers.rs
@@ -1,5 +1,5 @@
-//! Real drivers against the proxy: tiberius on the TDS port, tokio-postgres on the other. Both meet hosts of
-//! both protocols behind it.
+//! Runs real drivers against the proxy: tiberius on the TDS port, tokio-postgres on the PostgreSQL port.
+//! Behind the proxy are hosts of both protocols.
 
 use std::net::SocketAddr;
 use tokio_util::compat::TokioAsyncWriteCompatExt;
@@ -8,7 +8,7 @@
 use wheelpier_emulator::spec::Spec;
 use wheelpier_testbench::rig::Rig;
 
-/// Two ledger sets, the first of which speaks PostgreSQL's protocol and the second TDS.
+/// Starts two groups of hosts, the first of which speaks PostgreSQL's protocol and the second TDS.
 async fn rig() -> Rig {
     let wires = vec![Wire::Postgres, Wire::Tds];
     let options = Options { spec: Spec::sapporo(), seed: 7, wires, script: Script::empty(), proxies: 1 };
@@ -16,7 +16,10 @@
 }
 
 fn read(id: &str, key: &str, group: u32) -> String {
-    format!("SELECT content FROM kv WHERE name = {key} /* id={id},c=own-sales,t=minato-asaichi,d=1200,cluster={group} */")
+    format!(
+        "SELECT content FROM kv WHERE name = {key} \
+         /* id={id},c=own-sales,t=minato-asaichi,d=1200,cluster={group} */"
+    )
 }
 
 fn write(id: &str, values: &str, group: u32) -> String {
@@ -39,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn tiberius_reads_and_writes_as_calls_and_as_batches() {
+async fn tiberius_reads_and_writes_by_calls_and_by_batches() {
     let rig = rig().await;
     let mut client = tiberius(rig.port(Wire::Tds).unwrap()).await;
     for group in 0..2 {
@@ -62,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn tiberius_sends_64_kib_and_reads_errors_and_goes_on() {
+async fn tiberius_sends_64_kib_and_continues_after_errors() {
     let rig = rig().await;
     let mut client = tiberius(rig.port(Wire::Tds).unwrap()).await;
     let value = vec![0x5a; 64 * 1024];
--- a/crates/testbench/tests/hostile.rs
+++ b/crates/testbench/tests/hostile.rs
@@ -1,4 +1,5 @@
-//! A member under a million messages that are no good: recorded, mutated, forged, too long, too short. Outside CI:
+//! Sends a million invalid messages to a member: replayed, mutated, forged, too long, too short. Runs outside
+//! CI:
 //! `cargo test --release -p wheelpier-testbench --test hostile -- --ignored --nocapture`.
 
 use rand::{RngExt, SeedableRng};
@@ -14,10 +15,11 @@
 use wheelpier_testbench::processes::Processes;
 
 const MESSAGES: u64 = 1_000_000;
-const PATIENCE: Duration = Duration::from_secs(40);
+const FORMATION_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Messages as a process that has the fleet's key, and one that has not, would write them.
-fn recorded(address: std::net::SocketAddr) -> Vec<Vec<u8>> {
+/// Returns messages from three senders: one with the fleet's key and id, one with another key, and one with
+/// the id of another fleet.
+fn sample_messages(address: std::net::SocketAddr) -> Vec<Vec<u8>> {
     let target: Name = "p0".into();
     let mut all = Vec::new();
     for (n, (key, fleet)) in [("5e", "lab"), ("5f", "lab"), ("5e", "another")].into_iter().enumerate() {
@@ -47,7 +49,7 @@
     all
 }
 
-fn mutated(mut bytes: Vec<u8>, random: &mut ChaCha8Rng) -> Vec<u8> {
+fn mutate(mut bytes: Vec<u8>, random: &mut ChaCha8Rng) -> Vec<u8> {
     match random.random_range(0..6) {
         0 => {}
         1 => bytes.truncate(random.random_range(0..bytes.len())),
@@ -55,8 +57,8 @@
         3 => bytes.iter_mut().for_each(|byte| *byte = random.random()),
         _ => {
             for _ in 0..random.random_range(1..4) {
-                let at = random.random_range(0..bytes.len());
-                bytes[at] ^= 1 << random.random_range(0..8);
+                let index = random.random_range(0..bytes.len());
+                bytes[index] ^= 1 << random.random_range(0..8);
             }
         }
     }
@@ -65,30 +67,33 @@
 
 #[tokio::test]
 #[ignore = "a million messages: outside CI"]
-async fn a_million_messages_that_are_no_good_change_nothing() {
+async fn a_million_invalid_messages_change_nothing() {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_wheelpier-testbench"));
     let fleet = Processes::start(program, 3, 7).await.unwrap();
-    fleet.until("all found the fleet", PATIENCE, |fleet| fleet.agree(&[0, 1, 2])).await;
+    fleet.until("all members are in the fleet", FORMATION_TIMEOUT, |fleet| fleet.agree(&[0, 1, 2])).await;
     let (view, before) = (fleet.stands(0).0, fleet.memory(0).unwrap());
     let (address, mut random) = (fleet.listens(0), ChaCha8Rng::seed_from_u64(7));
-    let messages = recorded(address);
+    let messages = sample_messages(address);
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let mut half = 0;
+    let mut at_half = 0;
     for n in 0..MESSAGES {
-        let bytes = mutated(messages[random.random_range(0..messages.len())].clone(), &mut random);
+        let bytes = mutate(messages[random.random_range(0..messages.len())].clone(), &mut random);
         let _ = socket.send_to(&bytes, address).await;
         if n % 64 == 0 {
-            // As fast as they are taken, not as they are dropped by the system.
+            // Limits the rate, so that the member reads the messages and the system does not drop them.
             tokio::time::sleep(Duration::from_micros(500)).await;
         }
         if n == MESSAGES / 2 {
-            half = fleet.memory(0).unwrap();
+            at_half = fleet.memory(0).unwrap();
         }
     }
     let after = fleet.memory(0).unwrap();
     let figures = fleet.figures(0).await.unwrap();
-    let taken: Vec<&str> = figures.lines().filter(|line| line.contains("fleet.")).collect();
-    println!("memory {before} KiB before, {half} after half, {after} after all\n{}", taken.join("\n"));
+    let fleet_figures: Vec<&str> = figures.lines().filter(|line| line.contains("fleet.")).collect();
+    println!(
+        "memory {before} KiB before, {at_half} after half, {after} after all\n{}",
+        fleet_figures.join("\n")
+    );
     assert!(fleet.agree(&[0, 1, 2]), "{}", fleet.last_words());
     assert_eq!(fleet.stands(0).0, view, "no view has changed");
     let dropped = |cause: &str| {
@@ -96,8 +101,8 @@
         line.and_then(|count| count.parse::<u64>().ok()).unwrap_or(0)
     };
     for cause in ["garbage", "forged", "fleet", "unproved", "oversized", "version"] {
-        assert!(dropped(cause) > 0, "{cause}: none came through");
+        assert!(dropped(cause) > 0, "{cause}: no message was dropped for this reason");
     }
-    // Whoever is remembered is so in bounded room: the second half of it costs nothing more.
-    assert!(after < half + 1_024, "{half} KiB after half, {after} KiB after all");
+    // The memory for peers is bounded: the second half of the messages must not need more than the first.
+    assert!(after < at_half + 1_024, "{at_half} KiB after half, {after} KiB after all");
 }
