--- a/crates/testbench/src/soak/plan.rs
+++ b/crates/testbench/src/soak/plan.rs
@@ -116,6 +116,7 @@
     pub bounded_reads_only: bool,
 }
 
+/// The sets of system-call faults that a process may get, one of which is drawn.
 const SYSCALL_FAULTS: [&str; 10] = [
     "wait::EINTR:1/4",
     "read::EINTR:1/5;write::EINTR:1/5",
@@ -137,6 +138,7 @@
 const STALLED_LAG_FACTOR: f64 = 1_000.0;
 /// The length of a pause of a process. `LONG_WRITE_DELAY` delays one write in 400 by the same 150 ms.
 pub const PAUSE_LENGTH: Duration = Duration::from_millis(150);
+/// A system-call fault that delays a few writes to clients for long.
 const LONG_WRITE_DELAY: &str = "write:client:hold=150:1/400";
 /// Clients for each process, apart from additional idle clients.
 pub const CLIENTS_PER_PROCESS: usize = 6;
