--- a/crates/testbench/src/soak/ledger.rs
+++ b/crates/testbench/src/soak/ledger.rs
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Checks that a process holds no connection that it should have closed. It is called when the time allowed
-    /// after the order to drain is over.
+    /// Checks that a process holds no connection that it should have closed. It is called when the time
+    /// allowed after the order to drain is over.
     pub fn check_nothing_held(&mut self, run: ProcessRun, ordered: Instant) {
         let is_held = |c: &Connection| c.outstanding == 0 || c.last_sent > ordered + LAST_SEND_ALLOWED;
         let held = self.connections.iter().filter(|(_, c)| c.run == run && is_held(c));
