--- a/crates/testbench/src/processes.rs
+++ b/crates/testbench/src/processes.rs
@@ -356,7 +356,7 @@
     }
 
     /// The members of the latest view that a process has said, and whether it holds its lease.
-    pub fn stands(&self, n: usize) -> (Vec<String>, bool) {
+    pub fn latest_view(&self, n: usize) -> (Vec<String>, bool) {
         let told = self.told();
         let own = told.events.iter().rev().filter(|event| event.process == n);
         let own = own.take_while(|event| event.what != What::Done("started"));
@@ -375,11 +375,11 @@
 
     /// Whether those, and nobody else, are in the view that each of them knows, and hold their leases.
     pub fn agree(&self, those: &[usize]) -> bool {
-        let first = self.stands(those[0]).0;
+        let first = self.latest_view(those[0]).0;
         let names: Vec<&str> = first.iter().filter_map(|member| member.split('#').next()).collect();
         let all =
             names.len() == those.len() && those.iter().all(|n| names.contains(&self.nodes[*n].name.as_str()));
-        all && those.iter().all(|n| self.stands(*n) == (first.clone(), true))
+        all && those.iter().all(|n| self.latest_view(*n) == (first.clone(), true))
     }
 
     /// Waits until something is so; how long that took.
--- a/crates/testbench/tests/hostile.rs
+++ b/crates/testbench/tests/hostile.rs
@@ -69,7 +69,7 @@
     let program = PathBuf::from(env!("CARGO_BIN_EXE_wheelpier-testbench"));
     let fleet = Processes::start(program, 3, 7).await.unwrap();
     fleet.until("all found the fleet", PATIENCE, |fleet| fleet.agree(&[0, 1, 2])).await;
-    let (view, before) = (fleet.stands(0).0, fleet.memory(0).unwrap());
+    let (view, before) = (fleet.latest_view(0).0, fleet.memory(0).unwrap());
     let (address, mut random) = (fleet.listens(0), ChaCha8Rng::seed_from_u64(7));
     let messages = recorded(address);
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
@@ -90,7 +90,7 @@
     let taken: Vec<&str> = figures.lines().filter(|line| line.contains("fleet.")).collect();
     println!("memory {before} KiB before, {half} after half, {after} after all\n{}", taken.join("\n"));
     assert!(fleet.agree(&[0, 1, 2]), "{}", fleet.last_words());
-    assert_eq!(fleet.stands(0).0, view, "no view has changed");
+    assert_eq!(fleet.latest_view(0).0, view, "no view has changed");
     let dropped = |cause: &str| {
         let line = figures.lines().find_map(|line| line.strip_prefix(&format!("gw.fleet.dropped.{cause}=")));
         line.and_then(|count| count.parse::<u64>().ok()).unwrap_or(0)
