--- a/crates/testbench/src/processes.rs
+++ b/crates/testbench/src/processes.rs
@@ -326,7 +326,7 @@
     }
 
     /// Where a process hears the others itself, without a relay.
-    pub fn listens(&self, n: usize) -> SocketAddr {
+    pub fn peer_address(&self, n: usize) -> SocketAddr {
         self.nodes[n].listen
     }
 
--- a/crates/testbench/tests/hostile.rs
+++ b/crates/testbench/tests/hostile.rs
@@ -70,7 +70,7 @@
     let fleet = Processes::start(program, 3, 7).await.unwrap();
     fleet.until("all found the fleet", PATIENCE, |fleet| fleet.agree(&[0, 1, 2])).await;
     let (view, before) = (fleet.latest_view(0).0, fleet.memory(0).unwrap());
-    let (address, mut random) = (fleet.listens(0), ChaCha8Rng::seed_from_u64(7));
+    let (address, mut random) = (fleet.peer_address(0), ChaCha8Rng::seed_from_u64(7));
     let messages = recorded(address);
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let mut half = 0;
