--- a/crates/testbench/src/processes.rs
+++ b/crates/testbench/src/processes.rs
@@ -317,7 +317,7 @@
         let (mut bytes, mut seconds) = (0, 0.0);
         for (n, node) in self.nodes.iter().enumerate() {
             let Some(child) = &node.child else { continue };
-            let figures = self.figures(n).await?;
+            let figures = self.admin_stats(n).await?;
             let sent = figures.lines().find_map(|line| line.strip_prefix("gw.fleet.sent_bytes="));
             bytes += sent.and_then(|sent| sent.parse::<u64>().ok()).ok_or(TestbenchError::Ended)?;
             seconds += on_a_core(child.id())?;
@@ -334,7 +334,7 @@
     ///
     /// # Errors
     /// When the console does not answer.
-    pub async fn figures(&self, n: usize) -> Result<String, TestbenchError> {
+    pub async fn admin_stats(&self, n: usize) -> Result<String, TestbenchError> {
         Ok(get(self.nodes[n].console, "/admin/stats").await?)
     }
 
--- a/crates/testbench/tests/hostile.rs
+++ b/crates/testbench/tests/hostile.rs
@@ -86,7 +86,7 @@
         }
     }
     let after = fleet.memory(0).unwrap();
-    let figures = fleet.figures(0).await.unwrap();
+    let figures = fleet.admin_stats(0).await.unwrap();
     let taken: Vec<&str> = figures.lines().filter(|line| line.contains("fleet.")).collect();
     println!("memory {before} KiB before, {half} after half, {after} after all\n{}", taken.join("\n"));
     assert!(fleet.agree(&[0, 1, 2]), "{}", fleet.last_words());
