--- a/crates/testbench/src/membership.rs
+++ b/crates/testbench/src/membership.rs
@@ -223,7 +223,7 @@
     let played = script.play(&mut fleet).await?;
     let faults = script.faults(&played);
     if !faults.is_empty() {
-        eprintln!("{}\n{}", path.display(), fleet.last_words());
+        eprintln!("{}\n{}", path.display(), fleet.recent_output());
     }
     let name = path.file_stem().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
     Ok(line(name, &script, &played, faults))
--- a/crates/testbench/src/processes.rs
+++ b/crates/testbench/src/processes.rs
@@ -389,14 +389,14 @@
     pub async fn until(&self, what: &str, patience: Duration, so: impl Fn(&Self) -> bool) -> Duration {
         let began = Instant::now();
         while !so(self) {
-            assert!(began.elapsed() < patience, "not within {patience:?}: {what}\n{}", self.last_words());
+            assert!(began.elapsed() < patience, "not within {patience:?}: {what}\n{}", self.recent_output());
             sleep(LOOK).await;
         }
         began.elapsed()
     }
 
     /// The last lines of each process and the last of the history.
-    pub fn last_words(&self) -> String {
+    pub fn recent_output(&self) -> String {
         let told = self.told();
         let lines =
             told.last.iter().flat_map(|(n, lines)| lines.iter().map(move |line| format!("{n}: {line}")));
--- a/crates/testbench/tests/hostile.rs
+++ b/crates/testbench/tests/hostile.rs
@@ -89,7 +89,7 @@
     let figures = fleet.admin_stats(0).await.unwrap();
     let taken: Vec<&str> = figures.lines().filter(|line| line.contains("fleet.")).collect();
     println!("memory {before} KiB before, {half} after half, {after} after all\n{}", taken.join("\n"));
-    assert!(fleet.agree(&[0, 1, 2]), "{}", fleet.last_words());
+    assert!(fleet.agree(&[0, 1, 2]), "{}", fleet.recent_output());
     assert_eq!(fleet.latest_view(0).0, view, "no view has changed");
     let dropped = |cause: &str| {
         let line = figures.lines().find_map(|line| line.strip_prefix(&format!("gw.fleet.dropped.{cause}=")));
--- a/crates/testbench/tests/processes.rs
+++ b/crates/testbench/tests/processes.rs
@@ -28,14 +28,14 @@
     let mut fleet = founded(script.proxies, script.founders(), seed).await;
     let played = script.play(&mut fleet).await.unwrap();
     let faults = script.faults(&played);
-    assert!(faults.is_empty(), "{} with seed {seed}: {faults:#?}\n{}", path.display(), fleet.last_words());
+    assert!(faults.is_empty(), "{} with seed {seed}: {faults:#?}\n{}", path.display(), fleet.recent_output());
 }
 
 /// What a person sees: the causes of a death and of a leave.
 #[tokio::test]
 async fn the_history_tells_a_death_from_a_leave() {
     let mut fleet = founded(4, 4, 8).await;
-    assert!(fleet.leave(2, PATIENCE).await, "{}", fleet.last_words());
+    assert!(fleet.leave(2, PATIENCE).await, "{}", fleet.recent_output());
     fleet.until("three go on", PATIENCE, |fleet| fleet.agree(&[0, 1, 3])).await;
     fleet.kill(1);
     fleet.until("two go on", PATIENCE, |fleet| fleet.agree(&[0, 3])).await;
@@ -51,11 +51,11 @@
     assert!(
         !causes("p2#").is_empty() && causes("p2#").iter().all(|cause| *cause == "Left"),
         "{}",
-        fleet.last_words()
+        fleet.recent_output()
     );
     assert!(
         !causes("p1#").is_empty() && causes("p1#").iter().all(|cause| *cause == "Gone"),
         "{}",
-        fleet.last_words()
+        fleet.recent_output()
     );
 }
