--- a/crates/testbench/src/fault_script.rs
+++ b/crates/testbench/src/fault_script.rs
@@ -170,7 +170,7 @@
     /// Plays it in virtual time.
     pub fn play_virtually(&self, seed: u64) -> Played {
         let mut fleet = Fleet::recorded(self.proxies, self.founders(), seed);
-        fleet.settles_within(60 * SECOND);
+        fleet.run_until_settled(60 * SECOND);
         fleet.until(fleet.now + 2 * SECOND);
         let steps = self.steps.iter().flat_map(|step| {
             let at = step.at_ms as i64 * MS;
--- a/crates/testbench/src/members.rs
+++ b/crates/testbench/src/members.rs
@@ -491,7 +491,7 @@
     ///
     /// # Panics
     /// When it takes longer.
-    pub fn settles_within(&mut self, span: i64) -> i64 {
+    pub fn run_until_settled(&mut self, span: i64) -> i64 {
         let begin = self.now;
         while self.settled().is_none() {
             assert!(self.now - begin < span, "not settled after {} s: {}", span / SECOND, self.told());
@@ -510,7 +510,7 @@
     /// The fleet as it stands once all are in, and have been for a while.
     pub fn founded(members: usize, keeps: bool, seed: u64) -> Self {
         let mut fleet = Self::new(members, members.min(5), keeps, seed);
-        fleet.settles_within(60 * SECOND);
+        fleet.run_until_settled(60 * SECOND);
         fleet.until(fleet.now + 2 * SECOND);
         fleet
     }
--- a/crates/testbench/src/scale.rs
+++ b/crates/testbench/src/scale.rs
@@ -108,14 +108,14 @@
 
     fn measure(&self, members: usize) -> Line {
         let mut fleet = Fleet::new(members, members.min(5), false, self.seed);
-        let settled_ms = fleet.settles_within(300 * SECOND) / 1_000;
+        let settled_ms = fleet.run_until_settled(300 * SECOND) / 1_000;
         fleet.play(Vec::new(), 5 * SECOND);
         let calm = self.stretch(&mut fleet, members, Vec::new());
         let epoch = fleet.epoch();
         let storm = self.stretch(&mut fleet, members, vec![(0, FleetFault::Loss(0.2))]);
         let wrongly_out = fleet.epoch() - epoch;
         fleet.play(vec![(0, FleetFault::Heal)], SECOND);
-        fleet.settles_within(60 * SECOND);
+        fleet.run_until_settled(60 * SECOND);
         let (mut outs, mut spreads) = (Vec::new(), Vec::new());
         let mut more = 0;
         for n in 0..self.kills.min(members / 3) {
--- a/crates/testbench/tests/members.rs
+++ b/crates/testbench/tests/members.rs
@@ -9,7 +9,7 @@
 fn seeds_found_the_fleet_and_the_others_join(#[values(1, 2, 3, 5, 7, 20)] members: usize) {
     for seed in 0..3 {
         let mut fleet = Fleet::new(members, members.min(5), false, seed);
-        let took = fleet.settles_within(20 * SECOND);
+        let took = fleet.run_until_settled(20 * SECOND);
         println!("{members} members, seed {seed}: settled after {} ms in view {}", took / MS, fleet.epoch());
     }
 }
@@ -28,7 +28,7 @@
         let (at, view) = out.expect("it is out within 6 s");
         assert_eq!((*at, view.members.len()), (epoch + 1, 6), "seed {seed}: nobody else is out");
         took.push(fleet.adopted[at] - begin);
-        fleet.settles_within(6 * SECOND);
+        fleet.run_until_settled(6 * SECOND);
     }
     took.sort_unstable();
     println!("a kill of one of 7 to the view without it: p50 {} ms, p99 {} ms", took[30] / MS, took[59] / MS);
@@ -60,7 +60,7 @@
         fleet.play(vec![(0, FleetFault::Cut(a, b))], 20 * SECOND);
         assert_eq!(fleet.epoch(), epoch, "from {a} to {b}");
         fleet.play(vec![(0, FleetFault::Heal)], SECOND);
-        fleet.settles_within(5 * SECOND);
+        fleet.run_until_settled(5 * SECOND);
     }
 }
 
@@ -76,7 +76,7 @@
         assert!(fleet.epoch() - epoch <= most, "seed {seed}: {:?}", fleet.views);
         assert_eq!(fleet.fenced(), if most > 0 { 2 } else { 5 }, "seed {seed}");
         fleet.play(vec![(0, FleetFault::Heal)], SECOND);
-        let took = fleet.settles_within(15 * SECOND);
+        let took = fleet.run_until_settled(15 * SECOND);
         println!("seed {seed}: together {} ms after the healing", 1_000 + took / MS);
     }
 }
@@ -92,7 +92,7 @@
         if ms <= 900 {
             assert_eq!(fleet.epoch(), epoch, "a healthy member looked dead");
         }
-        fleet.settles_within(15 * SECOND);
+        fleet.run_until_settled(15 * SECOND);
     }
 }
 
@@ -102,7 +102,7 @@
         let mut fleet = Fleet::founded(5, false, seed);
         let script = (0..3).map(|n| (n * 100 * MS, FleetFault::Pause(n as usize, 8 * SECOND))).collect();
         fleet.play(script, 9 * SECOND);
-        fleet.settles_within(15 * SECOND);
+        fleet.run_until_settled(15 * SECOND);
     }
 }
 
@@ -113,7 +113,7 @@
         let mut fleet = Fleet::founded(5, keeps, victim as u64);
         let script = vec![(0, FleetFault::Kill(victim)), (300 * MS, FleetFault::Start(victim))];
         fleet.play(script, SECOND);
-        fleet.settles_within(15 * SECOND);
+        fleet.run_until_settled(15 * SECOND);
     }
 }
 
@@ -125,14 +125,14 @@
     let kills = (0..5).map(|n| (0, FleetFault::Kill(n)));
     let starts = (0..5).map(|n| ((1 + n as i64) * SECOND, FleetFault::Start(n)));
     fleet.play(kills.chain(starts).collect(), 7 * SECOND);
-    fleet.settles_within(20 * SECOND);
+    fleet.run_until_settled(20 * SECOND);
     assert!(fleet.epoch() >= epoch);
 }
 
 #[test]
 fn fifty_that_join_at_once_are_let_in() {
     let mut fleet = Fleet::new(55, 5, false, 9);
-    let took = fleet.settles_within(30 * SECOND);
+    let took = fleet.run_until_settled(30 * SECOND);
     println!("55 members settled after {} ms in view {}", took / MS, fleet.epoch());
 }
 
@@ -142,7 +142,7 @@
     let epoch = fleet.epoch();
     fleet.play(vec![(0, FleetFault::Leave(2))], SECOND);
     assert_eq!((fleet.epoch(), fleet.left.len()), (epoch + 1, 1));
-    fleet.settles_within(5 * SECOND);
+    fleet.run_until_settled(5 * SECOND);
 }
 
 fn faults() -> impl Strategy<Value = Vec<(i64, FleetFault)>> {
@@ -171,7 +171,7 @@
         fleet.play(script, 21 * SECOND);
         let heal = std::iter::once((0, FleetFault::Heal)).chain((0..5).map(|n| (10 * MS, FleetFault::Start(n))));
         fleet.play(heal.collect(), 9 * SECOND);
-        fleet.settles_within(315 * SECOND);
+        fleet.run_until_settled(315 * SECOND);
     }
 }
 
@@ -192,7 +192,7 @@
     ];
     fleet.play(script, 30 * SECOND);
     fleet.play(vec![(0, FleetFault::Heal)], SECOND);
-    fleet.settles_within(315 * SECOND);
+    fleet.run_until_settled(315 * SECOND);
     let epoch = fleet.epoch();
     fleet.play(Vec::new(), 60 * SECOND);
     assert_eq!(fleet.epoch(), epoch);
@@ -204,7 +204,7 @@
     for ms in (0..3_000).step_by(10) {
         let mut fleet = Fleet::founded(5, false, 1_000 + ms as u64);
         fleet.play(vec![(0, FleetFault::Kill(4)), (ms * MS, FleetFault::Pause(0, 5_000 * MS))], 9 * SECOND);
-        fleet.settles_within(30 * SECOND);
+        fleet.run_until_settled(30 * SECOND);
         assert!(fleet.settled().is_some_and(|view| view.members.len() == 4), "{ms} ms");
     }
 }
@@ -217,7 +217,7 @@
         let epoch = fleet.epoch();
         fleet.play(vec![(0, FleetFault::Lies(seed as usize % 5))], 30 * SECOND);
         assert_eq!(fleet.epoch(), epoch, "seed {seed}");
-        fleet.settles_within(SECOND);
+        fleet.run_until_settled(SECOND);
     }
 }
 
