--- a/crates/testbench/src/members.rs
+++ b/crates/testbench/src/members.rs
@@ -98,7 +98,7 @@
     /// Each view that was adopted, by number.
     pub views: BTreeMap<u64, View>,
     /// When each was first adopted.
-    pub adopted: BTreeMap<u64, i64>,
+    pub view_adopted_at: BTreeMap<u64, i64>,
     /// Bytes sent, with what goes round each message.
     pub bytes: u64,
     /// Messages sent.
@@ -106,7 +106,7 @@
     /// Who has taken its leave.
     pub left: BTreeSet<usize>,
     /// When each member first had each view.
-    pub known: BTreeMap<(u64, usize), i64>,
+    pub member_adopted_at: BTreeMap<(u64, usize), i64>,
 }
 
 fn what(change: MembershipChange, lease_until: i64) -> What {
@@ -157,11 +157,11 @@
             records: false,
             history: Vec::new(),
             views: BTreeMap::new(),
-            adopted: BTreeMap::new(),
+            view_adopted_at: BTreeMap::new(),
             bytes: 0,
             messages: 0,
             left: BTreeSet::new(),
-            known: BTreeMap::new(),
+            member_adopted_at: BTreeMap::new(),
         }
     }
 
@@ -280,8 +280,8 @@
             Output::Consensus(Event::View(view)) => {
                 let first = self.views.entry(view.epoch).or_insert_with(|| view.clone());
                 assert_eq!(*first, view, "two views with one number");
-                self.adopted.entry(view.epoch).or_insert(self.now);
-                self.known.entry((view.epoch, n)).or_insert(self.now);
+                self.view_adopted_at.entry(view.epoch).or_insert(self.now);
+                self.member_adopted_at.entry((view.epoch, n)).or_insert(self.now);
             }
             Output::Consensus(Event::ConflictingView(view)) => panic!("forked: {view:?}"),
             Output::Left => {
--- a/crates/testbench/src/scale.rs
+++ b/crates/testbench/src/scale.rs
@@ -125,9 +125,14 @@
             fleet.play(vec![(0, FleetFault::Kill(victim))], 6 * SECOND);
             let name = fleet.names[victim].clone();
             let out = fleet.views.range(epoch + 1..).find(|(_, view)| view.member_named(&name).is_none());
-            let Some((at, first)) = out.map(|(at, _)| (*at, fleet.adopted[at])) else { continue };
+            let Some((at, first)) = out.map(|(at, _)| (*at, fleet.view_adopted_at[at])) else { continue };
             outs.push((first - begin) / 1_000);
-            let last = fleet.known.range((at, 0)..(at + 1, 0)).map(|(_, when)| *when).max().unwrap_or(first);
+            let last = fleet
+                .member_adopted_at
+                .range((at, 0)..(at + 1, 0))
+                .map(|(_, when)| *when)
+                .max()
+                .unwrap_or(first);
             spreads.push((last - first) / 1_000);
             more += (fleet.epoch() - epoch).saturating_sub(1);
         }
--- a/crates/testbench/tests/members.rs
+++ b/crates/testbench/tests/members.rs
@@ -27,7 +27,7 @@
         let out = fleet.views.range(epoch + 1..).find(|(_, view)| view.member_named(&gone).is_none());
         let (at, view) = out.expect("it is out within 6 s");
         assert_eq!((*at, view.members.len()), (epoch + 1, 6), "seed {seed}: nobody else is out");
-        took.push(fleet.adopted[at] - begin);
+        took.push(fleet.view_adopted_at[at] - begin);
         fleet.run_until_settled(6 * SECOND);
     }
     took.sort_unstable();
