--- a/crates/testbench/src/fleet/cold.rs
+++ b/crates/testbench/src/fleet/cold.rs
@@ -1,31 +1,33 @@
-//! Load of cold hosts, from all proxies together, against the most that one may get.
+//! Load of cold hosts from all proxies together, relative to the limit on the load of one cold host.
 
 use std::collections::VecDeque;
 use wheelpier_emulator::spec::Spec;
 use wheelpier_emulator::Micros;
 
-/// The highest load of one cold host in any span of [`Spec::fall`], in parts of the bound that holds at its end.
+/// The highest load of one cold host in any window of [`Spec::slow_start_budget_window`], as fractions of the
+/// limits at the end of the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdPeak {
-    /// Attempts, each as one request of mean work.
+    /// Load if each attempt counts as one request of mean work, as a fraction of the bound.
     pub attempts: f64,
-    /// Attempts, each with work drawn from an exponential distribution.
+    /// Load if the work of each attempt is drawn from an exponential distribution, as a fraction of the
+    /// bound.
     pub work: f64,
-    /// Attempts in parts of N, the allowance without the slack for chance.
+    /// Attempts as a fraction of N, the allowance without the margin for chance that the bound adds.
     pub allowance: f64,
 }
 
-/// One attempt.
+/// An attempt at a cold host.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     at: Micros,
-    /// In parts of the mean.
+    /// Work as a fraction of the mean.
     work: f64,
-    /// Whether its proxy knew of the host's start.
+    /// Whether its proxy knew the host's start time.
     informed: bool,
 }
 
-/// Attempts at one cold host in the latest [`Spec::fall`].
+/// Attempts at one cold host within the last [`Spec::slow_start_budget_window`].
 #[derive(Clone, Debug, Default)]
 pub(super) struct ColdLoad {
     recent: VecDeque<Attempt>,
@@ -34,8 +36,8 @@
 }
 
 impl ColdLoad {
-    /// Counts an attempt at a host that started at `started`; `work` is in parts of the mean, and `informed` says
-    /// whether its proxy knew of the start. Returns whether the host was still cold.
+    /// Counts an attempt at a host that started at `started`. `work` is a fraction of the mean, and
+    /// `informed` tells whether the proxy knew the start time. Returns whether the host was still cold.
     pub fn add(&mut self, spec: &Spec, started: Micros, now: Micros, work: f64, informed: bool) -> bool {
         if now - started >= spec.slow_start_window {
             return false;
@@ -48,7 +50,7 @@
                 / spec.slow_start_window as f64;
         let allowance = spec.cold_allowance(warmth);
         let bound = Spec::cold_bound(allowance);
-        // Proxies that do not know of a start cannot hold back: such a span is no breach.
+        // Proxies that do not know of a start cannot limit their load, so such a window does not count.
         if !self.mostly_informed() {
             return true;
         }
@@ -60,7 +62,7 @@
         true
     }
 
-    /// Whether over two thirds of the latest attempts came from proxies that knew of the start.
+    /// Returns whether over two thirds of the recent attempts came from proxies that knew the start time.
     pub fn mostly_informed(&self) -> bool {
         let informed = self.recent.iter().filter(|attempt| attempt.informed).count();
         3 * informed > 2 * self.recent.len()
--- a/crates/testbench/src/fleet/day.rs
+++ b/crates/testbench/src/fleet/day.rs
@@ -1,4 +1,4 @@
-//! The day that a fleet plays: its hosts, its load and what happens.
+//! Scenarios for the simulated fleet: hosts, load and incidents.
 
 use wheelpier_decisions::Settings;
 use wheelpier_emulator::schedule::{plan, Planned};
@@ -6,58 +6,60 @@
 use wheelpier_emulator::world::HostFault;
 use wheelpier_emulator::Micros;
 
-/// What happens to the fleet itself, or to its hosts.
+/// A fault of the hosts or of the fleet itself.
 #[derive(Clone, Debug)]
 pub enum Incident {
-    /// A fault of the world's.
+    /// A fault of the emulated hosts.
     World(HostFault),
-    /// That proxy is killed, and starts again from nothing after the span.
+    /// Kills the proxy with this index. It starts again without any state after the given time in
+    /// microseconds.
     Restart(usize, Micros),
 }
 
-/// A day of a fleet.
+/// A scenario for the simulated fleet.
 #[derive(Clone, Debug)]
-pub struct Day {
-    /// What the hosts are made of.
+pub struct Scenario {
+    /// The emulated deployment.
     pub spec: Spec,
-    /// Proxies.
+    /// Number of proxies.
     pub routers: usize,
-    /// Requests a second, from all clients.
+    /// Requests per second from all clients.
     pub rate: f64,
-    /// How long clients ask, in microseconds.
-    pub span: Micros,
-    /// Seed of all that is drawn.
+    /// Time during which clients send requests, in microseconds.
+    pub duration: Micros,
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Changes the settings that the spec gives.
-    pub tune: fn(&mut Settings),
-    /// What happens, and when, in microseconds from the start.
+    /// Adjusts the settings that the spec gives.
+    pub adjust_settings: fn(&mut Settings),
+    /// Incidents and their times, in microseconds from the start.
     pub incidents: Vec<(Micros, Incident)>,
-    /// How often a client comes again that was turned away.
-    pub again: u32,
-    /// Load on top of [`Self::rate`].
+    /// Number of times that a client retries a request that was not served.
+    pub max_client_retries: u32,
+    /// Additional load on top of [`Self::rate`].
     pub burst: Option<Burst>,
-    /// Hosts that start for the first time, and when, in microseconds from the start.
-    pub joins: Vec<(usize, Micros)>,
+    /// Hosts that start for the first time during the scenario, with their start times in microseconds from
+    /// the start.
+    pub first_starts: Vec<(usize, Micros)>,
 }
 
-/// More requests for a while.
+/// A temporary increase of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct Burst {
-    /// When it begins, in microseconds from the start.
+    /// Start of the burst, in microseconds from the start of the scenario.
     pub at: Micros,
-    /// How long it lasts, in microseconds.
-    pub span: Micros,
-    /// Requests a second during the burst, in parts of [`Day::rate`].
-    pub times: f64,
+    /// Length of the burst, in microseconds.
+    pub duration: Micros,
+    /// Load during the burst, as a multiple of [`Scenario::rate`].
+    pub multiplier: f64,
 }
 
-impl Day {
-    /// All requests of the day, those of the burst included.
+impl Scenario {
+    /// Returns all requests of the scenario, including those of the burst.
     pub(super) fn requests(&self) -> Vec<Planned> {
-        let mut all = plan(&self.spec, self.seed, self.rate, self.span);
+        let mut all = plan(&self.spec, self.seed, self.rate, self.duration);
         let Some(burst) = self.burst else { return all };
-        let rate = self.rate * (burst.times - 1.0).max(0.0);
-        let more = plan(&self.spec, self.seed ^ 0xb1257, rate, burst.span);
+        let rate = self.rate * (burst.multiplier - 1.0).max(0.0);
+        let more = plan(&self.spec, self.seed ^ 0xb1257, rate, burst.duration);
         all.extend(more.into_iter().map(|planned| Planned { at: planned.at + burst.at, ..planned }));
         all
     }
