--- a/crates/testbench/src/scale.rs
+++ b/crates/testbench/src/scale.rs
@@ -113,14 +113,14 @@
 
     fn measure(&self, members: usize) -> FleetResult {
         let mut fleet = Fleet::new(members, members.min(5), false, self.seed);
-        let formed_ms = fleet.settles_within(300 * SECOND) / 1_000;
+        let formed_ms = fleet.run_until_settled(300 * SECOND) / 1_000;
         fleet.play(Vec::new(), 5 * SECOND);
         let calm = self.measure_traffic(&mut fleet, members, Vec::new());
         let epoch = fleet.epoch();
         let lossy = self.measure_traffic(&mut fleet, members, vec![(0, FleetFault::Loss(0.2))]);
         let wrongly_evicted = fleet.epoch() - epoch;
         fleet.play(vec![(0, FleetFault::Heal)], SECOND);
-        fleet.settles_within(60 * SECOND);
+        fleet.run_until_settled(60 * SECOND);
         let (mut eviction_times, mut spread_times) = (Vec::new(), Vec::new());
         let mut further_evictions = 0;
         for n in 0..self.kills.min(members / 3) {
@@ -131,9 +131,16 @@
             let name = fleet.names[victim].clone();
             let eviction =
                 fleet.views.range(epoch + 1..).find(|(_, view)| view.member_named(&name).is_none());
-            let Some((at, first)) = eviction.map(|(at, _)| (*at, fleet.adopted[at])) else { continue };
+            let Some((at, first)) = eviction.map(|(at, _)| (*at, fleet.view_adopted_at[at])) else {
+                continue;
+            };
             eviction_times.push((first - killed_at) / 1_000);
-            let last = fleet.known.range((at, 0)..(at + 1, 0)).map(|(_, when)| *when).max().unwrap_or(first);
+            let last = fleet
+                .member_adopted_at
+                .range((at, 0)..(at + 1, 0))
+                .map(|(_, when)| *when)
+                .max()
+                .unwrap_or(first);
             spread_times.push((last - first) / 1_000);
             further_evictions += (fleet.epoch() - epoch).saturating_sub(1);
         }
--- a/crates/testbench/tests/hostile.rs
+++ b/crates/testbench/tests/hostile.rs
@@ -71,8 +71,8 @@
     let program = PathBuf::from(env!("CARGO_BIN_EXE_wheelpier-testbench"));
     let fleet = Processes::start(program, 3, 7).await.unwrap();
     fleet.until("all members are in the fleet", FORMATION_TIMEOUT, |fleet| fleet.agree(&[0, 1, 2])).await;
-    let (view, before) = (fleet.stands(0).0, fleet.memory(0).unwrap());
-    let (address, mut random) = (fleet.listens(0), ChaCha8Rng::seed_from_u64(7));
+    let (view, before) = (fleet.latest_view(0).0, fleet.memory(0).unwrap());
+    let (address, mut random) = (fleet.peer_address(0), ChaCha8Rng::seed_from_u64(7));
     let messages = sample_messages(address);
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let mut at_half = 0;
@@ -88,14 +88,14 @@
         }
     }
     let after = fleet.memory(0).unwrap();
-    let figures = fleet.figures(0).await.unwrap();
+    let figures = fleet.admin_stats(0).await.unwrap();
     let fleet_figures: Vec<&str> = figures.lines().filter(|line| line.contains("fleet.")).collect();
     println!(
         "memory {before} KiB before, {at_half} after half, {after} after all\n{}",
         fleet_figures.join("\n")
     );
-    assert!(fleet.agree(&[0, 1, 2]), "{}", fleet.last_words());
-    assert_eq!(fleet.stands(0).0, view, "no view has changed");
+    assert!(fleet.agree(&[0, 1, 2]), "{}", fleet.recent_output());
+    assert_eq!(fleet.latest_view(0).0, view, "no view has changed");
     let dropped = |cause: &str| {
         let line = figures.lines().find_map(|line| line.strip_prefix(&format!("gw.fleet.dropped.{cause}=")));
         line.and_then(|count| count.parse::<u64>().ok()).unwrap_or(0)
