--- a/crates/decisions/src/interface/freshness.rs
+++ b/crates/decisions/src/interface/freshness.rs
@@ -69,7 +69,7 @@
 
     /// Returns the latest time at which a request may be written to a host known to have applied the position
     /// `applied`; `None` if there is no limit.
-    pub fn latest_write(self, applied: LogPosition) -> Option<Timestamp> {
+    pub fn write_deadline(self, applied: LogPosition) -> Option<Timestamp> {
         match self {
             Self::MaxStaleness(bound) => Some(Timestamp(applied.0.saturating_add(bound.0))),
             _ => None,
--- a/crates/decisions/src/routing/freshness.rs
+++ b/crates/decisions/src/routing/freshness.rs
@@ -59,7 +59,7 @@
 /// time limit. The limit exists because a replica may fall behind, and a primary may lose its role, before
 /// the read is written.
 pub(super) fn write_deadline(host: &Host, requirement: ReadRequirement, now: Timestamp) -> Option<Timestamp> {
-    let by_position = requirement.latest_write(host.applied_position);
+    let by_position = requirement.write_deadline(host.applied_position);
     if !host.supports_fresh_read(now) {
         return by_position;
     }
