--- a/crates/decisions/src/state/session_positions.rs
+++ b/crates/decisions/src/state/session_positions.rs
@@ -163,7 +163,7 @@
     /// Returns the position of a session's last known commit, or the group's floor for an unknown session.
     pub fn last_commit(&self, session: SessionId, group: u32) -> LogPosition {
         let known = self.generations.iter().find_map(|generation| generation.get(session.0));
-        known.map_or_else(|| self.floor(group), LogPosition)
+        known.map_or_else(|| self.eviction_floor(group), LogPosition)
     }
 
     /// Records that an attempt of a session's write was sent to a group.
@@ -190,7 +190,7 @@
     /// Returns the position that the data for a read arriving at `now` must include. If a write of the
     /// session is unconfirmed, that is `now`, so that the read sees all commits before it.
     pub fn required_position(&self, session: Option<SessionId>, group: u32, now: Timestamp) -> LogPosition {
-        let Some(session) = session else { return self.floor(group) };
+        let Some(session) = session else { return self.eviction_floor(group) };
         if self.unconfirmed_writes.is_unconfirmed(session, group, now) {
             return LogPosition(now.0);
         }
@@ -204,7 +204,7 @@
     }
 
     /// Returns the position of the latest evicted commit of a group, or the lowest position if there is none.
-    pub fn floor(&self, group: u32) -> LogPosition {
+    pub fn eviction_floor(&self, group: u32) -> LogPosition {
         LogPosition(self.floors.get(&group).copied().unwrap_or(NO_POSITION))
     }
 
--- a/crates/decisions/tests/state.rs
+++ b/crates/decisions/tests/state.rs
@@ -128,7 +128,7 @@
     let mut sessions = SessionPositions::new(4);
     sessions.record_commit(SessionId(10), 0, LogPosition(500));
     sessions.record_commit(SessionId(11), 1, LogPosition(900));
-    while sessions.evict_oldest() > 0 || sessions.floor(0) == LogPosition(i64::MIN) {
+    while sessions.evict_oldest() > 0 || sessions.eviction_floor(0) == LogPosition(i64::MIN) {
         sessions.record_commit(SessionId(sessions.len() as u64 + 20), 2, LogPosition(1));
     }
     assert_eq!(sessions.last_commit(SessionId(10), 0), LogPosition(500));
