--- a/crates/decisions/src/budget/mod.rs
+++ b/crates/decisions/src/budget/mod.rs
@@ -148,9 +148,9 @@
     /// # Errors
     /// Returns an error if the reserves of its accounts add up to more than the new cap; the cap is then
     /// unchanged.
-    pub fn resize(&self, purpose: Purpose, cap: u64, now: Timestamp) -> Result<(), BudgetError> {
-        let resized = self.pools().by_purpose[purpose as usize].resize(cap, now, &mut Vec::new());
-        resized.map_err(|error| BudgetError::Purpose(purpose, error))
+    pub fn set_cap(&self, purpose: Purpose, cap: u64, now: Timestamp) -> Result<(), BudgetError> {
+        let result = self.pools().by_purpose[purpose as usize].set_cap(cap, now, &mut Vec::new());
+        result.map_err(|error| BudgetError::Purpose(purpose, error))
     }
 }
 
--- a/crates/decisions/src/budget/pool.rs
+++ b/crates/decisions/src/budget/pool.rs
@@ -242,7 +242,12 @@
     ///
     /// # Errors
     /// Returns an error if the reserves add up to more than the new cap; the cap is then unchanged.
-    pub fn resize(&mut self, cap: u64, now: Timestamp, reclaims: &mut Vec<Reclaim>) -> Result<(), PoolError> {
+    pub fn set_cap(
+        &mut self,
+        cap: u64,
+        now: Timestamp,
+        reclaims: &mut Vec<Reclaim>,
+    ) -> Result<(), PoolError> {
         self.check_reserves(cap)?;
         self.cap = cap;
         let excess = self.used.saturating_sub(cap);
--- a/crates/decisions/tests/budget.rs
+++ b/crates/decisions/tests/budget.rs
@@ -108,7 +108,7 @@
                     drop(reservations.swap_remove(reservation % reservations.len()))
                 }
                 Operation::SetCap { purpose, cap } => {
-                    budget.resize(PURPOSES[purpose], cap, now).unwrap();
+                    budget.set_cap(PURPOSES[purpose], cap, now).unwrap();
                     caps[purpose] = cap;
                 }
                 _ => {}
@@ -203,11 +203,11 @@
     let mut reclaims = Vec::new();
     pool.reserve(AccountId(0), 50, Timestamp(0), &mut reclaims).unwrap();
     pool.reserve(AccountId(1), 40, Timestamp(0), &mut reclaims).unwrap();
-    pool.resize(40, Timestamp(0), &mut reclaims).unwrap();
+    pool.set_cap(40, Timestamp(0), &mut reclaims).unwrap();
     let reclaimed: u64 = reclaims.iter().map(|reclaim| reclaim.bytes).sum();
     assert!((50..=52).contains(&reclaimed), "{reclaims:?}");
     assert!(pool.reserve(AccountId(0), 1, Timestamp(0), &mut reclaims).is_err());
-    assert!(pool.resize(9, Timestamp(0), &mut reclaims).is_err());
+    assert!(pool.set_cap(9, Timestamp(0), &mut reclaims).is_err());
 }
 
 /// Visits every state of a pool of 6 bytes with three accounts that reserve and release one or two bytes. An
