--- a/crates/decisions/src/load/decaying_average.rs
+++ b/crates/decisions/src/load/decaying_average.rs
@@ -17,18 +17,18 @@
 
 impl DecayingAverage {
     /// Returns the factor, from 0 to 1, by which the average has decayed since the latest sample.
-    pub fn remaining_weight(&self, now: Timestamp, time_constant_us: f64) -> f64 {
+    pub fn decay_factor(&self, now: Timestamp, time_constant_us: f64) -> f64 {
         (-((now.0 - self.updated_at.0).max(0) as f64) / time_constant_us).exp()
     }
 
     /// Returns the decayed average at `now`.
     pub fn value_at(&self, now: Timestamp, time_constant_us: f64) -> f64 {
-        self.value * self.remaining_weight(now, time_constant_us)
+        self.value * self.decay_factor(now, time_constant_us)
     }
 
     /// Adds a sample. Its weight is at least `min_weight` and grows with the time since the previous sample.
     pub fn record(&mut self, now: Timestamp, sample: f64, min_weight: f64, time_constant_us: f64) {
-        let weight = min_weight.max(1.0 - self.remaining_weight(now, time_constant_us));
+        let weight = min_weight.max(1.0 - self.decay_factor(now, time_constant_us));
         self.value += weight * (sample - self.value);
         self.updated_at = now;
     }
--- a/crates/decisions/src/load/group_latency.rs
+++ b/crates/decisions/src/load/group_latency.rs
@@ -70,7 +70,7 @@
     /// ago).
     pub fn confidence(&self, group: u32, role: Role, now: Timestamp) -> f64 {
         let history = self.history(group, role);
-        history.map_or(0.0, |history| history.latency_ratio.remaining_weight(now, self.time_constant_us))
+        history.map_or(0.0, |history| history.latency_ratio.decay_factor(now, self.time_constant_us))
     }
 
     fn history(&self, group: u32, role: Role) -> Option<&ResponseHistory> {
