--- a/crates/decisions/src/interface/action.rs
+++ b/crates/decisions/src/interface/action.rs
@@ -15,9 +15,9 @@
         host: HostId,
         /// Timeout of the attempt; `None` if only the client's deadline limits it.
         timeout: Option<TimeDelta>,
-        /// Required freshness of the answer's data, where the caller verifies answers.
+        /// Required freshness of the response, where the caller verifies responses.
         requirement: ReadRequirement,
-        /// Latest time at which the request may be written: after it, nothing proves that the host's data are
+        /// Latest time at which the request may be written: after it, nothing shows that the host's data is
         /// recent enough. `None` if there is no limit.
         write_by: Option<Timestamp>,
     },
--- a/crates/decisions/src/interface/event.rs
+++ b/crates/decisions/src/interface/event.rs
@@ -20,9 +20,9 @@
     /// Time between the commit of the session's last write and the arrival of the request; `None` if the
     /// client gives none.
     pub time_since_write: Option<TimeDelta>,
-    /// Whether the client marked it as a retry of its own.
+    /// Whether the client marked the request as its own retry of an earlier one.
     pub is_client_retry: bool,
-    /// Time from the arrival until the client stops waiting for the answer.
+    /// Time from the arrival until the client stops waiting for its answer.
     pub timeout: TimeDelta,
     /// The client's session, if the class has sessions.
     pub session: Option<SessionId>,
@@ -69,13 +69,14 @@
     pub latency: TimeDelta,
     /// Whether the request has ended, with this attempt or earlier.
     pub request_closed: bool,
-    /// Applied position that the answer carries; for a write, the position of its commit.
+    /// Applied position that the response carries; for a write, the position of its commit.
     pub position: Option<LogPosition>,
-    /// The host's role, if the answer carries it.
+    /// The host's role, if the response carries it.
     pub role: Option<Role>,
-    /// Whether the query was written, but the part of the answer that carries the host's role did not arrive.
+    /// Whether the query was written, but the part of the response that carries the host's role did not
+    /// arrive.
     pub answer_lost: bool,
-    /// The load report that came with the answer.
+    /// The load report that came with the response.
     pub report: Option<LoadReport>,
 }
 
@@ -84,7 +85,7 @@
 pub enum Event {
     /// A watch event of the endpoint list, with its entries.
     EndpointList(EndpointUpdate, Vec<EndpointEntry>),
-    /// A client's request arrived; the router owes it exactly one final reply.
+    /// A client's request arrived; the client has to get exactly one final reply.
     RequestArrived(Request),
     /// An attempt ended.
     AttemptEnded(AttemptResult),
@@ -96,12 +97,12 @@
         outcome: Outcome,
         /// Time from the send to the end.
         latency: TimeDelta,
-        /// The load report that came with the answer.
+        /// The load report that came with the response.
         report: Option<LoadReport>,
     },
-    /// The client of a request disconnected; the request needs no final reply any more.
+    /// The client of a request disconnected; the request needs no final reply.
     ClientDisconnected(RequestId),
-    /// The answer to a streamed request started; the attempt's timeout and the request's deadline no longer
+    /// The response to a streamed request started; the attempt's timeout and the request's deadline no longer
     /// apply.
     ResponseStarted {
         /// The request.
--- a/crates/decisions/src/interface/freshness.rs
+++ b/crates/decisions/src/interface/freshness.rs
@@ -1,4 +1,4 @@
-//! Positions in the replication log, and the required freshness of answers.
+//! Positions in the replication log, and the required freshness of responses.
 
 use crate::time::{TimeDelta, Timestamp};
 
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LogPosition(pub i64);
 
-/// Required freshness of the answers of a request class.
+/// Required freshness of the responses of a request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
     /// A write: only the primary accepts it.
@@ -28,7 +28,7 @@
     }
 }
 
-/// Required freshness of the answer to one request.
+/// Required freshness of the response to one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReadRequirement {
     /// Data of any age.
@@ -61,10 +61,10 @@
         }
     }
 
-    /// Returns whether an answer that carries the position `answered` is recent enough for a request written
-    /// at `written`. An answer without a position meets only [`Self::Any`].
-    pub fn is_met_by(self, answered: Option<LogPosition>, written: Timestamp) -> bool {
-        self == Self::Any || answered.is_some_and(|answered| answered >= self.required_position(written))
+    /// Returns whether a response that carries the position `applied` is recent enough for a request written
+    /// at `written`. A response without a position meets only [`Self::Any`].
+    pub fn is_met_by(self, applied: Option<LogPosition>, written: Timestamp) -> bool {
+        self == Self::Any || applied.is_some_and(|applied| applied >= self.required_position(written))
     }
 
     /// Returns the latest time at which a request may be written to a host known to have applied the position
--- a/crates/decisions/src/interface/settings.rs
+++ b/crates/decisions/src/interface/settings.rs
@@ -37,7 +37,7 @@
 /// Behaviour of a replica that lags too far behind for a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LagPolicy {
-    /// Answers from the data it has.
+    /// Serves the read from the data it has.
     ServeStale,
     /// Rejects the read at once.
     Reject,
@@ -48,9 +48,9 @@
 /// When hosts send load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
-    /// With the answers to requests and to health checks.
+    /// With the responses to requests and to health checks.
     Inline,
-    /// Only with the answers to health checks.
+    /// Only with the responses to health checks.
     OnHealthCheck,
     /// Never.
     Off,
@@ -84,7 +84,7 @@
     /// Time for which hosts recognise a repeat by its key, from the send of the first attempt that may have
     /// been executed. Used only with [`Idempotency::WithKey`].
     pub idempotency_key_window: TimeDelta,
-    /// Required freshness of the answers.
+    /// Required freshness of the responses.
     pub freshness: Freshness,
 }
 
@@ -107,9 +107,9 @@
     pub worst_class_rating_share: f64,
     /// Behaviour of a replica that lags too far behind for a read.
     pub lag_policy: LagPolicy,
-    /// Whether every answer carries the log position that its host had applied.
+    /// Whether every response carries the log position that its host had applied.
     pub responses_carry_position: bool,
-    /// Whether the caller verifies the positions of answers and discards stale answers; needed where hosts
+    /// Whether the caller verifies the positions of responses and discards stale ones; needed where hosts
     /// [serve stale data](LagPolicy::ServeStale).
     pub responses_verified: bool,
     /// Whether the router tracks the positions of its sessions' writes; otherwise clients send them.
@@ -166,7 +166,7 @@
 
 impl Settings {
     /// Returns how long a replica that lags too far behind for a read waits for the log before it rejects the
-    /// read; `None` if it answers from the data it has.
+    /// read; `None` if it serves the read from the data it has.
     pub fn replica_lag_wait(&self) -> Option<TimeDelta> {
         match self.lag_policy {
             LagPolicy::ServeStale => None,
@@ -191,13 +191,13 @@
     /// Returns whether the router sends health checks.
     ///
     /// In a large fleet the checks of all routers cost a host more than its requests do. So there are none if
-    /// answers carry the same information and a request sent to the wrong host does no harm.
+    /// responses carry the same information and a request sent to the wrong host does no harm.
     pub fn can_health_check(&self) -> bool {
-        let answers_suffice = self.responses_carry_position && self.replica_lag_wait().is_some();
+        let responses_suffice = self.responses_carry_position && self.replica_lag_wait().is_some();
         let harmless = self.classes.iter().all(|class| class.idempotency != Idempotency::NotIdempotent);
         self.health_checks_allowed
             && self.load_reports != LoadReports::Off
-            && !(answers_suffice && harmless && self.is_large_fleet())
+            && !(responses_suffice && harmless && self.is_large_fleet())
     }
 
     /// Returns the size of the fleet as a multiple of [`SMALL_FLEET_MAX_ROUTERS`], at least 1.
--- a/crates/decisions/src/state/host_clock.rs
+++ b/crates/decisions/src/state/host_clock.rs
@@ -1,33 +1,33 @@
-//! Estimate of the offset of the hosts' clock from this machine's clock, based on answers.
+//! Estimate of the offset of the hosts' clock from this machine's clock, based on their responses.
 //!
 //! Log positions, start times of hosts and the times of writes that clients send are on the hosts' clock; all
 //! other times here are on this machine's. No decision may assume that the two clocks agree: a machine's wall
 //! clock may be an hour off when its process starts.
 //!
-//! An answer's position is no later than its receipt, which gives a lower bound of the offset. A primary's
+//! A response's position is no later than its receipt, which gives a lower bound of the offset. A primary's
 //! position is current, so it is no earlier than the send of its request, which gives an upper bound too. An
 //! offset that is too large makes positions look older than they are, and reads go to the primary; one that
 //! is too small makes replicas look fresher than they are. Hence:
 //!
-//! - The offset starts at zero. While no primary's answer has confirmed it within [`MAX_CONFIRMATION_AGE`],
+//! - The offset starts at zero. While no primary's response has confirmed it within [`MAX_CONFIRMATION_AGE`],
 //!   positions are not evidence of freshness.
 //! - The offset is raised if more hosts contradict it than support it, at least one of them as a primary.
 //! - The offset is lowered only if two hosts agree, a primary and another host at the same position, and no
 //!   host has reported a newer position. A single host with an old position, or one that wrongly claims to be
 //!   the primary, cannot change the offset.
 //!
-//! Whether an answer can come from the current primary is checked without the offset: a position that any
-//! host has reported is in the past for every query written later ([`HostClock::is_past`]), and the current
-//! primary never answers with a past position.
+//! The check whether a response can come from the current primary does not use the offset: a position that
+//! any host has reported is in the past for every query written later ([`HostClock::is_past`]), and the
+//! current primary never responds with a past position.
 
 use crate::interface::{HostId, LogPosition, Role, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
 /// Maximum lead of a position over the clock, which rounding and steps of the clock may cause.
 pub const MAX_POSITION_LEAD: TimeDelta = TimeDelta::from_millis(10);
-/// Time for which a primary's answer confirms the offset.
+/// Time for which a primary's response confirms the offset.
 pub const MAX_CONFIRMATION_AGE: TimeDelta = TimeDelta::from_secs(30);
-/// Maximum latency of an answer that confirms the offset; the bounds from slower answers are too loose.
+/// Maximum latency of a response that confirms the offset; the bounds from slower responses are too loose.
 const MAX_CONFIRMING_LATENCY: TimeDelta = TimeDelta::from_millis(250);
 /// Maximum age of a primary's position at the send of its request; an older position contradicts the offset.
 pub const MAX_PRIMARY_LAG: TimeDelta = TimeDelta::from_millis(100);
@@ -44,19 +44,19 @@
 /// Age at which evidence expires.
 const MAX_EVIDENCE_AGE: TimeDelta = TimeDelta::from_secs(10);
 
-/// The evidence of one answer about the hosts' clock. The position is on the hosts' clock, the times on this
-/// machine's.
+/// The evidence of one response about the hosts' clock. The position is on the hosts' clock, the times on
+/// this machine's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sample {
-    /// The position that the answer carries.
+    /// The position that the response carries.
     pub position: LogPosition,
-    /// The host's role, if the answer carries it.
+    /// The host's role, if the response carries it.
     pub role: Option<Role>,
     /// Time at which the last byte of the request was written; `None` if the position may be older than that,
-    /// as in a load report, or in the answer to a repeated write, which carries the commit of the first
+    /// as in a load report, or in the response to a repeated write, which carries the commit of the first
     /// execution.
     pub sent: Option<Timestamp>,
-    /// Time at which the answer was received.
+    /// Time at which the response was received.
     pub received: Timestamp,
 }
 
@@ -105,14 +105,14 @@
     }
 }
 
-/// The evidence of one host's recent answers.
+/// The evidence of one host's recent responses.
 #[derive(Clone, Copy, Debug)]
 struct Evidence {
     lower_bound: Bound,
-    /// The highest lower bound: a position that the host has reported existed, even if later answers carry
+    /// The highest lower bound: a position that the host has reported existed, even if later responses carry
     /// older ones.
     highest_lower_bound: Bound,
-    /// Upper bound from the host's answers as the primary.
+    /// Upper bound from the host's responses as the primary.
     upper_bound: Option<Bound>,
 }
 
@@ -162,7 +162,7 @@
     evidence: BTreeMap<HostId, Evidence>,
     /// The highest plausible lower bound of all hosts, which gives the minimum time of the hosts' clock.
     highest_lower_bound: Option<Bound>,
-    /// Time at which a primary's answer last confirmed the offset.
+    /// Time at which a primary's response last confirmed the offset.
     confirmed_at: Option<Timestamp>,
     /// Time at which a primary last contradicted the offset with an old position. The evidence of all hosts
     /// is evaluated only for some time after that.
@@ -177,7 +177,7 @@
     }
 
     /// Converts a position to this machine's clock to determine the age of its data. While the offset is not
-    /// confirmed, returns position zero, so that the data count as too old.
+    /// confirmed, returns position zero, so that the data counts as too old.
     pub fn to_local_position(&self, position: LogPosition) -> LogPosition {
         if self.is_confirmed() {
             LogPosition(position.0.saturating_sub(self.offset.0))
@@ -193,8 +193,8 @@
 
     /// Returns whether positions reported by hosts show that the hosts' clock had passed `position`, which
     /// `host` reports, by more than `tolerance` when a query was written. A host that was the primary at that
-    /// time does not answer the query with such a position. A position ahead of this machine's clock counts
-    /// only against the host that reported it.
+    /// time does not respond to the query with such a position. A position ahead of this machine's clock
+    /// counts only against the host that reported it.
     pub fn is_past(
         &self,
         host: HostId,
@@ -214,7 +214,7 @@
         self.offset
     }
 
-    /// Returns whether a primary's answer has confirmed the offset recently.
+    /// Returns whether a primary's response has confirmed the offset recently.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed_at.is_some()
     }
@@ -234,7 +234,7 @@
         })
     }
 
-    /// Records a sample from an answer of a host. Returns the change of the offset if the sample caused one.
+    /// Records a sample from a response of a host. Returns the change of the offset if the sample caused one.
     pub fn record(&mut self, host: HostId, sample: Sample) -> Option<TimeDelta> {
         let now = sample.received;
         self.expire_confirmation(now);
--- a/crates/decisions/src/state/session_positions.rs
+++ b/crates/decisions/src/state/session_positions.rs
@@ -1,9 +1,9 @@
 //! The log position of each session's last write, in bounded memory.
 //!
 //! The sessions are stored in generations of open-addressing tables with 16 bytes per slot; an entry needs no
-//! allocation. When the newest generation is full, the oldest is evicted as a whole, and the floor of each
-//! replication group rises to the latest commit that was evicted for it. An unknown session is treated as if
-//! it had last written at the floor.
+//! allocation. When the newest generation is full, the oldest is evicted as a whole, and the eviction floor
+//! of each replication group rises to the latest commit that was evicted for it. An unknown session is
+//! treated as if it had last written at the eviction floor.
 //!
 //! Invariant: the position returned for a session is never lower than that of its last write. Eviction can
 //! only raise it.
@@ -101,7 +101,7 @@
     generations: Vec<Generation>,
     entries_per_generation: usize,
     /// Position of the latest evicted commit of each replication group.
-    floors: BTreeMap<u32, i64>,
+    eviction_floors: BTreeMap<u32, i64>,
     unconfirmed_writes: UnconfirmedWrites,
 }
 
@@ -113,7 +113,7 @@
         Self {
             generations: vec![Generation::new(slots)],
             entries_per_generation,
-            floors: BTreeMap::new(),
+            eviction_floors: BTreeMap::new(),
             unconfirmed_writes: UnconfirmedWrites::default(),
         }
     }
@@ -122,7 +122,7 @@
     pub fn record_commit(&mut self, session: SessionId, group: u32, position: LogPosition) {
         let mut position = position.0.max(NO_POSITION + 1);
         if self.generations[0].get(session.0).is_none() {
-            // Answers may arrive out of order, and an earlier write must not replace a later one.
+            // Responses may arrive out of order, and an earlier write must not replace a later one.
             position = position.max(self.last_commit(session, group).0);
             if self.generations[0].entries >= self.entries_per_generation {
                 self.start_generation();
@@ -141,11 +141,11 @@
         self.generations.insert(0, generation);
     }
 
-    /// Removes the oldest generation, raises the floors to its commits and returns it.
+    /// Removes the oldest generation, raises the eviction floors to its commits and returns it.
     fn evict_generation(&mut self) -> Option<Generation> {
         let oldest = self.generations.pop()?;
         for (group, position) in &oldest.latest_commits {
-            let floor = self.floors.entry(*group).or_insert(*position);
+            let floor = self.eviction_floors.entry(*group).or_insert(*position);
             *floor = (*floor).max(*position);
         }
         Some(oldest)
@@ -160,7 +160,8 @@
         self.evict_generation().map_or(0, |generation| generation.entries)
     }
 
-    /// Returns the position of a session's last known commit, or the group's floor for an unknown session.
+    /// Returns the position of a session's last known commit, or the group's eviction floor for an unknown
+    /// session.
     pub fn last_commit(&self, session: SessionId, group: u32) -> LogPosition {
         let known = self.generations.iter().find_map(|generation| generation.get(session.0));
         known.map_or_else(|| self.eviction_floor(group), LogPosition)
@@ -171,8 +172,9 @@
         self.unconfirmed_writes.write_sent(session, group, now);
     }
 
-    /// Records the end of such an attempt, with the position of its commit if it was answered. Without an
-    /// answer, it may still commit until `may_commit_until`; `None` means that it was never executed.
+    /// Records the end of an attempt of a session's write, with the position of its commit if a response
+    /// arrived. Without a response, the write may still commit until `may_commit_until`; `None` means that it
+    /// was never executed.
     pub fn write_ended(
         &mut self,
         session: SessionId,
@@ -200,12 +202,12 @@
     /// Adds a span to all positions, after the offset of the clock that they are based on has changed.
     pub fn shift(&mut self, delta: TimeDelta) {
         self.generations.iter_mut().for_each(|generation| generation.shift(delta));
-        self.floors.values_mut().for_each(|floor| *floor = floor.saturating_add(delta.0));
+        self.eviction_floors.values_mut().for_each(|floor| *floor = floor.saturating_add(delta.0));
     }
 
     /// Returns the position of the latest evicted commit of a group, or the lowest position if there is none.
     pub fn eviction_floor(&self, group: u32) -> LogPosition {
-        LogPosition(self.floors.get(&group).copied().unwrap_or(NO_POSITION))
+        LogPosition(self.eviction_floors.get(&group).copied().unwrap_or(NO_POSITION))
     }
 
     /// Returns the number of entries.
--- a/crates/decisions/src/state/unconfirmed_writes.rs
+++ b/crates/decisions/src/state/unconfirmed_writes.rs
@@ -1,6 +1,6 @@
-//! Sessions with an unconfirmed write: one whose attempt is in flight or ended without an answer.
+//! Sessions with an unconfirmed write: one whose attempt is in flight or ended without a response.
 //!
-//! The host may have committed such a write although no answer arrived, so a read of the session has to see
+//! The host may have committed such a write although no response arrived, so a read of the session has to see
 //! all commits that may have been made.
 
 use crate::interface::{SessionId, Timestamp};
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug)]
 struct SessionWrites {
     in_flight_attempts: u32,
-    /// Time until which an attempt that ended without an answer may still commit.
+    /// Time until which an attempt that ended without a response may still commit.
     may_commit_until: Timestamp,
 }
 
@@ -46,7 +46,8 @@
         self.sessions.entry((group, session)).or_insert(new).in_flight_attempts += 1;
     }
 
-    /// Records the end of an attempt. `may_commit_until` is `None` if it was answered or never executed.
+    /// Records the end of an attempt. `may_commit_until` is `None` if a response arrived or the write was
+    /// never executed.
     pub fn write_ended(&mut self, session: SessionId, group: u32, may_commit_until: Option<Timestamp>) {
         let Some(writes) = self.sessions.get_mut(&(group, session)) else { return };
         writes.in_flight_attempts = writes.in_flight_attempts.saturating_sub(1);
--- a/crates/decisions/src/state/unconfirmed_writes/tests.rs
+++ b/crates/decisions/src/state/unconfirmed_writes/tests.rs
@@ -24,7 +24,7 @@
     unconfirmed.write_ended(SESSION, 0, None);
     assert!(
         !unconfirmed.is_unconfirmed(SESSION, 0, Timestamp(3_000)),
-        "the write was answered or never executed"
+        "the write got a response or was never executed"
     );
 }
 
--- a/crates/decisions/tests/host_clock.rs
+++ b/crates/decisions/tests/host_clock.rs
@@ -9,9 +9,9 @@
 const SECOND: i64 = 1_000_000;
 const START: i64 = 1_700_000_000 * SECOND;
 
-/// Returns the sample of an answer to a request sent at `at` and received `latency` later, from a host that
+/// Returns the sample of a response to a request sent at `at` and received `latency` later, from a host that
 /// lags by `lag` and whose clock is ahead of this machine's by `offset`. All spans are in microseconds.
-fn answer(role: Role, at: i64, offset: i64, lag: i64, latency: i64) -> Sample {
+fn response(role: Role, at: i64, offset: i64, lag: i64, latency: i64) -> Sample {
     Sample {
         position: LogPosition(at + offset - lag),
         role: Some(role),
@@ -20,9 +20,9 @@
     }
 }
 
-/// Returns the sample of a fast answer of a primary.
+/// Returns the sample of a fast response of a primary.
 fn primary(at: i64, offset: i64) -> Sample {
-    answer(Role::Primary, at + 200, offset, 0, 400)
+    response(Role::Primary, at + 200, offset, 0, 400)
 }
 
 #[test]
@@ -30,14 +30,14 @@
     let mut clock = HostClock::default();
     for n in 0..1_000 {
         let at = START + n * SECOND / 10;
-        assert_eq!(clock.record(HostId(0), answer(Role::Primary, at, 0, 0, n * 100)), None);
-        assert_eq!(clock.record(HostId(1), answer(Role::Replica, at, 0, n * 10_000, 400)), None);
+        assert_eq!(clock.record(HostId(0), response(Role::Primary, at, 0, 0, n * 100)), None);
+        assert_eq!(clock.record(HostId(1), response(Role::Replica, at, 0, n * 10_000, 400)), None);
     }
     assert_eq!(clock.offset().0, 0);
 }
 
 #[test]
-fn three_consistent_answers_of_the_only_host_raise_the_offset() {
+fn three_consistent_responses_of_the_only_host_raise_the_offset() {
     for offset in [3_600 * SECOND, 2 * SECOND] {
         let mut clock = HostClock::default();
         assert_eq!(clock.record(HostId(0), primary(START, offset)), None);
@@ -58,7 +58,7 @@
             assert_eq!(clock.record(HostId(0), primary(START + n * SECOND, offset)), None);
             assert!(!clock.is_confirmed());
         }
-        let second_host = answer(Role::Replica, START + 20 * SECOND, offset, SECOND / 50, 400);
+        let second_host = response(Role::Replica, START + 20 * SECOND, offset, SECOND / 50, 400);
         let change = clock.record(HostId(1), second_host).expect("the offset changes");
         assert!((change.0 - offset).abs() < MAX_POSITION_LEAD.0, "{change:?}, expected {offset}");
         assert!(clock.is_confirmed());
@@ -66,15 +66,15 @@
 }
 
 /// Guards against a failure in which a deposed primary lowered the offset while two replicas lagged by less
-/// than it.
+/// than the primary.
 #[test]
 fn a_deposed_primary_does_not_lower_the_offset_while_replicas_lag() {
     let mut clock = HostClock::default();
     for n in 0..20 {
         let at = START + n * SECOND / 20;
-        clock.record(HostId(2), answer(Role::Replica, at, 0, SECOND, 5_000));
-        clock.record(HostId(3), answer(Role::Replica, at, 0, SECOND, 5_000));
-        clock.record(HostId(1), answer(Role::Primary, at, 0, 4_320_000, 5_000));
+        clock.record(HostId(2), response(Role::Replica, at, 0, SECOND, 5_000));
+        clock.record(HostId(3), response(Role::Replica, at, 0, SECOND, 5_000));
+        clock.record(HostId(1), response(Role::Primary, at, 0, 4_320_000, 5_000));
         assert_eq!(clock.offset().0, 0);
     }
 }
@@ -82,11 +82,11 @@
 /// Guards against a failure in which a lagging replica counted as current because this machine's clock was 5
 /// s behind.
 #[test]
-fn no_position_counts_as_recent_without_a_recent_answer_of_a_primary() {
+fn no_position_counts_as_recent_without_a_recent_response_of_a_primary() {
     let mut clock = HostClock::default();
-    clock.record(HostId(2), answer(Role::Replica, START, 5 * SECOND, 5 * SECOND, 5_000));
+    clock.record(HostId(2), response(Role::Replica, START, 5 * SECOND, 5 * SECOND, 5_000));
     assert!(clock.to_local_position(LogPosition(START)).0 <= START - 4 * SECOND);
-    clock.record(HostId(0), answer(Role::Primary, START, 0, 0, 400));
+    clock.record(HostId(0), response(Role::Primary, START, 0, 0, 400));
     assert_eq!(clock.to_local_position(LogPosition(START)).0, START);
     clock.expire_confirmation(Timestamp(START + MAX_CONFIRMATION_AGE.0 + SECOND));
     assert!(clock.to_local_position(LogPosition(START)).0 <= START - 4 * SECOND);
@@ -107,15 +107,15 @@
     let mut clock = HostClock::default();
     for n in 0..200 {
         let at = START + n * SECOND / 10;
-        clock.record(HostId(1), answer(Role::Replica, at, 0, SECOND / 50, 400));
-        clock.record(HostId(2), answer(Role::Replica, at, 0, SECOND / 40, 400));
-        let frozen = answer(Role::Primary, at, -n * SECOND / 10, 0, 400);
+        clock.record(HostId(1), response(Role::Replica, at, 0, SECOND / 50, 400));
+        clock.record(HostId(2), response(Role::Replica, at, 0, SECOND / 40, 400));
+        let frozen = response(Role::Primary, at, -n * SECOND / 10, 0, 400);
         assert_eq!(clock.record(HostId(0), frozen), None);
     }
 }
 
 proptest! {
-    /// Any offset is found from the answers of a primary, a lagging replica and one that keeps up. The
+    /// Any offset is found from the responses of a primary, a lagging replica and one that keeps up. The
     /// estimate is never too small, so replicas never look fresher than they are.
     #[test]
     fn any_offset_is_found_and_never_estimated_too_small(
@@ -133,8 +133,8 @@
                 received: Timestamp(at + request_latency + response_latency),
             };
             clock.record(HostId(0), sample);
-            clock.record(HostId(1), answer(Role::Replica, at, offset, lag, 500));
-            clock.record(HostId(2), answer(Role::Replica, at, offset, lag % 40_000, 500));
+            clock.record(HostId(1), response(Role::Replica, at, offset, lag, 500));
+            clock.record(HostId(2), response(Role::Replica, at, offset, lag % 40_000, 500));
             prop_assert!(clock.offset().0 >= offset.min(0));
         }
         if offset.abs() > 200_000 {
@@ -144,55 +144,55 @@
         }
     }
 
-    /// If this machine's clock is right or ahead of the hosts' and a correct primary answers, no position
-    /// counts as newer than it is, whatever other hosts answer and in whatever order.
+    /// If this machine's clock is right or ahead of the hosts' and a correct primary responds, no position
+    /// counts as newer than it is, whatever other hosts report and in whatever order.
     #[test]
     fn no_mix_of_hosts_makes_positions_newer_than_they_are(
         offset in prop_oneof![-6 * SECOND..0, Just(0)],
         deposed_lag in SECOND / 2..6 * SECOND,
-        answers in proptest::collection::vec((0..6u32, 0..20_000i64, 0..6 * SECOND), 1..120),
+        responses in proptest::collection::vec((0..6u32, 0..20_000i64, 0..6 * SECOND), 1..120),
     ) {
         let mut clock = HostClock::default();
-        for (n, (host, latency, lag)) in answers.into_iter().enumerate() {
+        for (n, (host, latency, lag)) in responses.into_iter().enumerate() {
             let at = START + n as i64 * SECOND / 20;
             if n % 10 == 0 {
-                clock.record(HostId(0), answer(Role::Primary, at, offset, 0, 400));
+                clock.record(HostId(0), response(Role::Primary, at, offset, 0, 400));
             }
             match host {
-                0 => clock.record(HostId(0), answer(Role::Primary, at, offset, 0, latency)),
-                // The position of a deposed primary no longer advances, or lags because its clock does.
+                0 => clock.record(HostId(0), response(Role::Primary, at, offset, 0, latency)),
+                // The position of a deposed primary stops advancing, or lags as far as its clock does.
                 1 => {
                     let lag = at - START + deposed_lag;
-                    clock.record(HostId(1), answer(Role::Primary, at, offset, lag, latency))
+                    clock.record(HostId(1), response(Role::Primary, at, offset, lag, latency))
                 }
-                2 => clock.record(HostId(2), answer(Role::Primary, at, offset, deposed_lag, latency)),
-                // The answer to a repeated write carries the commit of its first execution.
+                2 => clock.record(HostId(2), response(Role::Primary, at, offset, deposed_lag, latency)),
+                // The response to a repeated write carries the commit of its first execution.
                 3 => {
-                    let first_run = answer(Role::Primary, at, offset, lag % (3 * SECOND), latency);
+                    let first_run = response(Role::Primary, at, offset, lag % (3 * SECOND), latency);
                     clock.record(HostId(0), Sample { sent: None, ..first_run })
                 }
-                _ => clock.record(HostId(host), answer(Role::Replica, at, offset, lag, latency)),
+                _ => clock.record(HostId(host), response(Role::Replica, at, offset, lag, latency)),
             };
             let local = clock.to_local_position(LogPosition(START + offset)).0;
-            prop_assert!(local <= START + MAX_POSITION_LEAD.0, "{} newer at answer {n}", local - START);
+            prop_assert!(local <= START + MAX_POSITION_LEAD.0, "{} newer at response {n}", local - START);
         }
     }
 
     /// If this machine's clock is behind, positions of correct hosts do not count as newer than they are
-    /// either, from the first answer on.
+    /// either, from the first response on.
     #[test]
     fn lagging_replicas_do_not_count_as_recent_on_a_clock_that_is_behind(
         offset in 0..6 * SECOND,
-        answers in proptest::collection::vec((0..4u32, 0..20_000i64, 0..6 * SECOND), 1..120),
+        responses in proptest::collection::vec((0..4u32, 0..20_000i64, 0..6 * SECOND), 1..120),
     ) {
         let mut clock = HostClock::default();
-        for (n, (host, latency, lag)) in answers.into_iter().enumerate() {
+        for (n, (host, latency, lag)) in responses.into_iter().enumerate() {
             let at = START + n as i64 * SECOND / 20;
             let (role, lag) = if host == 0 { (Role::Primary, 0) } else { (Role::Replica, lag) };
-            clock.record(HostId(host), answer(role, at, offset, lag, latency));
+            clock.record(HostId(host), response(role, at, offset, lag, latency));
             let local = clock.to_local_position(LogPosition(START + offset)).0;
             let tolerance = 20_000 + MAX_POSITION_LEAD.0;
-            prop_assert!(local <= START + tolerance, "{} newer at answer {n}", local - START);
+            prop_assert!(local <= START + tolerance, "{} newer at response {n}", local - START);
         }
     }
 
@@ -204,7 +204,7 @@
         let mut clock = HostClock::default();
         for n in 0..100 {
             let at = START + n * SECOND / 10;
-            clock.record(HostId(1), answer(Role::Replica, at, 0, SECOND / 50, 400));
+            clock.record(HostId(1), response(Role::Replica, at, 0, SECOND / 50, 400));
             clock.record(HostId(2), primary(at, 0));
             clock.record(HostId(0), primary(at, wrong_offset));
         }
@@ -218,14 +218,14 @@
     clock.is_past(HostId(0), LogPosition(written + lead), Timestamp(written), POSITION_PRECISION)
 }
 
-/// Guards against old answers of a host that calls itself the primary: a position reported by any host is
+/// Guards against old responses of a host that calls itself the primary: a position reported by any host is
 /// past for a later query.
 #[test]
 fn a_position_is_past_once_any_host_has_reported_a_later_one() {
     for offset in [0, -5 * SECOND, -3_600 * SECOND] {
         let mut clock = HostClock::default();
         assert!(!is_past(&clock, START, offset - 60 * SECOND), "there is no evidence yet");
-        clock.record(HostId(1), answer(Role::Replica, START, offset, 0, 400));
+        clock.record(HostId(1), response(Role::Replica, START, offset, 0, 400));
         let written = START + 2 * SECOND;
         assert!(is_past(&clock, written, offset - 5 * SECOND));
         assert!(is_past(&clock, written, offset - SECOND / 100));
@@ -247,28 +247,29 @@
     }
 }
 
-/// An answer with a position ahead of the clock makes no answer of another host past, nor one of the same
+/// A response with a position ahead of the clock makes no response of another host past, nor one of the same
 /// host once it has reported a correct position.
 #[test]
 fn a_position_ahead_of_the_clock_makes_no_correct_position_past() {
     let mut clock = HostClock::default();
-    clock.record(HostId(1), answer(Role::Replica, START, SECOND, 0, 400));
-    clock.record(HostId(1), answer(Role::Replica, START + SECOND / 10, 0, 0, 400));
+    clock.record(HostId(1), response(Role::Replica, START, SECOND, 0, 400));
+    clock.record(HostId(1), response(Role::Replica, START + SECOND / 10, 0, 0, 400));
     clock.record(HostId(0), primary(START, SECOND));
     clock.record(HostId(0), primary(START + SECOND / 10, 0));
     assert!(!is_past(&clock, START + SECOND / 5, 0));
 }
 
 proptest! {
-    /// No answer of a correct primary is past, whatever the offset of the clocks and the lag of the replicas.
+    /// No response of a correct primary is past, whatever the offset of the clocks and the lag of the
+    /// replicas.
     #[test]
-    fn no_answer_of_a_correct_primary_is_past(
+    fn no_response_of_a_correct_primary_is_past(
         offset in -4_000 * SECOND..4_000 * SECOND,
-        answers in prop::collection::vec((0..3_u32, 0..5 * SECOND, 0..SECOND / 2, 0..SECOND), 1..60),
+        responses in prop::collection::vec((0..3_u32, 0..5 * SECOND, 0..SECOND / 2, 0..SECOND), 1..60),
     ) {
         let mut clock = HostClock::default();
         let mut now = START;
-        for (host, lag, latency, pause) in answers {
+        for (host, lag, latency, pause) in responses {
             now += pause;
             // Positions are in whole milliseconds.
             let rounded = |position: i64| LogPosition(position.div_euclid(1_000) * 1_000);
@@ -289,16 +290,16 @@
 }
 
 /// Guards against a failure in which a correct primary counted as replaced for ten seconds after one wrong
-/// answer of another host.
+/// response of another host.
 #[test]
-fn one_answer_ahead_of_the_clock_makes_no_position_of_the_primary_past() {
+fn one_response_ahead_of_the_clock_makes_no_position_of_the_primary_past() {
     let mut clock = HostClock::default();
     let at = |ms: i64| START + ms * SECOND / 1_000;
     for n in 0..5 {
         clock.record(HostId(0), primary(at(10 * n), 0));
     }
-    clock.record(HostId(1), answer(Role::Replica, at(100), SECOND, 0, 400));
-    clock.record(HostId(1), answer(Role::Replica, at(200), 0, SECOND / 50, 400));
+    clock.record(HostId(1), response(Role::Replica, at(100), SECOND, 0, 400));
+    clock.record(HostId(1), response(Role::Replica, at(200), 0, SECOND / 50, 400));
     let written = Timestamp(at(300));
     assert!(!clock.is_past(HostId(0), LogPosition(written.0), written, POSITION_PRECISION));
 }
