--- a/crates/decisions/src/budget/purpose.rs
+++ b/crates/decisions/src/budget/purpose.rs
@@ -11,7 +11,7 @@
     ClientBuffers,
     /// The request table.
     Requests,
-    /// Requests that are sent to hosts, and answers that are received from them.
+    /// Requests that are sent to hosts, and responses that are received from them.
     UpstreamBuffers,
     /// The router's tables of sessions, hosts and other state.
     Routing,
--- a/crates/decisions/src/membership/consensus/model_test.rs
+++ b/crates/decisions/src/membership/consensus/model_test.rs
@@ -24,7 +24,7 @@
     IncarnationKeptOverRestart,
 }
 
-/// Whether a process finds its stored state after a restart.
+/// Availability of a process's stored state after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Disk {
     Lost,
--- a/crates/decisions/src/routing/admission.rs
+++ b/crates/decisions/src/routing/admission.rs
@@ -17,7 +17,7 @@
 /// Minimum of a divisor that may be zero.
 const SMALLEST_DIVISOR: f64 = 1e-9;
 
-/// Whether a request is admitted.
+/// Decision on the admission of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Decision {
     /// The request may be forwarded.
--- a/crates/decisions/src/routing/eligibility.rs
+++ b/crates/decisions/src/routing/eligibility.rs
@@ -1,5 +1,5 @@
-//! Whether a host may take a request, and on what evidence. Every forwarded request has passed
-//! [`eligibility`].
+//! Eligibility of a host for a request, with the evidence that it is based on. Every forwarded request has
+//! passed [`eligibility`].
 
 use super::context::Context;
 use super::freshness::{likely_position, required_position, NO_POSITION};
--- a/crates/decisions/src/routing/health_check.rs
+++ b/crates/decisions/src/routing/health_check.rs
@@ -13,7 +13,7 @@
 /// Maximum time that a read waits for a health check.
 const MAX_WAIT: TimeDelta = TimeDelta(2 * CHECK_INTERVAL.0);
 
-/// Whether a read waits for a health check.
+/// Decision on a read that may have to wait for a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadCheck {
     /// The read can be placed, or a health check cannot help.
--- a/crates/decisions/src/routing/idle_connections.rs
+++ b/crates/decisions/src/routing/idle_connections.rs
@@ -7,7 +7,7 @@
 /// Time after a refused connection during which each connection is closed after its response.
 const CONNECTION_PRESSURE_WINDOW: TimeDelta = TimeDelta::from_secs(3);
 
-/// Whether hosts have run out of connections lately.
+/// State of the rule: recent evidence that hosts have run out of connections.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionPressure {
     last_refused_at: Option<Timestamp>,
--- a/crates/decisions/src/routing/mod.rs
+++ b/crates/decisions/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Routing of requests to hosts. Its events and actions are in `src/interface/`.
+//! Routing of requests to hosts. The router's events and actions are in `src/interface/`.
 //!
 //! This file holds the state of one router and handles its events; `dispatch` carries out what the rules
 //! decide. Each rule has a file of its own:
@@ -23,8 +23,8 @@
 //!
 //! A request is rejected on arrival if its class is unknown or `Admission::decide` sheds it. A waiting
 //! request is given up for one of the reasons of `queue::give_up_reason`; `queue::ending` determines whether
-//! it is rejected or failed. It waits while no host is eligible (`eligibility::Ineligible` lists the reasons)
-//! or every eligible host is skipped (`selection::SkipReason` lists the reasons).
+//! the request is rejected or failed. A request waits while no host is eligible (`eligibility::Ineligible`
+//! lists the reasons) or every eligible host is skipped (`selection::SkipReason` lists the reasons).
 
 mod admission;
 mod clock_shift;
@@ -346,8 +346,8 @@
         if let Some(report) = report {
             freshness::record_load_report(&mut self.hosts, id, report, self.now);
         }
-        // A host that hangs still answers health checks, but its position does not advance. An advancing
-        // position shows that it is alive, even if the load report is old.
+        // A host that hangs still responds to health checks, but its position does not advance. An
+        // advancing position shows that the host is alive, even if the load report is old.
         let advanced = self.hosts.get_mut(id).filter(|host| host.applied_position > position_before);
         if let Some(host) = advanced {
             host.last_response_at = Some(self.now);
--- a/crates/decisions/src/routing/outlier.rs
+++ b/crates/decisions/src/routing/outlier.rs
@@ -14,8 +14,8 @@
 
 /// Multiple of its class's mean latency from which on an attempt is slow.
 pub(super) const SLOW_LATENCY_MULTIPLE: f64 = 3.0;
-/// Multiple of its class's mean latency beyond which the host of an unanswered attempt counts as
-/// unresponsive.
+/// Multiple of its class's mean latency beyond which the host of an attempt without a response
+/// counts as unresponsive.
 const UNRESPONSIVE_LATENCY_MULTIPLE: f64 = 6.0;
 /// Ejection time after the first failure; each further failure doubles it.
 pub(super) const BASE_EJECTION: TimeDelta = TimeDelta::from_millis(300);
--- a/crates/decisions/src/routing/queue.rs
+++ b/crates/decisions/src/routing/queue.rs
@@ -12,8 +12,8 @@
 /// Interval at which waiting requests are checked: a small part of any latency objective.
 pub(super) const CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
 /// Time before its deadline at which a waiting request is given up: two check intervals and the transfer of
-/// the reply to the client. In the proxy the deadline is that of the core actor, which already leaves time
-/// for the network.
+/// the final reply to the client. In the proxy the deadline is that of the core actor, which already leaves
+/// time for the network.
 pub(super) const GIVE_UP_MARGIN: TimeDelta = TimeDelta::from_millis(25);
 /// Number of requests of a class that found no host in a dispatch, from which on the others of the class are
 /// not tried. This bounds the processor time of a dispatch.
@@ -41,12 +41,12 @@
     RetryUnsafe,
 }
 
-/// How a request that is given up ends.
+/// The final reply to a request that is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Ending {
-    /// It was not executed, or a repeat does no harm: the client may send it again.
+    /// The request was not executed, or a repeat does no harm: the client may send it again.
     Reject,
-    /// It may have been executed, and a repeat may do harm.
+    /// The request may have been executed, and a repeat may do harm.
     Fail,
 }
 
--- a/crates/decisions/src/settings/wire/convert.rs
+++ b/crates/decisions/src/settings/wire/convert.rs
@@ -37,7 +37,7 @@
             worst_class_rating_share: self.goal.worst_class,
             lag_policy: self.replication.lag_policy(),
             responses_carry_position: self.replication.responses_carry_position,
-            // Not part of the format: callers that verify answers set it.
+            // Not part of the format: callers that verify responses set it.
             responses_verified: false,
             write_positions_tracked: self.replication.tracks_write_positions(),
             list_role: self.replication.list_role.into(),
