--- a/crates/decisions/tests/discovery/mod.rs
+++ b/crates/decisions/tests/discovery/mod.rs
@@ -182,8 +182,8 @@
                 }
             }
             Event::QueueTimeout(call) => {
-                // The call has failed, but stays queued and is still processed, as was observed at an
-                // installation.
+                // The call has failed, but stays queued and is still processed, as real services were
+                // observed to do.
                 if let Some(&(_, n)) = self.queue.iter().find(|(queued, _)| *queued == call) {
                     self.outcome.failed += 1;
                     self.handle_failed_call(n, call);
--- a/crates/decisions/tests/discovery_retry.rs
+++ b/crates/decisions/tests/discovery_retry.rs
@@ -85,9 +85,8 @@
     assert!(last < Duration::from_secs(30), "{last:?}");
 }
 
-/// In the second deployment a call takes up to one second, and three or four proxies start at the same time.
-/// A proxy that gives up a call before discovery does (1.2 s was too short) leaves a call there that delays
-/// the other proxies.
+/// Three or four proxies start at the same time, and a call takes up to one second. A proxy that gives up a
+/// call before discovery does (1.2 s was too short) leaves a call there that delays the other proxies.
 #[test]
 fn a_few_proxies_that_start_together_wait_for_a_slow_discovery() {
     for seed in 0..50 {
--- a/crates/decisions/tests/routing/failures.rs
+++ b/crates/decisions/tests/routing/failures.rs
@@ -147,8 +147,8 @@
     assert_eq!(key(|s| s.max_attempts = 0), "max_attempts");
 }
 
-/// If no host accepts a read in half of the time to its deadline, its client should rather retry later. Found
-/// on a failover that stopped the advance of every position.
+/// If no host accepts a read in half of the time to its deadline, its client should rather retry later. This
+/// happens in a failover during which no position advances.
 #[test]
 fn a_read_not_forwarded_in_half_its_time_is_rejected_with_retry_after() {
     let mut world = World::with_positions(settings(), 2);
@@ -167,7 +167,7 @@
     );
 }
 
-/// The next check would be too late for this request. Found with a retry that had 3 ms left.
+/// The next check of waiting requests would be too late for a request with 3 ms left, such as a retry.
 #[test]
 fn a_request_without_time_left_is_ended_immediately() {
     let mut world = World::with_positions(settings(), 1);
@@ -235,14 +235,15 @@
     assert!(endings(&again).is_empty());
 }
 
-/// Its client should rather retry soon. A write that was rejected may still be accepted by the next primary.
+/// The client of a write that reached no host should rather retry soon. A write that a host rejected may
+/// still be accepted by the next primary.
 #[test]
 fn a_write_that_reached_no_host_is_rejected_at_half_of_its_time() {
     let mut world = World::new(settings(), 2);
     let (_, sent) = world.request(5, None);
     assert_eq!(forwarded_to(&sent), [0; 0], "no primary is known");
-    let answers = world.advance_ms(1_000);
-    assert!(matches!(endings(&answers)[..], [Action::Reject { retry_after: Some(_), .. }]));
+    let actions = world.advance_ms(1_000);
+    assert!(matches!(endings(&actions)[..], [Action::Reject { retry_after: Some(_), .. }]));
 
     let mut world = World::with_positions(settings(), 2);
     let (id, _) = world.request(5, None);
--- a/crates/decisions/tests/routing/large_fleet.rs
+++ b/crates/decisions/tests/routing/large_fleet.rs
@@ -200,9 +200,9 @@
     }
 }
 
-/// Found on the deployment `deploy/sites/kiosk-slips.toml`: writes must not be repeated, health checks are
-/// not allowed, and one of many routers gets a response from a primary every few seconds. Writes that waited
-/// for evidence were rejected.
+/// Guards against rejected writes where writes must not be repeated and health checks are impossible: one of
+/// many routers gets a response from a primary only every few seconds, so a write that waits for evidence
+/// is rejected.
 #[test]
 fn a_write_that_is_not_idempotent_goes_to_the_known_primary_where_health_checks_are_impossible() {
     for (health_checks_allowed, reports) in
--- a/crates/decisions/tests/routing/large_fleet_failures.rs
+++ b/crates/decisions/tests/routing/large_fleet_failures.rs
@@ -36,8 +36,8 @@
     EndpointEntry { started_at: Some(Timestamp(now)), ..EndpointEntry::new(HostId(1), 0, HostState::Running) }
 }
 
-/// Four hundred routers must not each forward their first request to a host that is warming up (incident
-/// if5d4a1).
+/// Four hundred routers must not each forward their first request to a host that is warming up: together they
+/// would overload it.
 #[test]
 fn a_host_that_is_warming_up_gets_a_fraction_summed_over_all_routers() {
     let removed = |n| EndpointEntry::new(HostId(n), 0, HostState::Removed);
@@ -45,7 +45,7 @@
     assert!(forwarded > 0 && forwarded * 10 < 400, "{forwarded} of 400");
 }
 
-/// The last member left must not get the reads of the whole group while it is warming up (incident idadabe).
+/// The last member left must not get the reads of the whole group while it is warming up.
 #[test]
 fn a_host_that_is_warming_up_alone_in_its_group_does_not_get_all_requests() {
     let forwarded = forwarded_to_host_1_by_a_fleet(|now| {
@@ -134,8 +134,7 @@
     end_first_attempt(world, id, &sent, Outcome::Ok, 50 * MS)
 }
 
-/// A host that serves requests but refuses connections repeatedly has too many idle ones. Found in run
-/// `big-2` of patagonia.
+/// A host that serves requests but refuses connections repeatedly has too many idle ones.
 #[test]
 fn idle_connections_are_closed_where_a_serving_host_refuses_connections() {
     let mut world = World::with_positions(settings(), 3);
@@ -149,7 +148,7 @@
 }
 
 /// On a network that breaks single connections a host refuses some and responds in between: new connections
-/// would break as easily. Found in run `wide+reset+stale` of fes-tip-ledger.
+/// would break as easily.
 #[test]
 fn idle_connections_are_kept_where_responses_come_between_refusals() {
     let mut world = World::with_positions(settings(), 3);
@@ -159,8 +158,8 @@
     assert!(!refuse_connections(&mut world, 200, 2));
 }
 
-/// A primary that hangs still answers health checks, but its position does not advance: it gets no write that
-/// must not be repeated.
+/// A primary that hangs still responds to health checks, but its position does not advance: it gets no write
+/// that must not be repeated.
 #[test]
 fn a_health_check_without_progress_releases_no_write() {
     let forwarded_writes = |advance: i64| {
@@ -216,7 +215,7 @@
     assert!(timers <= 10, "{timers}");
 }
 
-/// Bounded reads that no replica can serve must not overload a slow primary. Found in run `big-2` of cordoba.
+/// Bounded reads that no replica can serve must not overload a slow primary.
 #[test]
 fn a_slow_primary_gets_no_reads_that_can_wait() {
     let forwarded = |latency: i64| {
@@ -234,8 +233,8 @@
 }
 
 /// Work that takes a third of its latency objective takes as long at an idle primary, so that is no reason to
-/// keep reads from the primary if no replica is recent enough. Found where replicas were cut off from their
-/// primary.
+/// keep reads from the primary if no replica is recent enough, as when the replicas are cut off from
+/// the primary.
 #[test]
 fn an_idle_primary_gets_reads_however_long_they_take() {
     let mut world = World::with_positions(
--- a/crates/decisions/tests/routing/role_belief.rs
+++ b/crates/decisions/tests/routing/role_belief.rs
@@ -1,6 +1,6 @@
 //! Random sequences of responses, lost responses, failures, restarts and endpoint lists in one group of three
-//! hosts. Guards against a fresh read that relies on a role which a lost response may have ended, and against
-//! fresh reads that no host ever gets again.
+//! hosts. Guards against two failures: a fresh read relies on a role whose end a lost response may have
+//! reported, and fresh reads are never forwarded again.
 //!
 //! Hosts do not check reads and health checks are not allowed, so that only responses report roles and
 //! positions.
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug)]
 enum End {
     /// The complete response arrived with a role and perhaps a position.
-    Answered(Role, Position),
+    Responded(Role, Position),
     /// The complete response arrived and reported no role.
     WithoutRole(Outcome),
     /// The request was written, and the part of the response that reports the role did not arrive.
@@ -94,7 +94,7 @@
     ];
     let role = prop_oneof![2 => Just(Role::Primary), 1 => Just(Role::Replica)];
     prop_oneof![
-        5 => (role, position).prop_map(|(role, position)| End::Answered(role, position)),
+        5 => (role, position).prop_map(|(role, position)| End::Responded(role, position)),
         1 => prop::sample::select(vec![Outcome::Overloaded, Outcome::Error, Outcome::Ok])
             .prop_map(End::WithoutRole),
         3 => prop::sample::select(vec![Outcome::Reset, Outcome::Timeout, Outcome::Cancelled, Outcome::Error])
@@ -267,7 +267,7 @@
 
     fn end(&mut self, ended: InFlight, end: End) {
         let (outcome, role, position, answer_lost) = match end {
-            End::Answered(role, position) => (outcome_of(ended.class, role), Some(role), position, false),
+            End::Responded(role, position) => (outcome_of(ended.class, role), Some(role), position, false),
             End::WithoutRole(outcome) => (outcome, None, Position::None, false),
             End::Lost(outcome) => (outcome, None, Position::None, true),
             End::Unwritten(outcome) => (outcome, None, Position::None, false),
@@ -447,7 +447,7 @@
             let is_primary = ended.host == primary;
             let role = if is_primary { Role::Primary } else { Role::Replica };
             let ms = if is_primary { 0 } else { REPLICA_LAG_MS };
-            self.end(ended, End::Answered(role, Position::Old { ms }));
+            self.end(ended, End::Responded(role, Position::Old { ms }));
             served.extend(
                 Some(ended.id).filter(|_| is_primary && outcome_of(ended.class, role) == Outcome::Ok),
             );
--- a/crates/decisions/tests/routing/role_doubt.rs
+++ b/crates/decisions/tests/routing/role_doubt.rs
@@ -1,5 +1,5 @@
-//! Guards against fresh reads at a host that is no longer the primary. Found as stale reads in `brink` panel
-//! F: run 8101, day 5, and run 9304, day 14.
+//! Guards against stale reads: fresh reads at a host that is no longer the primary, for example because the
+//! response that reported the change of its role was lost.
 
 use crate::world::*;
 use wheelpier_decisions::*;
--- a/crates/decisions/tests/routing/role_evidence.rs
+++ b/crates/decisions/tests/routing/role_evidence.rs
@@ -54,10 +54,10 @@
 #[test]
 fn a_response_leaves_the_other_attempts_overdue() {
     let mut world = idle_primary(without_health_checks_and_hedging());
-    let (answered, _) = world.request(ANY, None);
+    let (served, _) = world.request(ANY, None);
     world.request(ANY, None);
     world.now += 50 * MS;
-    world.serve_first_attempt(answered, 0, 50 * MS, load_report(world.now, Role::Primary));
+    world.serve_first_attempt(served, 0, 50 * MS, load_report(world.now, Role::Primary));
     world.now += 1_100 * MS;
     assert!(!is_forwarded(&mut world, BOUNDED));
 }
@@ -81,8 +81,8 @@
     assert!(!is_forwarded(&mut world, BOUNDED), "after the late response is received");
 }
 
-/// Two attempts on two connections: the first is answered as the primary, the second as a replica, and the
-/// first response arrives last.
+/// Two attempts on two connections: the host responds to the first as the primary and to the second as a
+/// replica, and the first response arrives last.
 #[test]
 fn a_late_response_as_the_primary_does_not_override_a_newer_one_as_a_replica() {
     for class in [SESSION, BOUNDED] {
@@ -103,7 +103,7 @@
     }
 }
 
-/// As above with two hosts: after the new primary has responded, an older response of the former primary
+/// Two attempts at two hosts: after the new primary has responded, an older response of the former primary
 /// arrives.
 #[test]
 fn a_late_response_of_the_former_primary_does_not_demote_the_new_one() {
