--- a/crates/decisions/src/budget/error.rs
+++ b/crates/decisions/src/budget/error.rs
@@ -48,7 +48,7 @@
 /// The limit that a reservation exceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExceededLimit {
-    /// The cap of its purpose.
+    /// The cap of the reservation's purpose.
     Purpose,
     /// The cap of the whole budget; the purpose still has bytes available.
     Total,
@@ -60,7 +60,7 @@
 pub struct BudgetExceeded {
     /// The purpose of the reservation.
     pub purpose: Purpose,
-    /// The limit that it exceeds.
+    /// The limit that the reservation exceeds.
     pub limit: ExceededLimit,
     /// Reason for the rejection, and when to retry.
     pub rejection: PoolRejection,
--- a/crates/decisions/src/budget/mod.rs
+++ b/crates/decisions/src/budget/mod.rs
@@ -40,11 +40,11 @@
 pub struct PendingReclaim {
     /// The purpose that uses the memory.
     pub purpose: Purpose,
-    /// The account that has to release it; `None` if any account of the purpose may.
+    /// The account that has to release the memory; `None` if any account of the purpose may.
     pub account: Option<AccountId>,
     /// Bytes to release.
     pub bytes: u64,
-    /// When they have to be released; from then on they may be taken.
+    /// Time by which the bytes have to be released; from then on they may be taken.
     pub due: Timestamp,
 }
 
--- a/crates/decisions/src/budget/pool.rs
+++ b/crates/decisions/src/budget/pool.rs
@@ -33,7 +33,7 @@
     pub account: AccountId,
     /// Bytes to release.
     pub bytes: u64,
-    /// When they have to be released; from then on they may be taken from the account.
+    /// Time by which the bytes have to be released; from then on they may be taken from the account.
     pub due: Timestamp,
 }
 
--- a/crates/decisions/src/membership/failure_detector/mod.rs
+++ b/crates/decisions/src/membership/failure_detector/mod.rs
@@ -40,7 +40,7 @@
     since: Timestamp,
     /// When the last message came from the member itself, not through others.
     last_heard_at: Option<Timestamp>,
-    /// The members that suspect it.
+    /// The members that suspect this one.
     accusers: BTreeSet<Name>,
     /// When the member is declared gone, if it is suspected.
     suspicion_expires_at: Timestamp,
--- a/crates/decisions/src/membership/member/mod.rs
+++ b/crates/decisions/src/membership/member/mod.rs
@@ -33,7 +33,7 @@
     random_seed: u64,
     /// The latest report of each voter, about the current view.
     rows: BTreeMap<Identity, ReceivedRow>,
-    /// Members that no quorum hears, each with the time since which that is so.
+    /// Members that no quorum hears, each with the time since which it is unheard.
     unheard_since: BTreeMap<Identity, Timestamp>,
     /// Processes that requested admission, each with the time of its last request.
     joining: BTreeMap<Identity, Timestamp>,
@@ -45,7 +45,7 @@
     quorum_history: QuorumHistory,
     /// When this process next reports to the voters and checks whether to propose a change of the view.
     next_check_at: Timestamp,
-    /// Since when this process has no lease, counted anew from its admission; `None` while it has one.
+    /// Time since which this process has no lease, restarted at its admission; `None` while it has one.
     fenced_since: Option<Timestamp>,
     /// When this process first noticed a proposal that it has accepted and whose outcome it does not know.
     undecided_since: Option<Timestamp>,
--- a/crates/decisions/src/membership/reconfiguration/reachability.rs
+++ b/crates/decisions/src/membership/reconfiguration/reachability.rs
@@ -1,4 +1,4 @@
-//! Reachability: which members the voters hear.
+//! Reachability: the members that each voter hears.
 
 use crate::membership::view::{Identity, View};
 use serde::{Deserialize, Serialize};
--- a/crates/decisions/src/membership/transport/frame.rs
+++ b/crates/decisions/src/membership/transport/frame.rs
@@ -12,7 +12,7 @@
 pub enum Message {
     /// A message between members.
     Member(MemberMessage),
-    /// Requests proof from an unknown process that it is alive now.
+    /// Requests proof that the receiver, an unknown process, is alive now.
     Challenge {
         /// An unpredictable number.
         nonce: u64,
--- a/crates/decisions/src/membership/transport/replay_window.rs
+++ b/crates/decisions/src/membership/transport/replay_window.rs
@@ -1,4 +1,4 @@
-//! Replay window: which sequence numbers of one process were received. Each number is accepted once; a number
+//! Replay window: the sequence numbers received from one process. Each number is accepted once; a number
 //! too old to be tracked is not accepted.
 
 /// Number of sequence numbers that are tracked, up to the highest one received. A datagram that is further
--- a/crates/decisions/src/pipeline/mod.rs
+++ b/crates/decisions/src/pipeline/mod.rs
@@ -50,7 +50,7 @@
 pub struct StartedRequest<R> {
     /// Identifier of the request.
     pub id: RequestId,
-    /// Whether requests ahead of it are still in the pipeline.
+    /// Whether requests ahead of this one are still in the pipeline.
     pub is_behind_others: bool,
     /// Effective deadline at the start.
     pub effective_deadline: Timestamp,
@@ -70,7 +70,7 @@
 /// The next answer to write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadyAnswer<A> {
-    /// The request that it answers; `None` for one that was answered as it was read.
+    /// The answered request; `None` for an answer that [`Pipeline::push_answer`] added.
     pub id: Option<RequestId>,
     /// The answer itself.
     pub answer: A,
@@ -192,8 +192,8 @@
         true
     }
 
-    /// Ends the first request without an answer with this one, because its client has cancelled it. Returns
-    /// its identifier if it was running.
+    /// Ends the first request that has no answer yet with `answer`, because its client has cancelled it.
+    /// Returns its identifier if it was running.
     pub fn cancel_first(&mut self, answer: A) -> Option<RequestId> {
         let entry = self.entries.iter().find(|entry| !entry.is_answered())?;
         let (id, was_running) = (entry.id?, entry.is_running());
@@ -210,8 +210,8 @@
         running
     }
 
-    /// Ends all requests without an answer with this one, because the client has left. Returns those that
-    /// were running.
+    /// Ends each request that has no answer yet with a value of `answer`, because the client has left.
+    /// Returns those that were running.
     pub fn abandon(&mut self, mut answer: impl FnMut() -> A) -> Vec<RequestId> {
         let running = self.running_ids();
         for entry in self.entries.iter_mut().filter(|entry| !entry.is_answered()) {
--- a/crates/decisions/src/routing/request.rs
+++ b/crates/decisions/src/routing/request.rs
@@ -73,10 +73,10 @@
     pub host: HostId,
     pub class: usize,
     pub sent_at: Timestamp,
-    /// Whether its response has started to reach the client.
+    /// Whether the response has started to reach the client.
     pub response_started: bool,
     pub tracked_write: Option<TrackedWrite>,
-    /// Whether it is a fresh read that was forwarded only because its host is the primary.
+    /// Whether the request is a fresh read that was forwarded only because the host is the primary.
     pub relies_on_role: bool,
 }
 
--- a/crates/decisions/tests/routing/large_fleet.rs
+++ b/crates/decisions/tests/routing/large_fleet.rs
@@ -121,8 +121,8 @@
         let bad = forwarded_to(&actions)[0];
         world.end_attempt(id, 0, bad, Outcome::Error, MS);
         world.now += 500 * MS;
-        let again = (0..40).any(|_| serve(&mut world) == bad);
-        assert_eq!(!again, is_avoided, "responses {gap} ms apart");
+        let gets_requests = (0..40).any(|_| serve(&mut world) == bad);
+        assert_eq!(!gets_requests, is_avoided, "responses {gap} ms apart");
     }
 }
 
@@ -188,15 +188,20 @@
                 .iter()
                 .for_each(|host| _ = world.end_attempt(id, 0, *host, Outcome::Ok, 50 * MS));
         }
-        let mut then = Vec::new();
+        let mut actions_after_failures = Vec::new();
         for _ in 0..20 {
             world.now += 5_000 * MS;
             let (id, actions) = world.request(0, None);
             forwarded_to(&actions).iter().for_each(|host| {
-                then.extend(world.end_attempt(id, 0, *host, Outcome::ConnectFailed, MS));
+                actions_after_failures.extend(world.end_attempt(id, 0, *host, Outcome::ConnectFailed, MS));
             });
         }
-        assert_eq!(!then.iter().any(|action| matches!(action, Action::CloseIdleConnections { .. })), kept);
+        assert_eq!(
+            !actions_after_failures
+                .iter()
+                .any(|action| matches!(action, Action::CloseIdleConnections { .. })),
+            kept
+        );
     }
 }
 
--- a/crates/decisions/tests/routing/reconfigure.rs
+++ b/crates/decisions/tests/routing/reconfigure.rs
@@ -19,8 +19,11 @@
     world.router.reconfigure(more);
     let (_, after) = world.request(added, None);
     assert_eq!(forwarded_to(&after).len(), 1, "the new class is forwarded like any other read");
-    let reply = world.end_next_attempt(earlier, 1, Outcome::Ok, Some(Role::Replica));
-    assert!(endings(&reply).is_empty(), "a request that arrived before ends with its own attempt: {reply:?}");
+    let actions = world.end_next_attempt(earlier, 1, Outcome::Ok, Some(Role::Replica));
+    assert!(
+        endings(&actions).is_empty(),
+        "a request that arrived before ends with its own attempt: {actions:?}"
+    );
 }
 
 #[test]
