--- a/src/net/core/request_table.rs
+++ b/src/net/core/request_table.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(super) struct InFlightRequest {
     /// The id that the client gave the request.
-    pub name: String,
+    pub client_request_id: String,
     /// Statement that each attempt forwards.
     pub statement: Statement,
     /// Time at which attempts of the request end.
@@ -60,15 +60,15 @@
 
 /// Owns the requests in flight. A request is open until it is answered or its client disconnects.
 ///
-/// Invariant: a request is in the table while it is open or has attempts in flight. Its name is reserved
-/// while it is open.
+/// Invariant: a request is in the table while it is open or has attempts in flight. Its client request id is
+/// reserved while it is open.
 #[derive(Debug, Default)]
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, InFlightRequest>,
     /// Number of open requests.
     open: usize,
-    /// Names of the open requests.
-    open_names: HashSet<String>,
+    /// Client request ids of the open requests.
+    open_client_request_ids: HashSet<String>,
 }
 
 impl RequestTable {
@@ -77,17 +77,17 @@
         self.open
     }
 
-    /// Reserves a name. Returns false if it was reserved already.
-    pub fn reserve_name(&mut self, name: &str) -> bool {
-        self.open_names.insert(name.to_owned())
+    /// Reserves the id that a client gave its request. Returns false if it was reserved already.
+    pub fn reserve_client_request_id(&mut self, client_request_id: &str) -> bool {
+        self.open_client_request_ids.insert(client_request_id.to_owned())
     }
 
-    /// Releases the name of a request that is not inserted after all.
-    pub fn release_name(&mut self, name: &str) {
-        self.open_names.remove(name);
+    /// Releases the client request id of a request that is not inserted after all.
+    pub fn release_client_request_id(&mut self, client_request_id: &str) {
+        self.open_client_request_ids.remove(client_request_id);
     }
 
-    /// Inserts an open request whose name is reserved.
+    /// Inserts an open request whose client request id is reserved.
     pub fn insert(&mut self, id: RequestId, request: InFlightRequest) {
         self.requests.insert(id, request);
         self.open += 1;
@@ -114,7 +114,7 @@
         let client = request.client.take()?;
         let final_reply_timer = request.final_reply_timer.take();
         self.open -= 1;
-        self.open_names.remove(&request.name);
+        self.open_client_request_ids.remove(&request.client_request_id);
         Some(ClosedRequest { client, final_reply_timer, class: request.class })
     }
 
--- a/src/net/core/requests.rs
+++ b/src/net/core/requests.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Checks that a request can be admitted, and reserves its name and its memory.
+    /// Checks that a request can be admitted, and reserves its client request id and its memory.
     fn admit(&mut self, request: &Request) -> Result<Reservation, AdmissionError> {
         if self.hosts.is_empty() {
             return Err(AdmissionError::NotReady);
@@ -50,12 +50,12 @@
         if !self.hosts.has_group(request.group) {
             return Err(AdmissionError::Invalid(InvalidRequest::UnknownGroup(request.group)));
         }
-        if !self.requests.reserve_name(&request.client_request_id) {
+        if !self.requests.reserve_client_request_id(&request.client_request_id) {
             return Err(AdmissionError::Invalid(InvalidRequest::DuplicateId));
         }
         let statement_bytes = request.statement.text.len();
         self.memory.reserve_request(request.class, request.tenant, statement_bytes).map_err(|error| {
-            self.requests.release_name(&request.client_request_id);
+            self.requests.release_client_request_id(&request.client_request_id);
             AdmissionError::OutOfMemory(error)
         })
     }
@@ -91,7 +91,7 @@
             session,
             is_client_retry,
             last_write_at,
-            client_request_id: name,
+            client_request_id,
             statement,
             ..
         } = request;
@@ -106,7 +106,7 @@
             session,
         };
         let in_flight = InFlightRequest {
-            name,
+            client_request_id,
             statement,
             deadline,
             client: Some(client),
