--- a/crates/testbench/src/rig.rs
+++ b/crates/testbench/src/rig.rs
@@ -85,7 +85,7 @@
         let thread = std::thread::spawn(move || {
             runtime()?.block_on(async {
                 let proxy = Proxy::bind(config).await?;
-                let _ = bound.send((proxy.addresses()?, proxy.counters(), proxy.budget()));
+                let _ = bound.send((proxy.client_addresses()?, proxy.counters(), proxy.budget()));
                 proxy.serve(asked).await
             })
         });
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -18,7 +18,7 @@
     let control = handle_signals()?;
     let name = config.name.clone();
     let proxy = Proxy::bind(config).await?;
-    for (protocol, address) in proxy.addresses()? {
+    for (protocol, address) in proxy.client_addresses()? {
         tracing::info!(name, %address, %protocol, "listener for clients bound");
     }
     if let Some(address) = proxy.console_address()? {
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     /// Those of getsockname(2).
-    pub fn addresses(&self) -> io::Result<Vec<(Protocol, SocketAddr)>> {
+    pub fn client_addresses(&self) -> io::Result<Vec<(Protocol, SocketAddr)>> {
         self.listeners.addresses()
     }
 
