--- a/src/config/descriptors.rs
+++ b/src/config/descriptors.rs
@@ -27,17 +27,17 @@
     + TRANSIENT_DESCRIPTORS
     + DISCOVERY_CONNECTIONS
     + MAX_OVERFLOW_CONNECTIONS
-    + MIN_CONSOLE_CALLERS
+    + MIN_CONSOLE_CONNECTIONS
     + INHERITED_DESCRIPTORS;
 
 /// Concurrent callers that the console serves even if descriptors are few.
-const MIN_CONSOLE_CALLERS: usize = 6;
+const MIN_CONSOLE_CONNECTIONS: usize = 6;
 /// Number of descriptors above which the console serves further callers.
-const MIN_SOCKETS_FOR_FURTHER_CONSOLE_CALLERS: usize = 256;
+const MIN_SOCKETS_FOR_FURTHER_CONSOLE_CONNECTIONS: usize = 256;
 /// Number of descriptors, above that threshold, for each further caller of the console.
-const SOCKETS_PER_CONSOLE_CALLER: usize = 32;
+const SOCKETS_PER_CONSOLE_CONNECTION: usize = 32;
 /// Largest number of further callers of the console.
-const MAX_FURTHER_CONSOLE_CALLERS: usize = 58;
+const MAX_FURTHER_CONSOLE_CONNECTIONS: usize = 58;
 
 /// Number of descriptors of the process for each stream to a peer.
 const SOCKETS_PER_PEER_STREAM: usize = 64;
@@ -65,8 +65,8 @@
     pub clients: usize,
     /// Connections to hosts.
     pub upstream: usize,
-    /// Callers of the console.
-    pub console_callers: usize,
+    /// Connections to the console.
+    pub console_connections: usize,
     /// Streams to peers. The same number is allowed from peers.
     pub peer_streams: usize,
 }
@@ -75,14 +75,14 @@
     /// Divides the descriptors of a process without peers and with one client listener.
     pub(super) fn divide(sockets: usize) -> Self {
         let connections = sockets.saturating_sub(RESERVED_DESCRIPTORS) as f64;
-        let further_callers =
-            sockets.saturating_sub(MIN_SOCKETS_FOR_FURTHER_CONSOLE_CALLERS) / SOCKETS_PER_CONSOLE_CALLER;
-        let further_callers = further_callers.min(MAX_FURTHER_CONSOLE_CALLERS);
+        let further_console_connections = sockets.saturating_sub(MIN_SOCKETS_FOR_FURTHER_CONSOLE_CONNECTIONS)
+            / SOCKETS_PER_CONSOLE_CONNECTION;
+        let further_console_connections = further_console_connections.min(MAX_FURTHER_CONSOLE_CONNECTIONS);
         let clients = (connections * (1.0 - UPSTREAM_FRACTION)) as usize;
         Self {
-            clients: clients.saturating_sub(further_callers),
+            clients: clients.saturating_sub(further_console_connections),
             upstream: (connections * UPSTREAM_FRACTION) as usize,
-            console_callers: MIN_CONSOLE_CALLERS + further_callers,
+            console_connections: MIN_CONSOLE_CONNECTIONS + further_console_connections,
             peer_streams: 0,
         }
     }
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -107,8 +107,9 @@
     let shared = Shared { clock, events, counters: Arc::clone(&counters), rejections, memory };
     let clients = shared.client_context(&config, &admin, current_settings, reclaimed);
     let core = shared.core(&config, ready)?;
-    let console = console
-        .map(|listener| tokio::spawn(console::serve(listener, admin.clone(), config.limits.console_callers)));
+    let console = console.map(|listener| {
+        tokio::spawn(console::serve(listener, admin.clone(), config.limits.console_connections))
+    });
     let background = BackgroundChannels { discovery_addresses, reloads, settings, reclaims };
     let mut background = background.spawn(&config, shared, &admin, clients.connections.clone());
     background.extend(console);
--- a/tests/sockets/descriptors.rs
+++ b/tests/sockets/descriptors.rs
@@ -88,10 +88,10 @@
     let held = limits.clients
         + MAX_OVERFLOW_CONNECTIONS
         + limits.upstream
-        + limits.console_callers
+        + limits.console_connections
         + 2 * limits.peer_streams
         + listeners;
     assert!(9 + 5 + 1 + held <= sockets, "{limits:?}: {held} held of {sockets}");
-    assert!(limits.clients >= 8 && limits.upstream >= 8 && limits.console_callers >= 4, "{limits:?}");
+    assert!(limits.clients >= 8 && limits.upstream >= 8 && limits.console_connections >= 4, "{limits:?}");
     assert_eq!(limits.peer_streams > 0, peers);
 }
