--- a/src/counters/mod.rs
+++ b/src/counters/mod.rs
@@ -193,7 +193,7 @@
     }
 
     /// Formats the metrics for the console: one line `gw.NAME=VALUE` each (see `docs/operate/console.md`).
-    pub fn figures(&self) -> String {
+    pub fn format_metrics(&self) -> String {
         let mut lines = String::new();
         self.write_class_metrics(&mut lines);
         let metrics = [
--- a/src/counters/tests.rs
+++ b/src/counters/tests.rs
@@ -4,7 +4,7 @@
 
 /// Returns the value of the metric `gw.NAME`.
 fn metric(counters: &Counters, name: &str) -> Option<u64> {
-    let text = counters.figures();
+    let text = counters.format_metrics();
     let line = text.lines().find_map(|line| line.strip_prefix(&format!("gw.{name}=")))?;
     line.parse().ok()
 }
--- a/src/net/console/admin_state.rs
+++ b/src/net/console/admin_state.rs
@@ -61,7 +61,7 @@
         match call {
             Call::Health if self.is_healthy() => Reply::text(StatusCode::OK, "ok\n"),
             Call::Health => Reply::text(StatusCode::SERVICE_UNAVAILABLE, "drained or not ready\n"),
-            Call::Stats => Reply::text(StatusCode::OK, self.counters.figures()),
+            Call::Stats => Reply::text(StatusCode::OK, self.counters.format_metrics()),
             Call::Fleet => self.query_fleet().await,
             Call::Quiesce => {
                 record_drain_start(&self.quiesced);
