--- a/src/counters/mod.rs
+++ b/src/counters/mod.rs
@@ -90,7 +90,7 @@
     }
 
     /// Counts a statement that was answered with an error because it is not a valid request.
-    pub fn malformed_statement(&self) {
+    pub fn statement_malformed(&self) {
         increment(&self.malformed_statements);
     }
 
--- a/src/net/frontend/client/end.rs
+++ b/src/net/frontend/client/end.rs
@@ -93,7 +93,7 @@
 
     /// Writes a fatal error. The read buffer is released first, since others may wait for its memory.
     async fn write_fatal_error(&mut self, fault: &Fault) {
-        self.context.counters.malformed_statement();
+        self.context.counters.statement_malformed();
         self.record_rejection(fault);
         self.conversation.write_fatal(fault, &mut self.write_buffer);
         self.read_buffer = BytesMut::new();
--- a/src/net/frontend/client/statements.rs
+++ b/src/net/frontend/client/statements.rs
@@ -49,7 +49,7 @@
 
     /// Counts and logs an invalid statement, and delays the next one.
     pub(super) fn record_protocol_error(&mut self, fault: &Fault) {
-        self.context.counters.malformed_statement();
+        self.context.counters.statement_malformed();
         self.record_rejection(fault);
         self.state.record_protocol_error(Instant::now());
     }
