--- a/crates/pgwire/src/statement.rs
+++ b/crates/pgwire/src/statement.rs
@@ -54,10 +54,10 @@
     Form,
     /// A required entry of the comment is missing or empty.
     #[error("the comment lacks `{0}`")]
-    Lacks(&'static str),
+    Missing(&'static str),
     /// An entry of the comment occurs more than once, so that its value is ambiguous.
     #[error("the comment holds `{0}` twice")]
-    Twice(String),
+    Duplicate(String),
     /// The value of an entry is invalid.
     #[error("the comment's `{0}` is not a sensible value")]
     Value(&'static str),
@@ -86,14 +86,14 @@
     fn from_pairs(pairs: &[Pair<'_>]) -> Result<Self, StatementError> {
         for (n, (name, ..)) in pairs.iter().enumerate() {
             if pairs[..n].iter().any(|(other, ..)| other == name) {
-                return Err(StatementError::Twice((*name).to_owned()));
+                return Err(StatementError::Duplicate((*name).to_owned()));
             }
         }
         let find = |name: &str| pairs.iter().find(|(n, ..)| *n == name);
         let value = |name: &'static str| find(name).map(|(_, value, _)| *value);
-        let required = |name| value(name).ok_or(StatementError::Lacks(name));
+        let required = |name| value(name).ok_or(StatementError::Missing(name));
         let identifier = |name| match required(name)? {
-            "" => Err(StatementError::Lacks(name)),
+            "" => Err(StatementError::Missing(name)),
             text if text.len() <= MAX_IDENTIFIER_BYTES && text.chars().all(is_identifier_char) => {
                 Ok(text.to_owned())
             }
@@ -111,7 +111,9 @@
             key: find("k").map(|_| identifier("k")).transpose()?,
             group: group.ok_or(StatementError::Value("cluster"))?,
             last_write_ms: value("after").map(|text| number("after", text)).transpose()?,
-            timeout_range: find("d").map(|(_, _, range)| range.clone()).ok_or(StatementError::Lacks("d"))?,
+            timeout_range: find("d")
+                .map(|(_, _, range)| range.clone())
+                .ok_or(StatementError::Missing("d"))?,
         })
     }
 }
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -30,10 +30,10 @@
         return Err(Fault::Invalid(InvalidRequest::ClassMismatch { class: class.name.clone(), verb }));
     }
     if class.needs_key && comment.key.is_none() {
-        return Err(Fault::Statement(StatementError::Lacks("k")));
+        return Err(Fault::Statement(StatementError::Missing("k")));
     }
     if comment.tenant.is_none() && names.has_tenants() {
-        return Err(Fault::Statement(StatementError::Lacks("t")));
+        return Err(Fault::Statement(StatementError::Missing("t")));
     }
     // A tenant without an entry in the settings has no quota: the router gives it full weight.
     let tenant = comment.tenant.as_deref().and_then(|name| names.tenant(name));
--- a/tests/pgwire.rs
+++ b/tests/pgwire.rs
@@ -98,11 +98,11 @@
 }
 
 #[rstest]
-#[case("id=1,c=a,t=t,cluster=0", StatementError::Lacks("d"))]
-#[case("id=,c=a,t=t,d=5,cluster=0", StatementError::Lacks("id"))]
-#[case("id=1,t=t,d=5,cluster=0", StatementError::Lacks("c"))]
-#[case("id=1,c=a,t=t,d=5", StatementError::Lacks("cluster"))]
-#[case("id=1,c=a,t=t,d=5,k=,cluster=0", StatementError::Lacks("k"))]
+#[case("id=1,c=a,t=t,cluster=0", StatementError::Missing("d"))]
+#[case("id=,c=a,t=t,d=5,cluster=0", StatementError::Missing("id"))]
+#[case("id=1,t=t,d=5,cluster=0", StatementError::Missing("c"))]
+#[case("id=1,c=a,t=t,d=5", StatementError::Missing("cluster"))]
+#[case("id=1,c=a,t=t,d=5,k=,cluster=0", StatementError::Missing("k"))]
 #[case("id=1,c=a,t=t,d=nan,cluster=0", StatementError::Value("d"))]
 #[case("id=1,c=a,t=t,d=1e9,cluster=0", StatementError::Value("d"))]
 #[case("id=1,c=a,t=t,d=-5,cluster=0", StatementError::Value("d"))]
@@ -112,7 +112,7 @@
 #[case("id=1,c=a,t=t,d=5,cluster=+1", StatementError::Value("cluster"))]
 #[case("id=1;2,c=a,t=t,d=5,cluster=0", StatementError::Value("id"))]
 #[case("id=1,c=a,t=t,d=5,cluster=0,after=x", StatementError::Value("after"))]
-#[case("id=1,c=a,t=t,d=5,cluster=0,d=900", StatementError::Twice("d".to_owned()))]
+#[case("id=1,c=a,t=t,d=5,cluster=0,d=900", StatementError::Duplicate("d".to_owned()))]
 fn invalid_comments_are_rejected_with_the_field(#[case] comment: &str, #[case] problem: StatementError) {
     let text = format!("SELECT content FROM kv WHERE name = 'x' /* {comment} */");
     assert_eq!(KvStatement::parse(&text), Err(problem));
