--- a/crates/emulator/src/net/client.rs
+++ b/crates/emulator/src/net/client.rs
@@ -12,7 +12,7 @@
 use wheelpier_pgwire::{query, startup, BackendMessage};
 use wheelpier_tds::{
     numbers, put_message, version, Assembler, DataType, Login, PacketType, Parameter, Prelogin, Procedure,
-    Rpc, Status, Token, Tokens, Value, PACKET_SIZE, SP_EXECUTESQL,
+    Rpc, Status, Token, Tokens, Value, INITIAL_PACKET_BYTES, SP_EXECUTESQL,
 };
 
 /// Maximum length of an answer in bytes.
@@ -68,7 +68,7 @@
                     .map_err(|error| invalid_data(&error.to_string()))?;
                 let login = Login {
                     version: version::V7_4,
-                    packet_size: PACKET_SIZE as u32,
+                    packet_size: INITIAL_PACKET_BYTES as u32,
                     user: "backend".to_owned(),
                     database: "store".to_owned(),
                     ..Login::default()
@@ -157,7 +157,7 @@
 
     async fn send(&mut self, kind: PacketType, payload: &[u8]) -> io::Result<()> {
         let mut out = BytesMut::with_capacity(payload.len() + 64);
-        put_message(&mut out, kind, Status::default(), payload, PACKET_SIZE);
+        put_message(&mut out, kind, Status::default(), payload, INITIAL_PACKET_BYTES);
         self.stream.write_all(&out).await
     }
 
--- a/crates/emulator/src/net/tds.rs
+++ b/crates/emulator/src/net/tds.rs
@@ -7,7 +7,8 @@
 use wheelpier_tds::{
     batch, numbers, put_columns, put_done, put_environment, put_error, put_info, put_login_ack, put_message,
     put_return_status, put_row, rpc, version, Assembler, Column, DataType, Done, DoneKind, Environment,
-    Login, LoginAck, Message, Notice, PacketType, Prelogin, Rpc, Status, Value, PACKET_SIZE, PACKET_SIZES,
+    Login, LoginAck, Message, Notice, PacketType, Prelogin, Rpc, Status, Value, INITIAL_PACKET_BYTES,
+    NEGOTIABLE_PACKET_BYTES,
 };
 
 /// Maximum length of a request in bytes: a value of 64 KiB as hexadecimal digits, in UTF-16.
@@ -24,7 +25,7 @@
     fn default() -> Self {
         Self {
             assembler: Assembler::new(MAX_REQUEST_BYTES),
-            packet_size: PACKET_SIZE,
+            packet_size: INITIAL_PACKET_BYTES,
             logged_in: false,
             is_call: false,
         }
@@ -46,7 +47,8 @@
             }
             PacketType::Login => {
                 let login = Login::parse(&message.payload).map_err(drop)?;
-                let size = (login.packet_size as usize).clamp(PACKET_SIZES.0, PACKET_SIZES.1);
+                let size =
+                    (login.packet_size as usize).clamp(NEGOTIABLE_PACKET_BYTES.0, NEGOTIABLE_PACKET_BYTES.1);
                 put_environment(&mut payload, &Environment::PacketSize(size));
                 let program = "wheelpier-emulator".to_owned();
                 put_login_ack(&mut payload, &LoginAck { version: version::V7_4, program });
--- a/crates/tds/src/lib.rs
+++ b/crates/tds/src/lib.rs
@@ -27,7 +27,10 @@
 mod value;
 
 pub use login::{Login, LoginError};
-pub use packet::{put_message, Assembler, Message, PacketType, Status, HEADER, PACKET_SIZE, PACKET_SIZES};
+pub use packet::{
+    put_message, Assembler, Message, PacketType, Status, HEADER_BYTES, INITIAL_PACKET_BYTES,
+    NEGOTIABLE_PACKET_BYTES,
+};
 pub use prelogin::{Encryption, Prelogin};
 pub use request::{
     batch, put_all_headers, rpc, Parameter, Procedure, Rpc, SP_EXECUTESQL, STATEMENT_PARAMETER,
@@ -38,7 +41,7 @@
     put_return_status, put_row, put_row_with_nulls, Column, Done, DoneKind, Environment, LoginAck, Notice,
     Token, Tokens,
 };
-pub use value::{put_plp, DataType, Value, CHUNK};
+pub use value::{put_plp, DataType, Value, MAX_CHUNK_BYTES};
 
 /// Protocol versions as LOGIN7 and LOGINACK encode them (2.2.6.4, 2.2.7.14).
 pub mod version {
--- a/crates/tds/src/packet.rs
+++ b/crates/tds/src/packet.rs
@@ -4,11 +4,11 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 /// The length of a packet's header in bytes.
-pub const HEADER: usize = 8;
+pub const HEADER_BYTES: usize = 8;
 /// The packet size until the login negotiates another one, in bytes, header included.
-pub const PACKET_SIZE: usize = 4096;
+pub const INITIAL_PACKET_BYTES: usize = 4096;
 /// The smallest and the largest packet size that can be negotiated, in bytes (2.2.6.4).
-pub const PACKET_SIZES: (usize, usize) = (512, 32_767);
+pub const NEGOTIABLE_PACKET_BYTES: (usize, usize) = (512, 32_767);
 
 /// The type of a message, which each of its packets carries (2.2.3.1.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -104,13 +104,13 @@
     /// Creates an assembler that accepts messages of at most `max_payload_bytes`.
     pub fn new(max_payload_bytes: usize) -> Self {
         let (kind, status, payload) = (None, Status::default(), BytesMut::new());
-        Self { max_payload_bytes, max_packet_bytes: PACKET_SIZE, kind, status, payload }
+        Self { max_payload_bytes, max_packet_bytes: INITIAL_PACKET_BYTES, kind, status, payload }
     }
 
-    /// Sets the negotiated packet size, in bytes. Packets of up to [`PACKET_SIZE`] are accepted even if it is
+    /// Sets the negotiated packet size, in bytes. Packets of up to [`INITIAL_PACKET_BYTES`] are accepted even if it is
     /// smaller.
     pub fn set_packet_size(&mut self, bytes: usize) {
-        self.max_packet_bytes = bytes.max(PACKET_SIZE);
+        self.max_packet_bytes = bytes.max(INITIAL_PACKET_BYTES);
     }
 
     /// Returns the capacity of the buffer that holds an incomplete message, in bytes.
@@ -136,8 +136,8 @@
             }
             self.status.ignore |= packet.status & IGNORE != 0;
             self.status.reset |= packet.status & (RESET | RESET_KEEP_TRANSACTION) != 0;
-            received.advance(HEADER);
-            let content = received.split_to(packet.length - HEADER);
+            received.advance(HEADER_BYTES);
+            let content = received.split_to(packet.length - HEADER_BYTES);
             if packet.status & END == 0 {
                 self.payload.extend_from_slice(&content);
                 continue;
@@ -160,12 +160,12 @@
     fn next_packet(&self, received: &BytesMut) -> Result<Option<Packet>, WireError> {
         let Some(first) = received.first() else { return Ok(None) };
         let kind = PacketType::from_code(*first).ok_or(WireError::Header)?;
-        let Some(header) = received.get(..HEADER) else { return Ok(None) };
+        let Some(header) = received.get(..HEADER_BYTES) else { return Ok(None) };
         let length = usize::from(u16::from_be_bytes([header[2], header[3]]));
-        if length < HEADER || length > self.max_packet_bytes {
+        if length < HEADER_BYTES || length > self.max_packet_bytes {
             return Err(WireError::Header);
         }
-        if self.payload.len() + length - HEADER > self.max_payload_bytes {
+        if self.payload.len() + length - HEADER_BYTES > self.max_payload_bytes {
             return Err(WireError::TooLong);
         }
         Ok((received.len() >= length).then_some(Packet { kind, status: header[1], length }))
@@ -180,9 +180,9 @@
 
 /// Writes a message as packets of at most `size` bytes, header included (2.2.3.1).
 pub fn put_message(out: &mut BytesMut, kind: PacketType, status: Status, payload: &[u8], size: usize) {
-    let max_content = size.clamp(PACKET_SIZES.0, PACKET_SIZES.1) - HEADER;
+    let max_content = size.clamp(NEGOTIABLE_PACKET_BYTES.0, NEGOTIABLE_PACKET_BYTES.1) - HEADER_BYTES;
     let packets = payload.len().div_ceil(max_content).max(1);
-    out.reserve(payload.len() + packets * HEADER);
+    out.reserve(payload.len() + packets * HEADER_BYTES);
     for number in 0..packets {
         let content = &payload[number * max_content..payload.len().min((number + 1) * max_content)];
         let mut bits = 0;
@@ -194,7 +194,7 @@
         }
         out.put_u8(kind.code());
         out.put_u8(bits);
-        out.put_u16((content.len() + HEADER) as u16);
+        out.put_u16((content.len() + HEADER_BYTES) as u16);
         out.put_u16(0);
         out.put_u8((number + 1) as u8);
         out.put_u8(0);
--- a/crates/tds/src/value.rs
+++ b/crates/tds/src/value.rs
@@ -8,7 +8,7 @@
 use winnow::Parser;
 
 /// The maximum size of a chunk in which a partially length-prefixed value is written, in bytes.
-pub const CHUNK: usize = 16 * 1024;
+pub const MAX_CHUNK_BYTES: usize = 16 * 1024;
 /// The maximum length of the values of a type that is not partially length-prefixed, in bytes.
 const MAX_SHORT_BYTES: u16 = 8_000;
 /// As the maximum length in a TYPE_INFO: values are partially length-prefixed (PLP).
@@ -205,11 +205,11 @@
     out.put_slice(bytes);
 }
 
-/// Writes a partially length-prefixed value (2.2.5.2.3), in chunks of at most [`CHUNK`] bytes.
+/// Writes a partially length-prefixed value (2.2.5.2.3), in chunks of at most [`MAX_CHUNK_BYTES`] bytes.
 pub fn put_plp(out: &mut BytesMut, bytes: &[u8]) {
-    out.reserve(bytes.len() + 12 + bytes.len().div_ceil(CHUNK) * 4);
+    out.reserve(bytes.len() + 12 + bytes.len().div_ceil(MAX_CHUNK_BYTES) * 4);
     out.put_u64_le(bytes.len() as u64);
-    for chunk in bytes.chunks(CHUNK) {
+    for chunk in bytes.chunks(MAX_CHUNK_BYTES) {
         out.put_u32_le(chunk.len() as u32);
         out.put_slice(chunk);
     }
--- a/crates/tds/tests/hostile.rs
+++ b/crates/tds/tests/hostile.rs
@@ -20,7 +20,7 @@
 fn an_endless_message_is_rejected_at_the_limit() {
     let mut assembler = Assembler::new(10_000);
     let mut packet = vec![1, 0, 0x10, 0, 0, 0, 1, 0];
-    packet.resize(PACKET_SIZE, 7);
+    packet.resize(INITIAL_PACKET_BYTES, 7);
     let mut received = BytesMut::new();
     let results: Vec<_> = (0..3)
         .map(|_| {
--- a/crates/tds/tests/round_trip.rs
+++ b/crates/tds/tests/round_trip.rs
@@ -21,9 +21,9 @@
             prop::collection::vec(any::<u8>(), 0..60).prop_map(|b| Value::Binary(b.into())).boxed()
         }
         // Up to three chunks.
-        DataType::VarBinaryMax => {
-            prop::collection::vec(any::<u8>(), 0..3 * CHUNK).prop_map(|b| Value::Binary(b.into())).boxed()
-        }
+        DataType::VarBinaryMax => prop::collection::vec(any::<u8>(), 0..3 * MAX_CHUNK_BYTES)
+            .prop_map(|b| Value::Binary(b.into()))
+            .boxed(),
     };
     match kind {
         DataType::Int { nullable: false, .. } => non_null,
--- a/crates/testbench/benches/messages.rs
+++ b/crates/testbench/benches/messages.rs
@@ -6,8 +6,8 @@
 use wheelpier_pgwire::{query, ready, single_value_result, BackendMessage, FrontendMessage, KvStatement};
 use wheelpier_tds::{
     batch, put_all_headers, put_columns, put_done, put_message, put_row, put_text, rpc, Assembler, Column,
-    DataType, Done, DoneKind, PacketType, Parameter, Procedure, Rpc, Status, Tokens, Value, PACKET_SIZE,
-    SP_EXECUTESQL,
+    DataType, Done, DoneKind, PacketType, Parameter, Procedure, Rpc, Status, Tokens, Value,
+    INITIAL_PACKET_BYTES, SP_EXECUTESQL,
 };
 
 const READ: &str = "SELECT content FROM kv WHERE name = '7f3a9c21e0b4d655' \
@@ -15,7 +15,7 @@
 
 fn tds_message(kind: PacketType, payload: &[u8]) -> BytesMut {
     let mut out = BytesMut::new();
-    put_message(&mut out, kind, Status::default(), payload, PACKET_SIZE);
+    put_message(&mut out, kind, Status::default(), payload, INITIAL_PACKET_BYTES);
     out
 }
 
--- a/src/net/frontend/fault.rs
+++ b/src/net/frontend/fault.rs
@@ -8,7 +8,8 @@
 use crate::rejection_reason::RejectionReason;
 use bytes::{BufMut, BytesMut};
 use wheelpier_tds::{
-    numbers, put_done, put_error, put_message, Done, DoneKind, Notice, PacketType, Status, PACKET_SIZE,
+    numbers, put_done, put_error, put_message, Done, DoneKind, Notice, PacketType, Status,
+    INITIAL_PACKET_BYTES,
 };
 
 /// The fatal TLS alert `protocol_version` (RFC 8446, section 6), the only answer that a client which begins
@@ -214,7 +215,7 @@
             ForeignProtocol::Protocol(Protocol::Tds, _) => {
                 let mut payload = BytesMut::new();
                 self.put_tds(DoneKind::Batch, Severity::Fatal, &mut payload);
-                put_message(output, PacketType::Result, Status::default(), &payload, PACKET_SIZE);
+                put_message(output, PacketType::Result, Status::default(), &payload, INITIAL_PACKET_BYTES);
             }
         }
     }
--- a/src/net/frontend/tds/mod.rs
+++ b/src/net/frontend/tds/mod.rs
@@ -12,7 +12,7 @@
 use wheelpier_tds::{
     batch, numbers, put_columns, put_done, put_environment, put_info, put_message, put_return_status,
     put_row, rpc, Assembler, Column, DataType, Done, DoneKind, Environment, Message, Notice, PacketType,
-    Status, Value as Datum, PACKET_SIZE,
+    Status, Value as Datum, INITIAL_PACKET_BYTES,
 };
 
 /// The database name that clients are told.
@@ -65,7 +65,7 @@
     pub fn new() -> Self {
         let open = OpenRequest { is_call: false, acknowledges_reset: false, test_value: None };
         let assembler = Assembler::new(Protocol::Tds.max_statement_bytes());
-        Self { assembler, stage: Stage::Prelogin, packet_size: PACKET_SIZE, open }
+        Self { assembler, stage: Stage::Prelogin, packet_size: INITIAL_PACKET_BYTES, open }
     }
 
     /// Takes the next complete message from the front of `input`.
--- a/src/net/frontend/tds/startup.rs
+++ b/src/net/frontend/tds/startup.rs
@@ -6,7 +6,8 @@
 use bytes::BytesMut;
 use wheelpier_tds::{
     put_collation, put_done, put_environment, put_login_ack, version, Done, DoneKind, Encryption,
-    Environment, Login, LoginAck, Message, PacketType, Prelogin, PACKET_SIZE, PACKET_SIZES,
+    Environment, Login, LoginAck, Message, PacketType, Prelogin, INITIAL_PACKET_BYTES,
+    NEGOTIABLE_PACKET_BYTES,
 };
 
 /// The program name in the login acknowledgement.
@@ -49,8 +50,8 @@
             return Err(Fault::Login("integrated logins are not served".to_owned()));
         }
         let packet_size = match login.packet_size as usize {
-            0 => PACKET_SIZE,
-            size => size.clamp(PACKET_SIZES.0, PACKET_SIZES.1),
+            0 => INITIAL_PACKET_BYTES,
+            size => size.clamp(NEGOTIABLE_PACKET_BYTES.0, NEGOTIABLE_PACKET_BYTES.1),
         };
         let mut payload = BytesMut::new();
         put_database(&mut payload);
--- a/src/net/upstream/tds.rs
+++ b/src/net/upstream/tds.rs
@@ -14,7 +14,7 @@
 use wheelpier_tds::{
     numbers, put_all_headers, put_message, put_text, version, Assembler, DataType, DoneKind, Encryption,
     Environment, Login, Notice, PacketType, Parameter, Prelogin, Procedure, Rpc, Status, Token, Tokens,
-    Value, PACKET_SIZE, SP_EXECUTESQL,
+    Value, INITIAL_PACKET_BYTES, SP_EXECUTESQL,
 };
 
 /// Name of the parameter that carries a write's value.
@@ -40,7 +40,7 @@
 impl Tds {
     pub fn new() -> Self {
         let assembler = Assembler::new(pgwire::MAX_HOST_MESSAGE_BYTES + MAX_OVERHEAD_BYTES);
-        Self { assembler, packet_bytes: PACKET_SIZE, login_sent: false }
+        Self { assembler, packet_bytes: INITIAL_PACKET_BYTES, login_sent: false }
     }
 
     fn write_login(&mut self, output: &mut BytesMut) {
--- a/tests/sockets/scenario/tds.rs
+++ b/tests/sockets/scenario/tds.rs
@@ -9,7 +9,7 @@
 /// Returns the packets of a message of this type.
 fn packets(kind: PacketType, payload: &[u8]) -> Vec<u8> {
     let mut out = BytesMut::new();
-    put_message(&mut out, kind, Status::default(), payload, PACKET_SIZE);
+    put_message(&mut out, kind, Status::default(), payload, INITIAL_PACKET_BYTES);
     out.to_vec()
 }
 
@@ -24,10 +24,10 @@
 pub fn read_message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
     let mut content = Vec::new();
     loop {
-        let mut head = [0; HEADER];
+        let mut head = [0; HEADER_BYTES];
         stream.read_exact(&mut head).ok()?;
         let at = content.len();
-        content.resize(at + usize::from(u16::from_be_bytes([head[2], head[3]])) - HEADER, 0);
+        content.resize(at + usize::from(u16::from_be_bytes([head[2], head[3]])) - HEADER_BYTES, 0);
         stream.read_exact(&mut content[at..]).ok()?;
         if head[1] & 1 == 1 {
             return Some((head[0], content));
