--- a/crates/emulator/src/net/tds.rs
+++ b/crates/emulator/src/net/tds.rs
@@ -5,10 +5,10 @@
 use crate::world::Reply;
 use bytes::{Bytes, BytesMut};
 use wheelpier_tds::{
-    batch, numbers, put_columns, put_done, put_environment, put_error, put_info, put_login_ack, put_message,
-    put_return_status, put_row, rpc, version, Assembler, Column, DataType, Done, DoneKind, Environment,
-    Login, LoginAck, Message, Notice, PacketType, Prelogin, Rpc, Status, Value, INITIAL_PACKET_BYTES,
-    NEGOTIABLE_PACKET_BYTES,
+    numbers, parse_batch, parse_rpc, put_columns, put_done, put_environment, put_error, put_info,
+    put_login_ack, put_message, put_return_status, put_row, version, Assembler, Column, DataType, Done,
+    DoneKind, Environment, Login, LoginAck, Message, Notice, PacketType, Prelogin, Rpc, Status, Value,
+    INITIAL_PACKET_BYTES, NEGOTIABLE_PACKET_BYTES,
 };
 
 /// Maximum length of a request in bytes: a value of 64 KiB as hexadecimal digits, in UTF-16.
@@ -126,8 +126,8 @@
         }
         self.is_call = message.kind == PacketType::Rpc;
         let text = match message.kind {
-            PacketType::SqlBatch => batch(&message.payload).map_err(drop)?,
-            PacketType::Rpc => match inline_parameters(&rpc(&message.payload).map_err(drop)?) {
+            PacketType::SqlBatch => parse_batch(&message.payload).map_err(drop)?,
+            PacketType::Rpc => match inline_parameters(&parse_rpc(&message.payload).map_err(drop)?) {
                 Some(text) => text,
                 None => return Ok(Some(ClientMessage::Unsupported)),
             },
--- a/crates/tds/src/lib.rs
+++ b/crates/tds/src/lib.rs
@@ -33,7 +33,7 @@
 };
 pub use prelogin::{Encryption, Prelogin};
 pub use request::{
-    batch, put_all_headers, rpc, Parameter, Procedure, Rpc, SP_EXECUTESQL, STATEMENT_PARAMETER,
+    parse_batch, parse_rpc, put_all_headers, Parameter, Procedure, Rpc, SP_EXECUTESQL, STATEMENT_PARAMETER,
 };
 pub use text::put as put_text;
 pub use token::{
--- a/crates/tds/src/request.rs
+++ b/crates/tds/src/request.rs
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 /// When the lengths of the headers do not add up or the text is not valid UTF-16.
-pub fn batch(payload: &[u8]) -> Result<String, WireError> {
+pub fn parse_batch(payload: &[u8]) -> Result<String, WireError> {
     let text = |input: &mut &[u8]| {
         skip_all_headers(input)?;
         let units = input.len() / 2;
@@ -131,7 +131,7 @@
 ///
 /// # Errors
 /// When the payload is malformed, has a parameter of an unsupported type, or calls more than one procedure.
-pub fn rpc(payload: &[u8]) -> Result<Rpc, WireError> {
+pub fn parse_rpc(payload: &[u8]) -> Result<Rpc, WireError> {
     parse_whole(payload, parse_call, "a procedure call")
 }
 
--- a/crates/tds/tests/hostile.rs
+++ b/crates/tds/tests/hostile.rs
@@ -63,9 +63,9 @@
     put_all_headers(&mut payload);
     payload.put_u16_le(0xd800);
     payload.put_u16_le(u16::from(b'a'));
-    assert_eq!(batch(&payload), Err(WireError::Malformed("a batch")));
+    assert_eq!(parse_batch(&payload), Err(WireError::Malformed("a batch")));
     payload.truncate(payload.len() - 1);
-    assert_eq!(batch(&payload), Err(WireError::Malformed("a batch")));
+    assert_eq!(parse_batch(&payload), Err(WireError::Malformed("a batch")));
 }
 
 #[test]
@@ -75,7 +75,7 @@
         put_all_headers(&mut payload);
         payload[..4].copy_from_slice(&lengths[0].to_le_bytes());
         payload[4..8].copy_from_slice(&lengths[1].to_le_bytes());
-        assert_eq!(batch(&payload), Err(WireError::Malformed("a batch")), "{lengths:?}");
+        assert_eq!(parse_batch(&payload), Err(WireError::Malformed("a batch")), "{lengths:?}");
     }
 }
 
@@ -124,7 +124,7 @@
 fn a_second_call_in_one_message_is_rejected() {
     let mut payload = BytesMut::new();
     Rpc { procedure: Procedure::Number(SP_EXECUTESQL), options: 0, parameters: Vec::new() }.put(&mut payload);
-    assert!(rpc(&payload).is_ok());
+    assert!(parse_rpc(&payload).is_ok());
     payload.put_slice(&[0xff, 0xff, 0xff, 10, 0, 0, 0]);
-    assert_eq!(rpc(&payload), Err(WireError::Malformed("a procedure call")));
+    assert_eq!(parse_rpc(&payload), Err(WireError::Malformed("a procedure call")));
 }
--- a/crates/tds/tests/round_trip.rs
+++ b/crates/tds/tests/round_trip.rs
@@ -101,7 +101,7 @@
         let call = Rpc { procedure, options, parameters };
         let mut payload = BytesMut::new();
         call.put(&mut payload);
-        prop_assert_eq!(rpc(&payload).unwrap(), call);
+        prop_assert_eq!(parse_rpc(&payload).unwrap(), call);
     }
 
     #[test]
@@ -109,7 +109,7 @@
         let mut payload = BytesMut::new();
         put_all_headers(&mut payload);
         text.encode_utf16().for_each(|unit| payload.extend_from_slice(&unit.to_le_bytes()));
-        prop_assert_eq!(batch(&payload).unwrap(), text);
+        prop_assert_eq!(parse_batch(&payload).unwrap(), text);
     }
 
     #[test]
@@ -147,7 +147,7 @@
 
     #[test]
     fn any_bytes_are_parsed_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
-        let _ = (Prelogin::parse(&bytes), Login::parse(&bytes), batch(&bytes), rpc(&bytes));
+        let _ = (Prelogin::parse(&bytes), Login::parse(&bytes), parse_batch(&bytes), parse_rpc(&bytes));
         let _ = Tokens::new(&bytes).count();
         let mut received = BytesMut::from(&bytes[..]);
         let mut assembler = Assembler::new(300);
@@ -172,7 +172,7 @@
         for payload in [&mut call, &mut response] {
             let at = position.index(payload.len());
             payload[at] = byte;
-            let _ = rpc(payload);
+            let _ = parse_rpc(payload);
             let _ = Tokens::new(payload).count();
             let _ = Tokens::new(&payload[..at]).count();
         }
--- a/crates/testbench/benches/messages.rs
+++ b/crates/testbench/benches/messages.rs
@@ -5,9 +5,9 @@
 use std::hint::black_box;
 use wheelpier_pgwire::{query, ready, single_value_result, BackendMessage, FrontendMessage, KvStatement};
 use wheelpier_tds::{
-    batch, put_all_headers, put_columns, put_done, put_message, put_row, put_text, rpc, Assembler, Column,
-    DataType, Done, DoneKind, PacketType, Parameter, Procedure, Rpc, Status, Tokens, Value,
-    INITIAL_PACKET_BYTES, SP_EXECUTESQL,
+    parse_batch, parse_rpc, put_all_headers, put_columns, put_done, put_message, put_row, put_text,
+    Assembler, Column, DataType, Done, DoneKind, PacketType, Parameter, Procedure, Rpc, Status, Tokens,
+    Value, INITIAL_PACKET_BYTES, SP_EXECUTESQL,
 };
 
 const READ: &str = "SELECT content FROM kv WHERE name = '7f3a9c21e0b4d655' \
@@ -75,7 +75,7 @@
     group.bench_function("tds/read batch", |b| {
         b.iter_batched(
             || wire.clone(),
-            |wire| assembled(wire).map(|message| batch(&message.payload).is_ok()),
+            |wire| assembled(wire).map(|message| parse_batch(&message.payload).is_ok()),
             BatchSize::SmallInput,
         );
     });
@@ -83,7 +83,7 @@
     group.bench_function("tds/read call", |b| {
         b.iter_batched(
             || wire.clone(),
-            |wire| assembled(wire).map(|message| rpc(&message.payload).is_ok()),
+            |wire| assembled(wire).map(|message| parse_rpc(&message.payload).is_ok()),
             BatchSize::SmallInput,
         );
     });
--- a/src/net/frontend/tds/mod.rs
+++ b/src/net/frontend/tds/mod.rs
@@ -10,9 +10,9 @@
 use crate::protocol::Protocol;
 use bytes::BytesMut;
 use wheelpier_tds::{
-    batch, numbers, put_columns, put_done, put_environment, put_info, put_message, put_return_status,
-    put_row, rpc, Assembler, Column, DataType, Done, DoneKind, Environment, Message, Notice, PacketType,
-    Status, Value as Datum, INITIAL_PACKET_BYTES,
+    numbers, parse_batch, parse_rpc, put_columns, put_done, put_environment, put_info, put_message,
+    put_return_status, put_row, Assembler, Column, DataType, Done, DoneKind, Environment, Message, Notice,
+    PacketType, Status, Value as Datum, INITIAL_PACKET_BYTES,
 };
 
 /// The database name that clients are told.
@@ -97,8 +97,8 @@
             return Ok(ClientEvent::Answered);
         }
         let text = match message.kind {
-            PacketType::SqlBatch => batch(&message.payload)?,
-            PacketType::Rpc => match procedure_call::statement_of(rpc(&message.payload)?) {
+            PacketType::SqlBatch => parse_batch(&message.payload)?,
+            PacketType::Rpc => match procedure_call::statement_of(parse_rpc(&message.payload)?) {
                 Ok(Some(text)) => text,
                 Ok(None) => return Ok(self.answer_without_row(output)),
                 Err(fault) => return Ok(ClientEvent::InvalidStatement(fault)),
--- a/tests/sockets/scenario/tds.rs
+++ b/tests/sockets/scenario/tds.rs
@@ -170,9 +170,9 @@
 /// digits.
 pub fn request_text(kind: u8, content: &[u8]) -> Option<String> {
     if kind == 1 {
-        return wheelpier_tds::batch(content).ok();
+        return wheelpier_tds::parse_batch(content).ok();
     }
-    let call = rpc(content).ok()?;
+    let call = parse_rpc(content).ok()?;
     match &call.parameters[..] {
         [Parameter { value: Value::Text(text), .. }, _, Parameter { value: Value::Binary(value), .. }] => {
             let digits: String = value.iter().map(|byte| format!("{byte:02x}")).collect();
