--- a/crates/pgwire/src/backend.rs
+++ b/crates/pgwire/src/backend.rs
@@ -58,7 +58,7 @@
     /// Parses the next message and returns it with its length; `None` while it is incomplete.
     ///
     /// # Errors
-    /// When the message is too long or malformed: the connection cannot be used any more.
+    /// Returns an error if the message is too long or malformed: the connection cannot be used any more.
     pub fn parse(bytes: &'a [u8]) -> Result<Option<(Self, usize)>, WireError> {
         if bytes.get(1..).and_then(length_field).is_some_and(|length| length > MAX_HOST_MESSAGE_BYTES) {
             return Err(WireError::TooLong);
--- a/crates/pgwire/src/frontend.rs
+++ b/crates/pgwire/src/frontend.rs
@@ -67,7 +67,7 @@
     /// Parses the first packet and returns it with its length; `None` while it is incomplete.
     ///
     /// # Errors
-    /// When the bytes are not a valid startup packet.
+    /// Returns an error if the bytes are not a valid startup packet.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, WireError> {
         if length_field(bytes).is_some_and(|length| length > MAX_STARTUP_BYTES) {
             return Err(WireError::TooLong);
@@ -102,7 +102,7 @@
     /// Parses the next message and returns it with its length; `None` while it is incomplete.
     ///
     /// # Errors
-    /// When the message is too long or malformed. The rest of the stream is unreadable then.
+    /// Returns an error if the message is too long or malformed. The rest of the stream is unreadable then.
     pub fn parse(bytes: &'a [u8]) -> Result<Option<(Self, usize)>, WireError> {
         if bytes.get(1..).and_then(length_field).is_some_and(|length| length > MAX_STATEMENT_BYTES) {
             return Err(WireError::TooLong);
--- a/crates/pgwire/src/statement.rs
+++ b/crates/pgwire/src/statement.rs
@@ -72,7 +72,8 @@
     /// Parses a complete statement.
     ///
     /// # Errors
-    /// When the statement has another form, or an entry of its comment is missing, duplicated or invalid.
+    /// Returns an error if the statement has another form, or an entry of its comment is missing, duplicated
+    /// or invalid.
     pub fn parse(text: &'a str) -> Result<Self, StatementError> {
         let statement = (alt((read, write)), pairs, eof);
         let mut statement = statement.map(|(start, pairs, _)| (start, pairs));
