--- a/crates/tds/src/login.rs
+++ b/crates/tds/src/login.rs
@@ -3,14 +3,14 @@
 use crate::text;
 use bytes::{BufMut, BytesMut};
 
-/// The length of the fixed part with the offset table, in bytes: the smallest offset of a field.
-const FIXED: usize = 94;
-/// The offset of the table of field offsets and lengths.
-const TABLE: usize = 36;
+/// The length of the fixed part, which includes the offset table, in bytes. Fields start after it.
+const FIXED_BYTES: usize = 94;
+/// The offset of the offset table, which holds the offset and length of each field, in bytes.
+const TABLE_OFFSET: usize = 36;
 /// The maximum length of a string field, in UTF-16 code units (2.2.6.4).
 const MAX_UNITS: usize = 128;
 /// The flag `fIntSecurity`, in the second byte of option flags.
-const INTEGRATED: u8 = 0x80;
+const INTEGRATED_SECURITY: u8 = 0x80;
 
 /// The content of a LOGIN7 message, without the password.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -84,19 +84,19 @@
     /// every field must lie within the message, and no two may overlap.
     ///
     /// # Errors
-    /// When the message's length or offset table is invalid, or a field is not valid text.
+    /// Returns an error if the message's length or offset table is invalid, or a field is not valid text.
     pub fn parse(payload: &[u8]) -> Result<Self, LoginError> {
-        if payload.len() < FIXED || u32_at(payload, 0) as usize != payload.len() {
+        if payload.len() < FIXED_BYTES || u32_at(payload, 0) as usize != payload.len() {
             return Err(LoginError::Length);
         }
         let mut spans = Vec::with_capacity(FIELDS.len());
         for (name, entry, unit) in FIELDS {
             let (offset, length) =
-                (u16_at(payload, TABLE + entry), u16_at(payload, TABLE + entry + 2) * unit);
+                (u16_at(payload, TABLE_OFFSET + entry), u16_at(payload, TABLE_OFFSET + entry + 2) * unit);
             if length == 0 {
                 continue;
             }
-            if offset < FIXED || offset + length > payload.len() {
+            if offset < FIXED_BYTES || offset + length > payload.len() {
                 return Err(LoginError::Outside(name));
             }
             spans.push((offset, offset + length, name));
@@ -121,38 +121,38 @@
             app: text("application name")?,
             library: text("library name")?,
             database: text("database")?,
-            integrated: payload[25] & INTEGRATED != 0,
+            integrated: payload[25] & INTEGRATED_SECURITY != 0,
         })
     }
 
     /// Writes the payload of a message with an empty password.
-    pub fn put(&self, out: &mut BytesMut) {
-        let start = out.len();
-        out.put_u32_le(0);
+    pub fn put(&self, output: &mut BytesMut) {
+        let start = output.len();
+        output.put_u32_le(0);
         // Client program version 1; process and connection ids 0.
         for word in [self.version, self.packet_size, 1, 0, 0] {
-            out.put_u32_le(word);
+            output.put_u32_le(word);
         }
         // Option flags 1 (little-endian, ASCII, IEEE 754), option flags 2 (ODBC), the default SQL type.
-        out.put_slice(&[0xe0, 0x03 | if self.integrated { INTEGRATED } else { 0 }, 0, 0]);
+        output.put_slice(&[0xe0, 0x03 | if self.integrated { INTEGRATED_SECURITY } else { 0 }, 0, 0]);
         // Time zone UTC; locale en-US.
-        out.put_u32_le(0);
-        out.put_u32_le(0x0409);
+        output.put_u32_le(0);
+        output.put_u32_le(0x0409);
         let texts = [&self.host, &self.user, "", &self.app, "", "", &self.library, "", &self.database];
         let texts = texts.map(|text| text::truncated(text, MAX_UNITS));
-        let mut offset = FIXED;
-        let mut entry = |out: &mut BytesMut, text: &str| {
-            out.put_u16_le(offset as u16);
-            out.put_u16_le(text::units(text) as u16);
+        let mut offset = FIXED_BYTES;
+        let mut entry = |output: &mut BytesMut, text: &str| {
+            output.put_u16_le(offset as u16);
+            output.put_u16_le(text::units(text) as u16);
             offset += text::units(text) * 2;
         };
-        texts.iter().for_each(|text| entry(out, text));
+        texts.iter().for_each(|text| entry(output, text));
         // Client id (a MAC address), none.
-        out.put_slice(&[0; 6]);
-        (0..3).for_each(|_| entry(out, ""));
-        out.put_u32_le(0);
-        texts.iter().for_each(|text| text::put(out, text));
-        let length = (out.len() - start) as u32;
-        out[start..start + 4].copy_from_slice(&length.to_le_bytes());
+        output.put_slice(&[0; 6]);
+        (0..3).for_each(|_| entry(output, ""));
+        output.put_u32_le(0);
+        texts.iter().for_each(|text| text::put(output, text));
+        let length = (output.len() - start) as u32;
+        output[start..start + 4].copy_from_slice(&length.to_le_bytes());
     }
 }
--- a/crates/tds/src/numbers.rs
+++ b/crates/tds/src/numbers.rs
@@ -1,10 +1,11 @@
-//! Numbers of errors and information messages, between proxy and clients and between proxy and ledger hosts.
+//! Numbers of errors and information messages that the proxy sends to clients or receives from ledger hosts.
 //!
 //! Drivers treat some numbers as transient errors and retry by themselves: these are used only where a retry
 //! is harmless. Errors of requests that may have had an effect use numbers from 50,000 on, the range reserved
 //! for users, which no driver retries.
 
-/// The request is rejected; the message ends with a retry delay, where there is one. Transient for drivers.
+/// The request is rejected; the message ends with the time after which the client may retry, if there is one.
+/// Transient for drivers.
 pub const BUSY: i32 = 40501;
 /// The server is not ready or is draining. Transient for drivers.
 pub const UNAVAILABLE: i32 = 40613;
@@ -12,11 +13,11 @@
 pub const RESOURCES: i32 = 49918;
 /// The server has too many connections. Transient for drivers.
 pub const LIMIT: i32 = 10928;
-/// The errors by which a ledger host rejects a request without having started it.
+/// The errors with which a ledger host rejects a request without having started it.
 pub const REJECTED: [i32; 4] = [BUSY, UNAVAILABLE, RESOURCES, LIMIT];
 /// The request is a write and the host is not the primary.
 pub const READ_ONLY: i32 = 3906;
-/// The request is a read whose read requirement is ahead of the host's replication.
+/// The request is a read whose read requirement is ahead of the host's log position.
 pub const BEHIND: i32 = 50072;
 /// The ledger host failed internally; the request may have had an effect.
 pub const HOST_ERROR: i32 = 50000;
--- a/crates/tds/src/packet.rs
+++ b/crates/tds/src/packet.rs
@@ -66,14 +66,14 @@
 /// The status bits of a message, without the end-of-message bit (2.2.3.1.2).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// The client has abandoned the message: the server discards it.
+    /// Whether the client has abandoned the message, so that the server discards it.
     pub ignore: bool,
-    /// The session is reset to its state after login before the request runs.
+    /// Whether the session is reset to its state after the login before the request runs.
     pub reset: bool,
 }
 
-// The bits of a packet's status byte (2.2.3.1.2).
-const END: u8 = 0x01;
+// The bits of the status byte of a packet (2.2.3.1.2).
+const END_OF_MESSAGE: u8 = 0x01;
 const IGNORE: u8 = 0x02;
 const RESET: u8 = 0x08;
 const RESET_KEEP_TRANSACTION: u8 = 0x10;
@@ -107,8 +107,8 @@
         Self { max_payload_bytes, max_packet_bytes: INITIAL_PACKET_BYTES, kind, status, payload }
     }
 
-    /// Sets the negotiated packet size, in bytes. Packets of up to [`INITIAL_PACKET_BYTES`] are accepted even if it is
-    /// smaller.
+    /// Sets the negotiated packet size, in bytes. Packets of up to [`INITIAL_PACKET_BYTES`] are accepted even
+    /// if it is smaller.
     pub fn set_packet_size(&mut self, bytes: usize) {
         self.max_packet_bytes = bytes.max(INITIAL_PACKET_BYTES);
     }
@@ -127,7 +127,8 @@
     /// complete.
     ///
     /// # Errors
-    /// When a header is invalid or the message is too long. The rest of the stream is unreadable then.
+    /// Returns an error if a header is invalid or the message is too long. The rest of the stream is
+    /// unreadable then.
     pub fn next(&mut self, received: &mut BytesMut) -> Result<Option<Message>, WireError> {
         while let Some(packet) = self.next_packet(received)? {
             let kind = *self.kind.get_or_insert(packet.kind);
@@ -138,7 +139,7 @@
             self.status.reset |= packet.status & (RESET | RESET_KEEP_TRANSACTION) != 0;
             received.advance(HEADER_BYTES);
             let content = received.split_to(packet.length - HEADER_BYTES);
-            if packet.status & END == 0 {
+            if packet.status & END_OF_MESSAGE == 0 {
                 self.payload.extend_from_slice(&content);
                 continue;
             }
@@ -179,25 +180,25 @@
 }
 
 /// Writes a message as packets of at most `size` bytes, header included (2.2.3.1).
-pub fn put_message(out: &mut BytesMut, kind: PacketType, status: Status, payload: &[u8], size: usize) {
+pub fn put_message(output: &mut BytesMut, kind: PacketType, status: Status, payload: &[u8], size: usize) {
     let max_content = size.clamp(NEGOTIABLE_PACKET_BYTES.0, NEGOTIABLE_PACKET_BYTES.1) - HEADER_BYTES;
     let packets = payload.len().div_ceil(max_content).max(1);
-    out.reserve(payload.len() + packets * HEADER_BYTES);
+    output.reserve(payload.len() + packets * HEADER_BYTES);
     for number in 0..packets {
         let content = &payload[number * max_content..payload.len().min((number + 1) * max_content)];
         let mut bits = 0;
         if number + 1 == packets {
-            bits |= END | if status.ignore { IGNORE } else { 0 };
+            bits |= END_OF_MESSAGE | if status.ignore { IGNORE } else { 0 };
         }
         if number == 0 && status.reset {
             bits |= RESET;
         }
-        out.put_u8(kind.code());
-        out.put_u8(bits);
-        out.put_u16((content.len() + HEADER_BYTES) as u16);
-        out.put_u16(0);
-        out.put_u8((number + 1) as u8);
-        out.put_u8(0);
-        out.put_slice(content);
+        output.put_u8(kind.code());
+        output.put_u8(bits);
+        output.put_u16((content.len() + HEADER_BYTES) as u16);
+        output.put_u16(0);
+        output.put_u8((number + 1) as u8);
+        output.put_u8(0);
+        output.put_slice(content);
     }
 }
--- a/crates/tds/src/prelogin.rs
+++ b/crates/tds/src/prelogin.rs
@@ -10,7 +10,7 @@
 const VERSION: u8 = 0;
 const ENCRYPTION: u8 = 1;
 const MARS: u8 = 4;
-const END: u8 = 0xff;
+const TERMINATOR: u8 = 0xff;
 /// The maximum number of options that is accepted; the specification defines fewer.
 const MAX_OPTIONS: usize = 16;
 
@@ -65,7 +65,8 @@
     /// Parses the payload of a message.
     ///
     /// # Errors
-    /// When an option lies outside the message or has an invalid value, or VERSION is not the first option.
+    /// Returns an error if an option lies outside the message or has an invalid value, or VERSION is not the
+    /// first option.
     pub fn parse(payload: &[u8]) -> Result<Self, WireError> {
         let options = parse_options(&mut &payload[..]).map_err(|_| WireError::Malformed("PRELOGIN"))?;
         let mut prelogin = Self::default();
@@ -93,7 +94,7 @@
     }
 
     /// Writes the payload of a message.
-    pub fn put(&self, out: &mut BytesMut) {
+    pub fn put(&self, output: &mut BytesMut) {
         let (major, minor, build) = self.version;
         let build = build.to_be_bytes();
         let version = [major, minor, build[0], build[1], 0, 0];
@@ -101,13 +102,13 @@
             [(VERSION, &version), (ENCRYPTION, &[self.encryption.code()]), (MARS, &[u8::from(self.mars)])];
         let mut offset = options.len() * 5 + 1;
         for (token, value) in options {
-            out.put_u8(token);
-            out.put_u16(offset as u16);
-            out.put_u16(value.len() as u16);
+            output.put_u8(token);
+            output.put_u16(offset as u16);
+            output.put_u16(value.len() as u16);
             offset += value.len();
         }
-        out.put_u8(END);
-        options.iter().for_each(|(_, value)| out.put_slice(value));
+        output.put_u8(TERMINATOR);
+        options.iter().for_each(|(_, value)| output.put_slice(value));
     }
 }
 
@@ -116,7 +117,7 @@
     let mut options = Vec::new();
     loop {
         match byte.parse_next(input)? {
-            END => return Ok(options),
+            TERMINATOR => return Ok(options),
             _ if options.len() == MAX_OPTIONS => return Err(ContextError::new()),
             token => options.push((token, be_u16.parse_next(input)?, be_u16.parse_next(input)?)),
         }
--- a/crates/tds/src/request.rs
+++ b/crates/tds/src/request.rs
@@ -14,17 +14,17 @@
 /// The name of the first parameter of `sp_executesql`, which drivers may leave out.
 pub const STATEMENT_PARAMETER: &str = "@stmt";
 
-/// In place of the length of a procedure's name: a procedure number follows.
+/// The value of the length of a procedure's name if a procedure number follows instead of a name.
 const BY_NUMBER: u16 = 0xffff;
 /// The header type of the transaction descriptor.
-const TRANSACTION: u16 = 2;
-/// The length of an ALL_HEADERS that holds just a transaction descriptor, in bytes.
+const TRANSACTION_DESCRIPTOR: u16 = 2;
+/// The length of an ALL_HEADERS that holds only a transaction descriptor, in bytes.
 const ALL_HEADERS_BYTES: u32 = 22;
 /// The parameter status flag `fByRefValue`.
 const BY_REFERENCE: u8 = 0x01;
-/// After the parameters of a call: another call follows in the same message (7.2 and later).
+/// The byte after the parameters of a call if another call follows in the same message (TDS 7.2 and later).
 const NEXT: u8 = 0xff;
-/// Like [`NEXT`], but the call that follows is not executed.
+/// Like [`NEXT`], but the server does not execute the call that follows.
 const NEXT_NO_EXEC: u8 = 0xfe;
 /// The maximum number of parameters of a call, as in SQL Server.
 const MAX_PARAMETERS: usize = 2_100;
@@ -62,7 +62,7 @@
     pub parameters: Vec<Parameter>,
 }
 
-/// Skips ALL_HEADERS (2.2.5.3), checking that the lengths of the headers add up.
+/// Skips ALL_HEADERS (2.2.5.3), checking that the lengths of the headers add up to the total length.
 fn skip_all_headers(input: &mut &[u8]) -> ParseResult<()> {
     let total = le_u32.verify(|total| *total >= 4).parse_next(input)?;
     let mut headers = take(total - 4).parse_next(input)?;
@@ -74,18 +74,19 @@
 }
 
 /// Writes ALL_HEADERS with a transaction descriptor that names no transaction and one outstanding request.
-pub fn put_all_headers(out: &mut BytesMut) {
-    out.put_u32_le(ALL_HEADERS_BYTES);
-    out.put_u32_le(ALL_HEADERS_BYTES - 4);
-    out.put_u16_le(TRANSACTION);
-    out.put_u64_le(0);
-    out.put_u32_le(1);
+pub fn put_all_headers(output: &mut BytesMut) {
+    output.put_u32_le(ALL_HEADERS_BYTES);
+    output.put_u32_le(ALL_HEADERS_BYTES - 4);
+    output.put_u16_le(TRANSACTION_DESCRIPTOR);
+    output.put_u64_le(0);
+    output.put_u32_le(1);
 }
 
 /// Parses the payload of a batch and returns its SQL text.
 ///
 /// # Errors
-/// When the lengths of the headers do not add up or the text is not valid UTF-16.
+/// Returns an error if the lengths of the headers do not add up to the total length, or the text is not valid
+/// UTF-16.
 pub fn parse_batch(payload: &[u8]) -> Result<String, WireError> {
     let text = |input: &mut &[u8]| {
         skip_all_headers(input)?;
@@ -97,21 +98,21 @@
 
 impl Rpc {
     /// Writes the payload of the call.
-    pub fn put(&self, out: &mut BytesMut) {
-        put_all_headers(out);
+    pub fn put(&self, output: &mut BytesMut) {
+        put_all_headers(output);
         match &self.procedure {
             Procedure::Number(number) => {
-                out.put_u16_le(BY_NUMBER);
-                out.put_u16_le(*number);
+                output.put_u16_le(BY_NUMBER);
+                output.put_u16_le(*number);
             }
-            Procedure::Name(name) => text::put_long(out, name),
+            Procedure::Name(name) => text::put_long(output, name),
         }
-        out.put_u16_le(self.options);
+        output.put_u16_le(self.options);
         for parameter in &self.parameters {
-            text::put_short(out, &parameter.name);
-            out.put_u8(u8::from(parameter.output) * BY_REFERENCE);
-            parameter.kind.put(out);
-            parameter.kind.put_value(out, &parameter.value);
+            text::put_short(output, &parameter.name);
+            output.put_u8(u8::from(parameter.output) * BY_REFERENCE);
+            parameter.kind.put(output);
+            parameter.kind.put_value(output, &parameter.value);
         }
     }
 
@@ -122,7 +123,7 @@
             Procedure::Name(name) => name
                 .rsplit('.')
                 .next()
-                .is_some_and(|n| n.trim_matches(['[', ']']).eq_ignore_ascii_case("sp_executesql")),
+                .is_some_and(|last| last.trim_matches(['[', ']']).eq_ignore_ascii_case("sp_executesql")),
         }
     }
 }
@@ -130,7 +131,8 @@
 /// Parses the payload of a procedure call.
 ///
 /// # Errors
-/// When the payload is malformed, has a parameter of an unsupported type, or calls more than one procedure.
+/// Returns an error if the payload is malformed, has a parameter of an unsupported type, or calls more than
+/// one procedure.
 pub fn parse_rpc(payload: &[u8]) -> Result<Rpc, WireError> {
     parse_whole(payload, parse_call, "a procedure call")
 }
--- a/crates/tds/src/text.rs
+++ b/crates/tds/src/text.rs
@@ -20,9 +20,9 @@
 }
 
 /// Writes a string as UTF-16, without a length prefix.
-pub fn put(out: &mut BytesMut, text: &str) {
-    out.reserve(text.len() * 2);
-    text.encode_utf16().for_each(|unit| out.put_u16_le(unit));
+pub fn put(output: &mut BytesMut, text: &str) {
+    output.reserve(text.len() * 2);
+    text.encode_utf16().for_each(|unit| output.put_u16_le(unit));
 }
 
 /// Returns the length of a string in UTF-16 code units.
@@ -58,28 +58,28 @@
 }
 
 /// Writes a B_VARCHAR, truncated to the 255 units that its length can express.
-pub(crate) fn put_short(out: &mut BytesMut, text: &str) {
+pub(crate) fn put_short(output: &mut BytesMut, text: &str) {
     let text = truncated(text, usize::from(u8::MAX));
-    out.put_u8(units(text) as u8);
-    put(out, text);
+    output.put_u8(units(text) as u8);
+    put(output, text);
 }
 
 /// Writes a US_VARCHAR, truncated to the 65,535 units that its length can express.
-pub(crate) fn put_long(out: &mut BytesMut, text: &str) {
+pub(crate) fn put_long(output: &mut BytesMut, text: &str) {
     let text = truncated(text, usize::from(u16::MAX));
-    out.put_u16_le(units(text) as u16);
-    put(out, text);
+    output.put_u16_le(units(text) as u16);
+    put(output, text);
 }
 
-/// Runs a parser that has to consume the whole message. `what` names the message in the error.
+/// Runs a parser that has to consume the whole message. `message_name` stands in the error.
 pub(crate) fn parse_whole<'a, T>(
     bytes: &'a [u8],
     mut parser: impl FnMut(&mut &'a [u8]) -> ParseResult<T>,
-    what: &'static str,
+    message_name: &'static str,
 ) -> Result<T, WireError> {
     let mut input = bytes;
     match parser(&mut input) {
         Ok(value) if input.is_empty() => Ok(value),
-        _ => Err(WireError::Malformed(what)),
+        _ => Err(WireError::Malformed(message_name)),
     }
 }
--- a/crates/tds/src/token.rs
+++ b/crates/tds/src/token.rs
@@ -23,7 +23,7 @@
 const DONE: u8 = 0xfd;
 const DONE_PROC: u8 = 0xfe;
 const DONE_IN_PROC: u8 = 0xff;
-/// As the column count of COLMETADATA: there is no metadata.
+/// The column count of a COLMETADATA without metadata.
 const NO_METADATA: u16 = 0xffff;
 /// The column flag `fNullable`.
 const NULLABLE: u16 = 0x0001;
@@ -31,8 +31,8 @@
 const SQL_TSQL: u8 = 1;
 /// The feature id that ends FEATUREEXTACK.
 const NO_MORE_FEATURES: u8 = 0xff;
-/// The maximum number of columns that is accepted: well above what answers have here. Each column costs
-/// memory before the first row arrives.
+/// The maximum number of columns that is accepted: answers of ledger hosts have far fewer. Each
+/// column takes memory before the first row arrives.
 const MAX_COLUMNS: u16 = 1_024;
 
 /// The description of a column.
@@ -49,7 +49,7 @@
 pub struct Notice {
     /// The message number; see [`crate::numbers`].
     pub number: i32,
-    /// The state, which tells apart origins of the same number.
+    /// The state, which tells apart the causes of messages with the same number.
     pub state: u8,
     /// The class, also called severity: above 10 for errors; from 20 on the connection ends.
     pub class: u8,
@@ -80,13 +80,13 @@
 /// The content of DONE, DONEPROC or DONEINPROC: the end of an execution (2.2.7.6).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Done {
-    /// More results follow.
+    /// Whether more results follow.
     pub more: bool,
-    /// The execution ended in an error.
+    /// Whether the execution ended in an error.
     pub error: bool,
-    /// The row count is valid.
+    /// Whether [`Self::rows`] is valid.
     pub has_row_count: bool,
-    /// The token acknowledges an attention, by which the client cancelled its request.
+    /// Whether the token acknowledges an attention, with which the client cancelled its request.
     pub attention: bool,
     /// The number of rows returned or changed.
     pub rows: u64,
@@ -141,18 +141,18 @@
 /// An iterator over the tokens of a response. It ends after the first token that cannot be parsed.
 #[derive(Debug)]
 pub struct Tokens<'a> {
-    rest: &'a [u8],
+    remaining: &'a [u8],
     columns: Vec<Column>,
 }
 
 impl<'a> Tokens<'a> {
     /// Creates an iterator over the payload of a complete response.
     pub fn new(payload: &'a [u8]) -> Self {
-        Self { rest: payload, columns: Vec::new() }
+        Self { remaining: payload, columns: Vec::new() }
     }
 
     fn next_token(&mut self) -> Result<Token, WireError> {
-        let kind = self.rest[0];
+        let kind = self.remaining[0];
         let known = [
             RETURN_STATUS,
             COLUMNS,
@@ -172,9 +172,9 @@
         if !known.contains(&kind) {
             return Err(WireError::UnknownToken(kind));
         }
-        self.rest = &self.rest[1..];
-        let token =
-            parse_token(kind, &self.columns, &mut self.rest).map_err(|_| WireError::Malformed("a token"))?;
+        self.remaining = &self.remaining[1..];
+        let token = parse_token(kind, &self.columns, &mut self.remaining)
+            .map_err(|_| WireError::Malformed("a token"))?;
         if let Token::Columns(columns) = &token {
             self.columns.clone_from(columns);
         }
@@ -186,13 +186,13 @@
     type Item = Result<Token, WireError>;
 
     fn next(&mut self) -> Option<Self::Item> {
-        if self.rest.is_empty() {
+        if self.remaining.is_empty() {
             return None;
         }
         let token = self.next_token();
         if token.is_err() {
-            // The length of an invalid token is unknown, so what follows it cannot be parsed.
-            self.rest = &[];
+            // The length of an invalid token is unknown, so the tokens after it cannot be parsed.
+            self.remaining = &[];
         }
         Some(token)
     }
@@ -310,132 +310,132 @@
 }
 
 /// Writes a token whose content is preceded by its length.
-fn put_sized(out: &mut BytesMut, kind: u8, content: impl FnOnce(&mut BytesMut)) {
-    out.put_u8(kind);
-    let start = out.len();
-    out.put_u16_le(0);
-    content(out);
-    let length = (out.len() - start - 2) as u16;
-    out[start..start + 2].copy_from_slice(&length.to_le_bytes());
+fn put_sized(output: &mut BytesMut, kind: u8, content: impl FnOnce(&mut BytesMut)) {
+    output.put_u8(kind);
+    let start = output.len();
+    output.put_u16_le(0);
+    content(output);
+    let length = (output.len() - start - 2) as u16;
+    output[start..start + 2].copy_from_slice(&length.to_le_bytes());
 }
 
 /// Writes COLMETADATA.
-pub fn put_columns(out: &mut BytesMut, columns: &[Column]) {
-    out.put_u8(COLUMNS);
-    out.put_u16_le(columns.len() as u16);
+pub fn put_columns(output: &mut BytesMut, columns: &[Column]) {
+    output.put_u8(COLUMNS);
+    output.put_u16_le(columns.len() as u16);
     for column in columns {
-        out.put_u32_le(0);
-        out.put_u16_le(NULLABLE);
-        column.kind.put(out);
+        output.put_u32_le(0);
+        output.put_u16_le(NULLABLE);
+        column.kind.put(output);
         if column.kind == DataType::NText {
-            out.put_u8(0);
+            output.put_u8(0);
         }
-        text::put_short(out, &column.name);
+        text::put_short(output, &column.name);
     }
 }
 
 /// Writes ROW.
-pub fn put_row(out: &mut BytesMut, columns: &[Column], values: &[Value]) {
-    out.put_u8(ROW);
+pub fn put_row(output: &mut BytesMut, columns: &[Column], values: &[Value]) {
+    output.put_u8(ROW);
     for (column, value) in columns.iter().zip(values) {
-        column.kind.put_value(out, value);
+        column.kind.put_value(output, value);
     }
 }
 
 /// Writes NBCROW: a bitmap of the columns that are null, then the other values as in ROW.
-pub fn put_row_with_nulls(out: &mut BytesMut, columns: &[Column], values: &[Value]) {
-    out.put_u8(ROW_WITH_NULLS);
+pub fn put_row_with_nulls(output: &mut BytesMut, columns: &[Column], values: &[Value]) {
+    output.put_u8(ROW_WITH_NULLS);
     let mut nulls = vec![0u8; columns.len().div_ceil(8)];
     for (n, _) in values.iter().enumerate().filter(|(_, value)| **value == Value::Null) {
         nulls[n / 8] |= 1 << (n % 8);
     }
-    out.put_slice(&nulls);
+    output.put_slice(&nulls);
     for (column, value) in columns.iter().zip(values).filter(|(_, value)| **value != Value::Null) {
-        column.kind.put_value(out, value);
+        column.kind.put_value(output, value);
     }
 }
 
 /// Writes DONE, DONEPROC or DONEINPROC.
-pub fn put_done(out: &mut BytesMut, kind: DoneKind, done: Done) {
-    out.put_u8(match kind {
+pub fn put_done(output: &mut BytesMut, kind: DoneKind, done: Done) {
+    output.put_u8(match kind {
         DoneKind::Batch => DONE,
         DoneKind::Proc => DONE_PROC,
         DoneKind::InProc => DONE_IN_PROC,
     });
     let bits =
         [(done.more, MORE), (done.error, FAILED), (done.has_row_count, COUNT), (done.attention, ATTENTION)];
-    out.put_u16_le(bits.iter().filter(|(set, _)| *set).map(|(_, bit)| bit).sum());
+    output.put_u16_le(bits.iter().filter(|(set, _)| *set).map(|(_, bit)| bit).sum());
     // The current command: SELECT (0xc1), which drivers expect with a row count.
-    out.put_u16_le(if done.has_row_count { 0xc1 } else { 0 });
-    out.put_u64_le(done.rows);
+    output.put_u16_le(if done.has_row_count { 0xc1 } else { 0 });
+    output.put_u64_le(done.rows);
 }
 
-fn put_notice(out: &mut BytesMut, kind: u8, notice: &Notice) {
-    put_sized(out, kind, |out| {
-        out.put_i32_le(notice.number);
-        out.put_u8(notice.state);
-        out.put_u8(notice.class);
+fn put_notice(output: &mut BytesMut, kind: u8, notice: &Notice) {
+    put_sized(output, kind, |output| {
+        output.put_i32_le(notice.number);
+        output.put_u8(notice.state);
+        output.put_u8(notice.class);
         // The token's length field has two bytes: a longer text is truncated.
-        text::put_long(out, text::truncated(&notice.message, 2_048));
-        text::put_short(out, "wheelpier");
-        text::put_short(out, "");
-        out.put_u32_le(1);
+        text::put_long(output, text::truncated(&notice.message, 2_048));
+        text::put_short(output, "wheelpier");
+        text::put_short(output, "");
+        output.put_u32_le(1);
     });
 }
 
 /// Writes ERROR.
-pub fn put_error(out: &mut BytesMut, notice: &Notice) {
-    put_notice(out, ERROR, notice);
+pub fn put_error(output: &mut BytesMut, notice: &Notice) {
+    put_notice(output, ERROR, notice);
 }
 
 /// Writes INFO.
-pub fn put_info(out: &mut BytesMut, notice: &Notice) {
-    put_notice(out, INFO, notice);
+pub fn put_info(output: &mut BytesMut, notice: &Notice) {
+    put_notice(output, INFO, notice);
 }
 
 /// Writes LOGINACK.
-pub fn put_login_ack(out: &mut BytesMut, ack: &LoginAck) {
-    put_sized(out, LOGIN_ACK, |out| {
-        out.put_u8(SQL_TSQL);
-        out.put_u32(ack.version);
-        text::put_short(out, &ack.program);
-        out.put_slice(&[15, 0, 0, 0]);
+pub fn put_login_ack(output: &mut BytesMut, ack: &LoginAck) {
+    put_sized(output, LOGIN_ACK, |output| {
+        output.put_u8(SQL_TSQL);
+        output.put_u32(ack.version);
+        text::put_short(output, &ack.program);
+        output.put_slice(&[15, 0, 0, 0]);
     });
 }
 
-/// Writes ENVCHANGE. The old value is left empty, but for the packet size.
-pub fn put_environment(out: &mut BytesMut, change: &Environment) {
+/// Writes ENVCHANGE. The old value is left empty, except for the packet size.
+pub fn put_environment(output: &mut BytesMut, change: &Environment) {
     let (kind, value) = match change {
         Environment::Database(name) => (1, name.clone()),
         Environment::PacketSize(size) => (4, size.to_string()),
         Environment::Reset => (18, String::new()),
         Environment::Other(kind) => (*kind, String::new()),
     };
-    put_sized(out, ENVIRONMENT, |out| {
-        out.put_u8(kind);
-        text::put_short(out, &value);
+    put_sized(output, ENVIRONMENT, |output| {
+        output.put_u8(kind);
+        text::put_short(output, &value);
         // Drivers parse the old packet size as a number: it must not be empty.
-        text::put_short(out, if kind == 4 { &value } else { "" });
+        text::put_short(output, if kind == 4 { &value } else { "" });
     });
 }
 
 /// Writes the ENVCHANGE that reports the collation of the session.
-pub fn put_collation(out: &mut BytesMut) {
-    put_sized(out, ENVIRONMENT, |out| {
-        out.put_u8(7);
-        out.put_u8(COLLATION.len() as u8);
-        out.put_slice(&COLLATION);
-        out.put_u8(0);
+pub fn put_collation(output: &mut BytesMut) {
+    put_sized(output, ENVIRONMENT, |output| {
+        output.put_u8(7);
+        output.put_u8(COLLATION.len() as u8);
+        output.put_slice(&COLLATION);
+        output.put_u8(0);
     });
 }
 
 /// Writes ORDER.
-pub fn put_order(out: &mut BytesMut, columns: &[u16]) {
-    put_sized(out, ORDER, |out| columns.iter().for_each(|column| out.put_u16_le(*column)));
+pub fn put_order(output: &mut BytesMut, columns: &[u16]) {
+    put_sized(output, ORDER, |output| columns.iter().for_each(|column| output.put_u16_le(*column)));
 }
 
 /// Writes RETURNSTATUS.
-pub fn put_return_status(out: &mut BytesMut, status: i32) {
-    out.put_u8(RETURN_STATUS);
-    out.put_i32_le(status);
+pub fn put_return_status(output: &mut BytesMut, status: i32) {
+    output.put_u8(RETURN_STATUS);
+    output.put_i32_le(status);
 }
--- a/crates/tds/src/value.rs
+++ b/crates/tds/src/value.rs
@@ -7,26 +7,26 @@
 use winnow::token::take;
 use winnow::Parser;
 
-/// The maximum size of a chunk in which a partially length-prefixed value is written, in bytes.
+/// The maximum length of the chunks in which a partially length-prefixed value is written, in bytes.
 pub const MAX_CHUNK_BYTES: usize = 16 * 1024;
 /// The maximum length of the values of a type that is not partially length-prefixed, in bytes.
 const MAX_SHORT_BYTES: u16 = 8_000;
-/// As the maximum length in a TYPE_INFO: values are partially length-prefixed (PLP).
+/// The maximum length in a TYPE_INFO that stands for partially length-prefixed (PLP) values.
 const PLP: u16 = 0xffff;
-/// As the length of a short value: null.
+/// The length that stands for null in a value with a length of two bytes.
 const SHORT_NULL: u16 = 0xffff;
-/// As the total length of a PLP value: null.
+/// The total length that stands for null in a PLP value.
 const PLP_NULL: u64 = u64::MAX;
-/// As the total length of a PLP value: unknown, the sum of the chunks.
+/// The total length that stands for "unknown" in a PLP value: it is the sum of the lengths of the chunks.
 const PLP_UNKNOWN: u64 = u64::MAX - 1;
 /// Latin1_General_CI_AS, the collation of most servers (2.2.5.1.2).
 pub(crate) const COLLATION: [u8; 5] = [0x09, 0x04, 0xd0, 0x00, 0x34];
 
-/// A data type, with the parameters that its values are decoded by.
+/// A data type, with the parameters that are needed to decode its values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DataType {
-    /// An integer of 1, 2, 4 or 8 bytes; bit is read as one of 1 byte. Each value of a nullable type has a
-    /// length.
+    /// An integer of 1, 2, 4 or 8 bytes; the type bit is read as an integer of 1 byte. Values of a nullable
+    /// type are preceded by their length.
     Int {
         /// The size of a value in bytes.
         size: u8,
@@ -41,7 +41,7 @@
     VarChar,
     /// varchar(max), partially length-prefixed.
     VarCharMax,
-    /// ntext, with a length of four bytes.
+    /// ntext; values are preceded by a length of four bytes.
     NText,
     /// varbinary or binary, at most 8,000 bytes.
     VarBinary,
@@ -108,33 +108,33 @@
     }
 
     /// Writes a TYPE_INFO.
-    pub(crate) fn put(self, out: &mut BytesMut) {
+    pub(crate) fn put(self, output: &mut BytesMut) {
         match self {
-            Self::Int { size, nullable: true } => out.put_slice(&[0x26, size]),
-            Self::Int { size, .. } => out.put_u8(match size {
+            Self::Int { size, nullable: true } => output.put_slice(&[0x26, size]),
+            Self::Int { size, .. } => output.put_u8(match size {
                 1 => 0x30,
                 2 => 0x34,
                 4 => 0x38,
                 _ => 0x7f,
             }),
             Self::NVarChar | Self::NVarCharMax => {
-                out.put_u8(0xe7);
-                out.put_u16_le(if self == Self::NVarChar { MAX_SHORT_BYTES } else { PLP });
-                out.put_slice(&COLLATION);
+                output.put_u8(0xe7);
+                output.put_u16_le(if self == Self::NVarChar { MAX_SHORT_BYTES } else { PLP });
+                output.put_slice(&COLLATION);
             }
             Self::VarChar | Self::VarCharMax => {
-                out.put_u8(0xa7);
-                out.put_u16_le(if self == Self::VarChar { MAX_SHORT_BYTES } else { PLP });
-                out.put_slice(&COLLATION);
+                output.put_u8(0xa7);
+                output.put_u16_le(if self == Self::VarChar { MAX_SHORT_BYTES } else { PLP });
+                output.put_slice(&COLLATION);
             }
             Self::NText => {
-                out.put_u8(0x63);
-                out.put_u32_le(0x7fff_fffe);
-                out.put_slice(&COLLATION);
+                output.put_u8(0x63);
+                output.put_u32_le(0x7fff_fffe);
+                output.put_slice(&COLLATION);
             }
             Self::VarBinary | Self::VarBinaryMax => {
-                out.put_u8(0xa5);
-                out.put_u16_le(if self == Self::VarBinary { MAX_SHORT_BYTES } else { PLP });
+                output.put_u8(0xa5);
+                output.put_u16_le(if self == Self::VarBinary { MAX_SHORT_BYTES } else { PLP });
             }
         }
     }
@@ -163,57 +163,57 @@
 
     /// Writes a value of this type. A value of another type is written as null, or as 0 where the type is an
     /// integer that is not nullable.
-    pub(crate) fn put_value(self, out: &mut BytesMut, value: &Value) {
+    pub(crate) fn put_value(self, output: &mut BytesMut, value: &Value) {
         match (self, value) {
             (Self::Int { size, nullable }, Value::Int(number)) => {
                 if nullable {
-                    out.put_u8(size);
+                    output.put_u8(size);
                 }
-                out.put_slice(&number.to_le_bytes()[..usize::from(size.min(8))]);
+                output.put_slice(&number.to_le_bytes()[..usize::from(size.min(8))]);
             }
-            (Self::Int { nullable: true, .. }, _) => out.put_u8(0),
-            (Self::Int { size, .. }, _) => out.put_bytes(0, usize::from(size)),
-            (Self::NVarChar, Value::Text(text)) => put_short(out, &utf16(text)),
-            (Self::NVarCharMax, Value::Text(text)) => put_plp(out, &utf16(text)),
+            (Self::Int { nullable: true, .. }, _) => output.put_u8(0),
+            (Self::Int { size, .. }, _) => output.put_bytes(0, usize::from(size)),
+            (Self::NVarChar, Value::Text(text)) => put_short(output, &utf16(text)),
+            (Self::NVarCharMax, Value::Text(text)) => put_plp(output, &utf16(text)),
             (Self::NText, Value::Text(text)) => {
                 let text = utf16(text);
-                out.put_u32_le(text.len() as u32);
-                out.put_slice(&text);
+                output.put_u32_le(text.len() as u32);
+                output.put_slice(&text);
             }
-            (Self::VarChar, Value::Text(text)) => put_short(out, text.as_bytes()),
-            (Self::VarCharMax, Value::Text(text)) => put_plp(out, text.as_bytes()),
-            (Self::VarBinary, Value::Binary(bytes)) => put_short(out, bytes),
-            (Self::VarBinaryMax, Value::Binary(bytes)) => put_plp(out, bytes),
-            (Self::NVarCharMax | Self::VarCharMax | Self::VarBinaryMax, _) => out.put_u64_le(PLP_NULL),
-            (Self::NText, _) => out.put_u32_le(u32::MAX),
-            (Self::NVarChar | Self::VarChar | Self::VarBinary, _) => out.put_u16_le(SHORT_NULL),
+            (Self::VarChar, Value::Text(text)) => put_short(output, text.as_bytes()),
+            (Self::VarCharMax, Value::Text(text)) => put_plp(output, text.as_bytes()),
+            (Self::VarBinary, Value::Binary(bytes)) => put_short(output, bytes),
+            (Self::VarBinaryMax, Value::Binary(bytes)) => put_plp(output, bytes),
+            (Self::NVarCharMax | Self::VarCharMax | Self::VarBinaryMax, _) => output.put_u64_le(PLP_NULL),
+            (Self::NText, _) => output.put_u32_le(u32::MAX),
+            (Self::NVarChar | Self::VarChar | Self::VarBinary, _) => output.put_u16_le(SHORT_NULL),
         }
     }
 }
 
 /// Returns a string in little-endian UTF-16.
 fn utf16(text: &str) -> BytesMut {
-    let mut out = BytesMut::new();
-    text::put(&mut out, text);
-    out
+    let mut output = BytesMut::new();
+    text::put(&mut output, text);
+    output
 }
 
 /// Writes a value with a length of two bytes, truncated to [`MAX_SHORT_BYTES`].
-fn put_short(out: &mut BytesMut, bytes: &[u8]) {
+fn put_short(output: &mut BytesMut, bytes: &[u8]) {
     let bytes = &bytes[..bytes.len().min(usize::from(MAX_SHORT_BYTES))];
-    out.put_u16_le(bytes.len() as u16);
-    out.put_slice(bytes);
+    output.put_u16_le(bytes.len() as u16);
+    output.put_slice(bytes);
 }
 
 /// Writes a partially length-prefixed value (2.2.5.2.3), in chunks of at most [`MAX_CHUNK_BYTES`] bytes.
-pub fn put_plp(out: &mut BytesMut, bytes: &[u8]) {
-    out.reserve(bytes.len() + 12 + bytes.len().div_ceil(MAX_CHUNK_BYTES) * 4);
-    out.put_u64_le(bytes.len() as u64);
+pub fn put_plp(output: &mut BytesMut, bytes: &[u8]) {
+    output.reserve(bytes.len() + 12 + bytes.len().div_ceil(MAX_CHUNK_BYTES) * 4);
+    output.put_u64_le(bytes.len() as u64);
     for chunk in bytes.chunks(MAX_CHUNK_BYTES) {
-        out.put_u32_le(chunk.len() as u32);
-        out.put_slice(chunk);
+        output.put_u32_le(chunk.len() as u32);
+        output.put_slice(chunk);
     }
-    out.put_u32_le(0);
+    output.put_u32_le(0);
 }
 
 fn skip_collation(input: &mut &[u8]) -> ParseResult<()> {
--- a/crates/tds/tests/hostile.rs
+++ b/crates/tds/tests/hostile.rs
@@ -82,9 +82,9 @@
 #[test]
 fn invalid_prelogin_options_are_rejected() {
     let valid = {
-        let mut out = BytesMut::new();
-        Prelogin::default().put(&mut out);
-        out
+        let mut output = BytesMut::new();
+        Prelogin::default().put(&mut output);
+        output
     };
     for (at, byte) in [(2, 200), (4, 200), (0, 1), (5, 0), (8, 200), (9, 7)] {
         let mut invalid = valid.clone();
@@ -95,10 +95,10 @@
 }
 
 fn login() -> BytesMut {
-    let mut out = BytesMut::new();
+    let mut output = BytesMut::new();
     let login = Login { host: "till".to_owned(), user: "sa".to_owned(), ..Login::default() };
-    login.put(&mut out);
-    out
+    login.put(&mut output);
+    output
 }
 
 #[rstest]
