--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -35,8 +35,8 @@
     let mut line = 0u64;
     loop {
         bytes.clear();
-        let read = input.read_until(b'\n', &mut bytes).map_err(AdapterError::Input)?;
-        if read == 0 {
+        let length = input.read_until(b'\n', &mut bytes).map_err(AdapterError::Input)?;
+        if length == 0 {
             return protocol.finish().map_err(|error| AdapterError::Protocol { line, error });
         }
         line += 1;
