--- a/src/config/descriptors.rs
+++ b/src/config/descriptors.rs
@@ -30,13 +30,13 @@
     + MIN_CONSOLE_CONNECTIONS
     + INHERITED_DESCRIPTORS;
 
-/// Concurrent callers that the console serves even if descriptors are few.
+/// Number of console connections that are allowed even if descriptors are few.
 const MIN_CONSOLE_CONNECTIONS: usize = 6;
-/// Number of descriptors above which the console serves further callers.
+/// Number of descriptors above which further console connections are allowed.
 const MIN_SOCKETS_FOR_FURTHER_CONSOLE_CONNECTIONS: usize = 256;
-/// Number of descriptors, above that threshold, for each further caller of the console.
+/// Number of descriptors, above that threshold, for each further console connection.
 const SOCKETS_PER_CONSOLE_CONNECTION: usize = 32;
-/// Largest number of further callers of the console.
+/// Largest number of further console connections.
 const MAX_FURTHER_CONSOLE_CONNECTIONS: usize = 58;
 
 /// Number of descriptors of the process for each stream to a peer.
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -85,12 +85,13 @@
 
 impl File {
     pub(super) fn parse(text: &str) -> Result<Self, ConfigError> {
-        serde_json::from_str(text).map_err(|error| ConfigError::new(&key_at_fault(&error.to_string()), error))
+        serde_json::from_str(text)
+            .map_err(|error| ConfigError::new(&key_in_message(&error.to_string()), error))
     }
 }
 
-/// Returns the key that an error message of serde quotes with backticks, or `GW_CONFIG` if there is none.
-fn key_at_fault(message: &str) -> String {
+/// Returns the key that serde quotes with backticks in an error message, or `GW_CONFIG` if there is none.
+fn key_in_message(message: &str) -> String {
     let quoted = message.split('`').nth(1).filter(|key| !key.contains(' '));
     quoted.unwrap_or("GW_CONFIG").to_owned()
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -307,7 +307,7 @@
     files: &Spanned<Vec<Spanned<String>>>,
     reader: &ValueReader<'_>,
 ) -> Result<(Key, Option<Key>), OperatorError> {
-    let read = |file: &Spanned<String>| {
+    let read_key = |file: &Spanned<String>| {
         let text = std::fs::read_to_string(&file.value).map_err(|error| error.to_string());
         let key = text.and_then(|text| Key::from_hex(&text).map_err(|error| error.to_string()));
         key.map_err(|problem| {
@@ -315,8 +315,8 @@
         })
     };
     match &files.value[..] {
-        [first] => Ok((read(first)?, None)),
-        [first, second] => Ok((read(first)?, Some(read(second)?))),
+        [first] => Ok((read_key(first)?, None)),
+        [first, second] => Ok((read_key(first)?, Some(read_key(second)?))),
         _ => {
             let problem =
                 "expected one file, or two during key rotation: the first authenticates, both are accepted"
--- a/src/config/read.rs
+++ b/src/config/read.rs
@@ -128,8 +128,8 @@
 }
 
 fn read_settings(value: &serde_json::Value) -> Result<(Settings, ReportFormat), ConfigError> {
-    let read = settings::read(&value.to_string());
-    let (mut settings, report_format) = read.map_err(|error| ConfigError::new("settings", error))?;
+    let result = settings::read(&value.to_string());
+    let (mut settings, report_format) = result.map_err(|error| ConfigError::new("settings", error))?;
     settings.responses_verified =
         settings.responses_carry_position && settings.lag_policy == LagPolicy::ServeStale;
     settings::validate(&settings)
--- a/src/counters/mod.rs
+++ b/src/counters/mod.rs
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-/// How a request ended.
+/// Final state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
     /// A host's answer was sent.
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -38,7 +38,7 @@
     pub state: HostState,
     /// Capacity relative to other hosts, without a unit.
     pub weight: f64,
-    /// When the host last started; `None` if that is long ago.
+    /// Time at which the host last started; `None` if that is long ago.
     pub started_at: Option<Timestamp>,
 }
 
--- a/src/peer_metrics.rs
+++ b/src/peer_metrics.rs
@@ -59,10 +59,10 @@
         self.fenced.store(fenced, Relaxed);
     }
 
-    /// Appends one line `gw.fleet.NAME=VALUE` for each metric to `out`.
-    pub fn write_metrics(&self, out: &mut String) {
+    /// Appends one line `gw.fleet.NAME=VALUE` for each metric to `lines`.
+    pub fn write_metrics(&self, lines: &mut String) {
         let get = |counter: &AtomicU64| counter.load(Relaxed);
-        let mut line = |name: &str, value: u64| _ = writeln!(out, "gw.fleet.{name}={value}");
+        let mut line = |name: &str, value: u64| _ = writeln!(lines, "gw.fleet.{name}={value}");
         line("epoch", get(&self.epoch));
         line("members", get(&self.members));
         line("fenced", u64::from(self.fenced.load(Relaxed)));
