--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -68,8 +68,8 @@
     backoff_until: Option<Instant>,
     /// The earliest exit, as the time after SIGTERM; `None` before SIGTERM.
     exit_after: Option<Duration>,
-    /// When the next step of the listeners' handover is due; `None` before SIGTERM, and once no listener is
-    /// open.
+    /// Time at which the next step of the listeners' handover is due; `None` before SIGTERM, and once no
+    /// listener is open.
     handover_due: Option<Instant>,
     /// Whether the listeners were polled once more after the exit became due.
     has_polled_before_exit: bool,
--- a/src/net/frontend/acceptor/handover.rs
+++ b/src/net/frontend/acceptor/handover.rs
@@ -22,7 +22,7 @@
 const SEARCH_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between directing new connections to the other process and closing the listener.
 const HANDSHAKE_TIME: Duration = Duration::from_millis(400);
-/// How long the other process may take to accept and close the probe's connection.
+/// Time within which the other process must accept and close the probe's connection.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The redirection of new connections from a listener to another process.
@@ -30,11 +30,11 @@
 pub(in crate::net::frontend) struct Redirection {
     /// The socket of the other process.
     member: Member,
-    /// When the redirection began.
+    /// Time at which the redirection began.
     since: Instant,
 }
 
-/// Which process accepted a connection to the address of a listener.
+/// Process that accepted a connection to the address of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AcceptedBy {
     ThisProcess,
@@ -76,7 +76,8 @@
         })
     }
 
-    /// Returns when the next step of the handover is due; `None` unless a listener is being handed over.
+    /// Returns the time at which the next step of the handover is due; `None` unless a listener is being
+    /// handed over.
     pub(super) fn handover_continues_at(&self) -> Option<Instant> {
         let is_handing_over = self.listeners.all.iter().any(|listener| listener.redirection.is_some());
         self.handover_due.filter(|_| is_handing_over)
@@ -86,7 +87,7 @@
     /// to the one of the current redirection. Returns `None` if no other process listens at the address.
     ///
     /// # Errors
-    /// When no other process accepts a connection, or a system call fails.
+    /// Returns an error if no other process accepts a connection, or a system call fails.
     async fn direct_to_another(&mut self, index: usize) -> io::Result<Option<Redirection>> {
         let address = self.listeners.all[index].socket.local_addr()?;
         let members: Vec<Member> = port_group::members(address)?.collect();
@@ -116,7 +117,7 @@
     /// closing it in response. Other connections that reach this listener during the probe are served.
     ///
     /// # Errors
-    /// When the socket of the probe cannot be created or bound.
+    /// Returns an error if the socket of the probe cannot be created or bound.
     async fn probe(&mut self, index: usize, address: SocketAddr) -> io::Result<AcceptedBy> {
         let target = SocketAddr::new(reachable_ip(address), address.port());
         let socket = if target.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
--- a/src/net/frontend/admission.rs
+++ b/src/net/frontend/admission.rs
@@ -1,8 +1,8 @@
 //! Admission of connections: client connection slots, eviction of clients that have not sent a request, and
 //! the signal of connection pressure.
 //!
-//! Up to [`MAX_OVERFLOW_CONNECTIONS`] connections beyond the slots are admitted, so that their requests can be
-//! rejected with a reason: their actors reject every request while all slots are taken.
+//! Up to [`MAX_OVERFLOW_CONNECTIONS`] connections beyond the slots are admitted, so that their requests can
+//! be rejected with a reason: their actors reject every request while all slots are taken.
 
 use super::client::AdmittedConnection;
 use super::context::ClientContext;
@@ -33,7 +33,7 @@
 struct ClientSlots(Arc<()>);
 
 impl ClientSlots {
-    /// Returns how many connections have a slot.
+    /// Returns the number of connections that have a slot.
     fn taken(&self) -> usize {
         // One reference is held by `self`.
         Arc::strong_count(&self.0) - 1
@@ -49,7 +49,7 @@
 pub(super) struct ClientSlot(Arc<()>);
 
 impl ClientSlot {
-    /// Returns how many connections have a slot, including this one.
+    /// Returns the number of connections that have a slot, including this one.
     pub fn taken(&self) -> usize {
         // One reference is held by the acceptor's `ClientSlots`.
         Arc::strong_count(&self.0) - 1
@@ -174,7 +174,7 @@
     /// Reserves the memory of a connection and of its buffers.
     ///
     /// # Errors
-    /// When too many connections are open, or the memory budget has too little left.
+    /// Returns an error if too many connections are open, or the memory budget has too little left.
     fn reserve(&self) -> Result<(Reservation, Reservation), RejectionReason> {
         if self.slots.taken() >= self.context.max_clients + MAX_OVERFLOW_CONNECTIONS {
             return Err(RejectionReason::NoConnectionSlot);
--- a/src/net/frontend/cancel.rs
+++ b/src/net/frontend/cancel.rs
@@ -6,7 +6,7 @@
 
 pub(super) use crate::pgwire::CancelKey;
 
-/// How often a random secret is drawn until one is not in use.
+/// Maximum number of random secrets that are drawn to find one that is not in use.
 const MAX_SECRET_DRAWS: usize = 8;
 
 /// The cancellation signal of each connection, by the secret of its key.
--- a/src/net/frontend/client/answers.rs
+++ b/src/net/frontend/client/answers.rs
@@ -52,7 +52,7 @@
     /// Writes the answers that are next in order. Returns whether there were any.
     ///
     /// # Errors
-    /// When the connection has failed, or a large answer was aborted.
+    /// Returns an error if the connection has failed, or a large answer was aborted.
     pub(super) async fn write_answers(&mut self) -> Result<bool, ConnectionEnd> {
         let mut has_written = false;
         while let Some(ready) = self.pipeline.pop_answer() {
@@ -91,8 +91,8 @@
     /// Writes the chunks of a large answer as they arrive.
     ///
     /// # Errors
-    /// Those of [`Self::write`], and if the answer is aborted: the end of the connection shows the client
-    /// that it is incomplete.
+    /// Returns the errors of [`Self::write`], and an error if the answer is aborted: the end of the
+    /// connection shows the client that it is incomplete.
     async fn write_chunks(&mut self, mut chunks: Chunks) -> io::Result<()> {
         self.flush().await?;
         loop {
--- a/src/net/frontend/client/buffers.rs
+++ b/src/net/frontend/client/buffers.rs
@@ -11,7 +11,7 @@
     /// the connection ends once all requests are answered.
     ///
     /// # Errors
-    /// When the memory budget has too little left and no request is open.
+    /// Returns an error if the memory budget has too little left and no request is open.
     pub(super) fn account_buffers(&mut self) -> Result<(), ConnectionEnd> {
         if self.read_buffer.is_empty() && self.read_buffer.capacity() > MAX_RETAINED_CAPACITY {
             // Releases the memory, since many connections stay idle after one long statement.
@@ -29,7 +29,7 @@
     /// Reserves memory for the current size of the buffers.
     ///
     /// # Errors
-    /// [`Fault::Rejected`] when the memory budget has too little left.
+    /// Returns [`Fault::Rejected`] if the memory budget has too little left.
     pub(super) fn reserve_buffers(&mut self) -> Result<(), Fault> {
         let capacity = self.read_buffer.capacity() + self.write_buffer.capacity();
         let bytes = capacity + self.conversation.buffered_bytes() + self.pipeline.waiting_bytes();
--- a/src/net/frontend/client/dispatch.rs
+++ b/src/net/frontend/client/dispatch.rs
@@ -15,7 +15,7 @@
 /// A request that was read and has not been sent to the core actor.
 pub(super) struct PendingRequest {
     pub request: Request,
-    /// When the last byte of the request was read.
+    /// Time at which the last byte of the request was read.
     pub arrived_at: Instant,
 }
 
@@ -23,7 +23,7 @@
     /// Sends the requests that may run to the core actor.
     ///
     /// # Errors
-    /// When the core actor has ended, or the client violates the protocol.
+    /// Returns an error if the core actor has ended, or the client violates the protocol.
     pub(super) async fn start_requests(&mut self) -> Result<(), ConnectionEnd> {
         if self.pipeline.waiting_bytes() == 0 {
             return Ok(());
@@ -88,7 +88,7 @@
     /// Sends the core actor the deadlines that have become earlier since their requests were started.
     ///
     /// # Errors
-    /// When the core actor has ended.
+    /// Returns an error if the core actor has ended.
     pub(super) async fn report_shortened_deadlines(&mut self) -> Result<(), ConnectionEnd> {
         for shortened in self.pipeline.take_shortened_deadlines() {
             let reply_due = self.context.clock.instant(shortened.effective_deadline);
--- a/src/net/frontend/client/draining.rs
+++ b/src/net/frontend/client/draining.rs
@@ -46,8 +46,8 @@
 }
 
 impl<C: Conversation> Client<C> {
-    /// Returns what the drains in force permit the connection. `has_partial_message` is whether a part of a
-    /// message was read.
+    /// Returns what the connection may do under the drains in force. `has_partial_message` says whether a
+    /// part of a message was read.
     pub(super) fn drain_decision(&self, has_partial_message: bool) -> DrainDecision {
         if !self.context.is_draining() {
             return DrainDecision::OPEN;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Returns when a stalled write fails, if the last bytes were written at `last_progress_at`.
+    /// Returns the time at which a stalled write fails, if the last bytes were written at `last_progress_at`.
     pub(super) fn write_deadline(&self, last_progress_at: Instant) -> Instant {
         let clock = self.context.clock;
         let undrained = last_progress_at + WRITE_STALL_TIMEOUT;
--- a/src/net/frontend/client/end.rs
+++ b/src/net/frontend/client/end.rs
@@ -13,7 +13,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{timeout, Instant};
 
-/// Why a connection ends.
+/// Reason why a connection ends.
 #[derive(Debug)]
 pub(super) enum ConnectionEnd {
     /// Without an error for the client.
@@ -119,7 +119,7 @@
             self.read_buffer.reserve(MAX_RETAINED_CAPACITY);
             match self.socket.read_buf(&mut self.read_buffer).await? {
                 0 => break,
-                read => remaining = remaining.saturating_sub(read),
+                length => remaining = remaining.saturating_sub(length),
             }
         }
         Ok(())
--- a/src/net/frontend/client/limits.rs
+++ b/src/net/frontend/client/limits.rs
@@ -19,9 +19,9 @@
 pub(super) const ERROR_BACKOFF: Duration = Duration::from_millis(40);
 /// Number of invalid statements after which a connection ends.
 pub(super) const MAX_PROTOCOL_ERRORS: u32 = 8;
-/// How long bytes that the client still sends are read and discarded after a fatal error. Without that a
-/// reset might reach the client before the error. Also how long a connection with unread bytes stays open
-/// after its last answer.
+/// Time for which bytes that the client still sends are read and discarded after a fatal error. Without that
+/// a reset might reach the client before the error. Also the time for which a connection with unread bytes
+/// stays open after its last answer.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Maximum number of bytes that are read and discarded after a fatal error.
 pub(super) const MAX_LINGER_BYTES: usize = 1 << 20;
--- a/src/net/frontend/client/mod.rs
+++ b/src/net/frontend/client/mod.rs
@@ -168,7 +168,7 @@
         self.close(end).await;
     }
 
-    /// Serves requests. Returns why the connection ends.
+    /// Serves requests. Returns the reason why the connection ends.
     async fn serve_requests(&mut self) -> ConnectionEnd {
         let mut signals = IdleSignals::of(&mut self.admission);
         loop {
@@ -178,11 +178,11 @@
         }
     }
 
-    /// Does what can be done without waiting, then waits for one event.
+    /// Handles everything that needs no waiting, then waits for one event.
     ///
     /// # Errors
-    /// When the connection ends. No connection is closed or evicted on purpose while requests are unanswered
-    /// or bytes that the client has sent are unread.
+    /// Returns an error if the connection ends. No connection is closed or evicted on purpose while requests
+    /// are unanswered or bytes that the client has sent are unread.
     async fn serve_next(&mut self, signals: &mut IdleSignals) -> Result<(), ConnectionEnd> {
         self.advance().await?;
         if self.pipeline.is_empty() {
@@ -200,7 +200,7 @@
         self.wait_for_request(signals).await
     }
 
-    /// Returns why a connection without open requests is closed, if it is.
+    /// Returns the reason why a connection without open requests is closed, if it is.
     fn idle_close_reason(&self) -> Option<CloseReason> {
         if self.state.is_peer_closed {
             Some(CloseReason::ClientLeft)
@@ -219,7 +219,7 @@
     /// until nothing more can be done without another event.
     ///
     /// # Errors
-    /// When the connection has failed, or the core actor has ended.
+    /// Returns an error if the connection has failed, or the core actor has ended.
     async fn advance(&mut self) -> Result<(), ConnectionEnd> {
         loop {
             self.decode_statements();
--- a/src/net/frontend/client/output.rs
+++ b/src/net/frontend/client/output.rs
@@ -12,7 +12,7 @@
     /// Writes the contents of the write buffer.
     ///
     /// # Errors
-    /// Those of [`Self::write`].
+    /// Returns the errors of [`Self::write`].
     pub(super) async fn flush(&mut self) -> io::Result<()> {
         let bytes = self.write_buffer.split();
         if bytes.is_empty() {
@@ -27,7 +27,7 @@
     /// Writes bytes to the client.
     ///
     /// # Errors
-    /// When the connection has failed, or the client accepts no bytes for too long.
+    /// Returns an error if the connection has failed, or the client accepts no bytes for too long.
     pub(super) async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.set_activity(Activity::Writing);
         // Usually the socket buffer takes all bytes at once.
--- a/src/net/frontend/client/startup.rs
+++ b/src/net/frontend/client/startup.rs
@@ -12,8 +12,8 @@
     /// Serves the startup until the session is open.
     ///
     /// # Errors
-    /// When the connection has failed or carries only a cancel request, when the startup takes too long, and
-    /// when the connection is evicted. First bytes that are unread at that time are still read.
+    /// Returns an error if the connection has failed or carries only a cancel request, if the startup takes
+    /// too long, and if the connection is evicted. First bytes that are unread at that time are still read.
     pub(super) async fn open_session(&mut self) -> Result<(), ConnectionEnd> {
         let context = self.context.clone();
         // A silent client must not delay the end of a drain.
--- a/src/net/frontend/client/state.rs
+++ b/src/net/frontend/client/state.rs
@@ -10,13 +10,13 @@
 
 /// The state of a client connection.
 pub(super) struct ClientState {
-    /// When the connection was accepted.
+    /// Time at which the connection was accepted.
     pub accepted_at: Instant,
-    /// When bytes were last read.
+    /// Time at which bytes were last read.
     pub last_read_at: Instant,
-    /// When bytes were last read, or an answer was last written.
+    /// Time at which bytes were last read, or an answer was last written.
     pub last_activity_at: Instant,
-    /// When the current incomplete message began; `None` if there is none.
+    /// Time at which the current incomplete message began; `None` if there is none.
     pub partial_since: Option<Instant>,
     /// The end of the pause after an invalid statement, in which no further statement is read.
     pub paused_until: Option<Instant>,
@@ -31,7 +31,7 @@
     /// Whether all slots were taken when the connection was accepted. Its requests are rejected for as long
     /// as they are.
     pub is_over_limit: bool,
-    /// Why the connection ends once all requests are answered; nothing further is read if set.
+    /// Reason why the connection ends once all requests are answered; nothing further is read if set.
     pub closing: Option<ConnectionEnd>,
 }
 
@@ -58,13 +58,13 @@
         self.closing.is_none() && self.paused_until.is_none()
     }
 
-    /// Returns when the startup has to be complete.
+    /// Returns the time at which the startup has to be complete.
     pub fn startup_deadline(&self) -> Instant {
         self.accepted_at + STARTUP_TIMEOUT
     }
 
-    /// Returns when the incomplete message or the first statement has to be complete; `None` if neither is
-    /// awaited.
+    /// Returns the time at which the incomplete message or the first statement has to be complete; `None` if
+    /// neither is awaited.
     pub fn statement_deadline(&self) -> Option<Instant> {
         if self.closing.is_some() {
             return None;
--- a/src/net/frontend/client/waiting.rs
+++ b/src/net/frontend/client/waiting.rs
@@ -21,7 +21,7 @@
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// How a client actor treats bytes that arrive while requests are open.
+/// Treatment of bytes that arrive while requests are open.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReadMode {
     /// Reads them.
@@ -56,7 +56,7 @@
     }
 }
 
-/// Reads bytes, or waits as `mode` tells. Returns the number of bytes read or seen; 0 if the client has
+/// Reads bytes, or waits, according to `mode`. Returns the number of bytes read or seen; 0 if the client has
 /// closed its side.
 async fn read_or_watch(socket: &mut Socket, read_buffer: &mut BytesMut, mode: ReadMode) -> io::Result<usize> {
     match mode {
@@ -81,7 +81,7 @@
     /// Waits for one event while requests are open, or during the pause after an invalid statement.
     ///
     /// # Errors
-    /// When the connection has failed, or the memory budget has too little left.
+    /// Returns an error if the connection has failed, or the memory budget has too little left.
     pub(super) async fn wait_for_answers(&mut self) -> Result<(), ConnectionEnd> {
         if !self.read_buffer.is_empty() {
             self.account_buffers()?;
@@ -97,9 +97,9 @@
         tokio::select! {
             biased;
             Some(ClientMessage::Answer(id, answer)) = mailbox.recv() => self.queue_answer(id, answer),
-            read = read_or_watch(socket, read_buffer, mode), if !self.state.is_peer_closed => match read {
+            result = read_or_watch(socket, read_buffer, mode), if !self.state.is_peer_closed => match result {
                 Ok(1..) if mode == ReadMode::WatchBytes => self.answer_now(),
-                read => self.handle_read(read).await?,
+                result => self.handle_read(result).await?,
             },
             () = cancelled(cancellation.as_ref()) => self.cancel_first_request().await,
             () = sleep_until_some(paused_until), if paused_until.is_some() => self.state.paused_until = None,
@@ -116,7 +116,7 @@
     /// Waits for one event while no request is open.
     ///
     /// # Errors
-    /// When the connection has failed, or has to end.
+    /// Returns an error if the connection has failed, or has to end.
     pub(super) async fn wait_for_request(&mut self, signals: &mut IdleSignals) -> Result<(), ConnectionEnd> {
         signals.first_request_eviction.take_if(|_| self.state.has_sent_request);
         let has_partial = self.record_partial_message();
@@ -128,7 +128,7 @@
         let Self { socket, read_buffer, drains, .. } = self;
         tokio::select! {
             biased;
-            read = socket.read_buf(read_buffer) => self.handle_read(read).await?,
+            result = socket.read_buf(read_buffer) => self.handle_read(result).await?,
             () = sleep_until_some(statement_deadline), if statement_deadline.is_some() => {
                 self.handle_statement_deadline().await?;
             }
@@ -224,9 +224,9 @@
     /// Handles the result of a read: more bytes, or the end of the client's side.
     ///
     /// # Errors
-    /// When the connection has failed.
-    async fn handle_read(&mut self, read: io::Result<usize>) -> Result<(), ConnectionEnd> {
-        if read? == 0 {
+    /// Returns an error if the connection has failed.
+    async fn handle_read(&mut self, result: io::Result<usize>) -> Result<(), ConnectionEnd> {
+        if result? == 0 {
             self.state.record_peer_closed();
             self.withdraw_requests().await;
         } else {
--- a/src/net/frontend/close_reason.rs
+++ b/src/net/frontend/close_reason.rs
@@ -3,7 +3,7 @@
 use super::fault::Fault;
 use std::{fmt, io};
 
-/// Why a connection was closed. The comment on each reason names the side that caused it.
+/// Reason why a connection was closed. The comment on each reason names the side that caused it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
     /// Client: it has closed its side of the connection, or terminated the session.
@@ -31,19 +31,19 @@
 }
 
 impl fmt::Display for CloseReason {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::ClientLeft => f.write_str("client left"),
-            Self::CancelRequest => f.write_str("cancel request"),
-            Self::Io(kind) => write!(f, "{kind}"),
-            Self::StartupTimeout => f.write_str("startup timeout"),
-            Self::FirstStatementTimeout => f.write_str("first statement timeout"),
-            Self::Drained => f.write_str("drain"),
-            Self::ConnectionPressure => f.write_str("connection pressure"),
-            Self::OverLimit => f.write_str("over the connection limit"),
-            Self::ProtocolErrors => f.write_str("too many protocol errors"),
-            Self::Fault(fault) => write!(f, "{}", fault.text()),
-            Self::CoreEnded => f.write_str("core actor ended"),
+            Self::ClientLeft => formatter.write_str("client left"),
+            Self::CancelRequest => formatter.write_str("cancel request"),
+            Self::Io(kind) => write!(formatter, "{kind}"),
+            Self::StartupTimeout => formatter.write_str("startup timeout"),
+            Self::FirstStatementTimeout => formatter.write_str("first statement timeout"),
+            Self::Drained => formatter.write_str("drain"),
+            Self::ConnectionPressure => formatter.write_str("connection pressure"),
+            Self::OverLimit => formatter.write_str("over the connection limit"),
+            Self::ProtocolErrors => formatter.write_str("too many protocol errors"),
+            Self::Fault(fault) => write!(formatter, "{}", fault.text()),
+            Self::CoreEnded => formatter.write_str("core actor ended"),
         }
     }
 }
--- a/src/net/frontend/connection_registry.rs
+++ b/src/net/frontend/connection_registry.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::time::Instant;
 
-/// The most connections that are logged one by one, the oldest first; the others are only counted.
+/// Maximum number of connections that are logged one by one, the oldest first; the others are only counted.
 const MAX_LOGGED_CONNECTIONS: usize = 8;
 
 /// The current activity of a connection's actor.
@@ -45,8 +45,8 @@
 ];
 
 impl fmt::Display for Activity {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
             Self::Startup => "startup",
             Self::Idle => "idle",
             Self::Receiving => "receiving",
@@ -71,7 +71,7 @@
     /// Number of bytes in the read buffer: an incomplete message, or messages that wait for capacity in the
     /// pipeline.
     buffered_bytes: AtomicUsize,
-    /// When bytes were last read, in milliseconds after `accepted_at`.
+    /// Time at which bytes were last read, in milliseconds after `accepted_at`.
     last_read_ms: AtomicU64,
 }
 
@@ -81,12 +81,12 @@
         ACTIVITIES.get(usize::from(self.activity.load(Relaxed))).copied().unwrap_or(Activity::Startup)
     }
 
-    /// Returns how long the connection has been open, in milliseconds.
+    /// Returns the time for which the connection has been open, in milliseconds.
     fn open_ms(&self) -> u64 {
         self.accepted_at.elapsed().as_millis() as u64
     }
 
-    /// Returns how long ago bytes were last read, in milliseconds.
+    /// Returns the time since bytes were last read, in milliseconds.
     fn last_read_ago_ms(&self) -> u64 {
         self.open_ms().saturating_sub(self.last_read_ms.load(Relaxed))
     }
--- a/src/net/frontend/context.rs
+++ b/src/net/frontend/context.rs
@@ -56,7 +56,7 @@
     pub settings: watch::Receiver<Arc<FrontendSettings>>,
     /// Readiness, and the state that the console changes.
     pub admin: AdminState,
-    /// When SIGTERM was received; `None` before.
+    /// Time at which SIGTERM was received; `None` before.
     pub draining: watch::Receiver<Option<Instant>>,
     /// The proxy's counters.
     pub counters: Arc<Counters>,
@@ -77,7 +77,7 @@
 }
 
 impl ClientContext {
-    /// Returns when SIGTERM was received, and the schedule that counts from then; `None` before.
+    /// Returns the time at which SIGTERM was received, and the schedule that counts from then; `None` before.
     pub(super) fn shutdown(&self) -> Option<(Instant, ShutdownSchedule)> {
         self.draining.borrow().map(|started_at| (started_at, self.settings.borrow().shutdown))
     }
@@ -104,8 +104,8 @@
         deadline.map(|deadline| self.clock.instant(deadline))
     }
 
-    /// Returns when the answers to requests that are read now are due; `None` unless the process is shutting
-    /// down.
+    /// Returns the time at which the answers to requests that are read now are due; `None` unless the process
+    /// is shutting down.
     pub(super) fn answers_due_at(&self) -> Option<Instant> {
         let due = connection::answers_due_at(self.active_drains());
         due.map(|due| self.clock.instant(due))
--- a/src/net/frontend/conversation.rs
+++ b/src/net/frontend/conversation.rs
@@ -2,8 +2,8 @@
 //! clock.
 //!
 //! The client actor owns the timeouts, the connection slot and the requests; a conversation decodes and
-//! encodes messages. The actor takes one event at a time, so that answers of the conversation itself are
-//! written in the order of requests.
+//! encodes messages. The actor takes one event at a time, so that the answers that a conversation gives by
+//! itself are written in the order of requests.
 
 use super::cancel::CancelKey;
 use super::fault::Fault;
@@ -37,7 +37,8 @@
     /// conversation itself are appended to `output`.
     ///
     /// # Errors
-    /// When the rest of the stream cannot be read. The connection then ends with [`Self::write_fatal`].
+    /// Returns an error if the rest of the stream cannot be read. The connection then ends with
+    /// [`Self::write_fatal`].
     fn next_event(
         &mut self,
         input: &mut BytesMut,
@@ -47,7 +48,7 @@
     /// Returns whether a part of a message was read.
     fn has_partial_message(&self, input: &BytesMut) -> bool;
 
-    /// Returns how many bytes of an incomplete message the conversation holds outside of `input`.
+    /// Returns the number of bytes of an incomplete message that the conversation holds outside of `input`.
     fn buffered_bytes(&self) -> usize;
 
     /// Returns whether a client may send further requests before it has the answers to earlier ones. Answers
@@ -58,7 +59,7 @@
     /// there was one.
     ///
     /// # Errors
-    /// When the bytes in `input` violate the protocol.
+    /// Returns an error if the bytes in `input` violate the protocol.
     fn take_cancellation(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, Fault>;
 
     /// Answers [`ClientEvent::ReadinessCheck`]: the proxy is ready.
--- a/src/net/frontend/drain_report.rs
+++ b/src/net/frontend/drain_report.rs
@@ -11,9 +11,9 @@
 /// The starts of the drains that have begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct DrainStarts {
-    /// When the console quiesced the proxy.
+    /// Time at which the console quiesced the proxy.
     quiesced_at: Option<Instant>,
-    /// When SIGTERM was received.
+    /// Time at which SIGTERM was received.
     shutdown_at: Option<Instant>,
 }
 
--- a/src/net/frontend/fault.rs
+++ b/src/net/frontend/fault.rs
@@ -22,7 +22,7 @@
 /// The lowest TDS error class that ends the connection.
 const FATAL_ERROR_CLASS: u8 = 20;
 
-/// Why a client gets no value, or why its connection ends.
+/// Reason why a client gets no value, or why its connection ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
     /// The request was rejected and had no effect; a retry is harmless, after this time if one is given.
--- a/src/net/frontend/listeners.rs
+++ b/src/net/frontend/listeners.rs
@@ -21,7 +21,7 @@
     pub socket: TcpListener,
     /// The protocol that its clients speak.
     pub protocol: Protocol,
-    /// Where new connections go while the listener is handed over to another process.
+    /// Redirection of new connections while the listener is handed over to another process; `None` otherwise.
     pub redirection: Option<Redirection>,
 }
 
@@ -30,8 +30,8 @@
     /// them to `accepted`.
     ///
     /// # Errors
-    /// When this machine has run out of file descriptors or buffers: further connections may be left in the
-    /// queue.
+    /// Returns an error if this machine has run out of file descriptors or buffers: further connections may
+    /// be left in the queue.
     pub fn accept_queue(&self, accepted: &mut Vec<TcpStream>) -> io::Result<()> {
         let socket = SockRef::from(&self.socket);
         loop {
@@ -64,15 +64,19 @@
     /// Listens on these addresses. Retries local faults for up to [`local_faults::PROCESS_STARTUP_TIMEOUT`].
     ///
     /// # Errors
-    /// When an address cannot be bound; the message names the address.
+    /// Returns an error if an address cannot be bound; the message names the address.
     pub async fn bind(addresses: &[(Protocol, SocketAddr)]) -> io::Result<Self> {
         let mut all = Vec::with_capacity(addresses.len());
         for (protocol, address) in addresses {
             let until = Instant::now() + local_faults::PROCESS_STARTUP_TIMEOUT;
             let bound = local_faults::retry_local_faults(until, || async { bind_shared(*address) }).await;
             let bound = bound.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()));
-            let named = |error: io::Error| io::Error::new(error.kind(), format!("{address}: {error}"));
-            all.push(Listener { socket: bound.map_err(named)?, protocol: *protocol, redirection: None });
+            let with_address = |error: io::Error| io::Error::new(error.kind(), format!("{address}: {error}"));
+            all.push(Listener {
+                socket: bound.map_err(with_address)?,
+                protocol: *protocol,
+                redirection: None,
+            });
         }
         Ok(Self { all, next: 0 })
     }
@@ -80,7 +84,7 @@
     /// Returns the protocol and the address of each open listener.
     ///
     /// # Errors
-    /// Those of getsockname(2).
+    /// Returns the errors of getsockname(2).
     pub fn addresses(&self) -> io::Result<Vec<(Protocol, SocketAddr)>> {
         self.all.iter().map(|listener| Ok((listener.protocol, listener.socket.local_addr()?))).collect()
     }
@@ -89,14 +93,14 @@
     /// accepted connection is lost.
     ///
     /// # Errors
-    /// Those of accept(2).
+    /// Returns the errors of accept(2).
     pub(super) async fn accept(&mut self) -> io::Result<(Protocol, TcpStream)> {
         self.next = self.next.wrapping_add(1);
         let Self { all, next } = self;
-        poll_fn(|cx| {
+        poll_fn(|context| {
             for offset in 0..all.len() {
                 let listener = &all[next.wrapping_add(offset) % all.len()];
-                if let Poll::Ready(accepted) = listener.socket.poll_accept(cx) {
+                if let Poll::Ready(accepted) = listener.socket.poll_accept(context) {
                     return Poll::Ready(accepted.map(|(stream, _)| (listener.protocol, stream)));
                 }
             }
@@ -111,7 +115,8 @@
 /// connections over both.
 ///
 /// # Errors
-/// When the address cannot be bound, for example because a process that doesn't share it listens there.
+/// Returns an error if the address cannot be bound, for example because a process that doesn't share it
+/// listens there.
 fn bind_shared(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/src/net/frontend/port_group.rs
+++ b/src/net/frontend/port_group.rs
@@ -14,7 +14,7 @@
 
 /// The state of a listening socket in `/proc/net/tcp` and `/proc/net/tcp6`.
 const LISTENING: &str = "0A";
-/// A number that no member has. A program that returns it leaves the distribution to the kernel.
+/// Member number that no socket has. A program that returns it leaves the distribution to the kernel.
 const NO_MEMBER: u32 = u32::MAX;
 
 /// The number of a member of a group.
@@ -24,7 +24,7 @@
 /// Returns the members of the group at an address, the last one first.
 ///
 /// # Errors
-/// When the kernel's table of sockets cannot be read.
+/// Returns an error if the kernel's table of sockets cannot be read.
 pub(super) fn members(address: SocketAddr) -> io::Result<impl Iterator<Item = Member>> {
     let table = if address.is_ipv4() { "/proc/net/tcp" } else { "/proc/net/tcp6" };
     let count = count_listening(BufReader::new(File::open(table)?), &proc_net_address(address))?;
@@ -34,7 +34,7 @@
 /// Directs all new connections of the group to one member. Has no effect if no member has that number.
 ///
 /// # Errors
-/// Those of setsockopt(2).
+/// Returns the errors of setsockopt(2).
 pub(super) fn direct_to(listener: &impl AsFd, member: Member) -> io::Result<()> {
     attach_program(listener, member.0)
 }
@@ -42,7 +42,7 @@
 /// Leaves the distribution of new connections over all members to the kernel.
 ///
 /// # Errors
-/// Those of setsockopt(2).
+/// Returns the errors of setsockopt(2).
 pub(super) fn distribute(listener: &impl AsFd) -> io::Result<()> {
     attach_program(listener, NO_MEMBER)
 }
--- a/src/net/frontend/port_group/tests.rs
+++ b/src/net/frontend/port_group/tests.rs
@@ -42,7 +42,7 @@
     socket.into()
 }
 
-/// Accepts all connections in the accept queue. Returns how many there were.
+/// Accepts all connections in the accept queue. Returns their number.
 fn accept_queue(listener: &TcpListener) -> usize {
     std::iter::from_fn(|| listener.accept().ok()).count()
 }
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -15,9 +15,9 @@
 /// Parses a statement.
 ///
 /// # Errors
-/// When the statement has an unsupported form, names an unknown class, writes although its class reads or the
-/// other way round, or lacks a required field: a tenant if the settings have tenants, an idempotency key if
-/// its class needs one.
+/// Returns an error if the statement has an unsupported form, names an unknown class, writes although its
+/// class reads or the other way round, or lacks a required field: a tenant if the settings have tenants, an
+/// idempotency key if its class needs one.
 pub(super) fn parse(text: Bytes, names: &Names) -> Result<Request, Fault> {
     let statement = std::str::from_utf8(&text).map_err(|_| Fault::Encoding)?;
     let KvStatement { is_write, key, value_range, comment } =
--- a/src/net/frontend/tds/mod.rs
+++ b/src/net/frontend/tds/mod.rs
@@ -57,15 +57,15 @@
     stage: Stage,
     /// The negotiated packet size in bytes.
     packet_size: usize,
-    open: OpenRequest,
+    open_request: OpenRequest,
 }
 
 impl Tds {
     /// Returns a session before its startup.
     pub fn new() -> Self {
-        let open = OpenRequest { is_call: false, acknowledges_reset: false, test_value: None };
+        let open_request = OpenRequest { is_call: false, acknowledges_reset: false, test_value: None };
         let assembler = Assembler::new(Protocol::Tds.max_statement_bytes());
-        Self { assembler, stage: Stage::Prelogin, packet_size: INITIAL_PACKET_BYTES, open }
+        Self { assembler, stage: Stage::Prelogin, packet_size: INITIAL_PACKET_BYTES, open_request }
     }
 
     /// Takes the next complete message from the front of `input`.
@@ -88,7 +88,8 @@
     /// Handles a message of an open session.
     fn handle_request(&mut self, message: &Message, output: &mut BytesMut) -> Result<ClientEvent, Fault> {
         let is_call = message.kind == PacketType::Rpc;
-        self.open = OpenRequest { is_call, acknowledges_reset: message.status.reset, test_value: None };
+        self.open_request =
+            OpenRequest { is_call, acknowledges_reset: message.status.reset, test_value: None };
         if message.status.ignore {
             // The client has aborted this request, and waits for the end of its answer.
             let mut payload = BytesMut::new();
@@ -128,20 +129,20 @@
             words.len() >= prefix.len()
                 && words.iter().zip(prefix).all(|(word, expected)| word.eq_ignore_ascii_case(expected))
         };
-        let bare = text.trim_matches(|c: char| c.is_whitespace() || c == ';');
-        let is = |other: &str| bare.eq_ignore_ascii_case(other);
-        if bare.is_empty() {
+        let trimmed = text.trim_matches(|c: char| c.is_whitespace() || c == ';');
+        let equals = |other: &str| trimmed.eq_ignore_ascii_case(other);
+        if trimmed.is_empty() {
             return ClientEvent::ReadinessCheck;
         }
-        if is("SELECT 1") {
-            self.open.test_value = Some(Datum::Int(1));
+        if equals("SELECT 1") {
+            self.open_request.test_value = Some(Datum::Int(1));
             return ClientEvent::ReadinessCheck;
         }
-        if is("SELECT @@VERSION") {
+        if equals("SELECT @@VERSION") {
             return self.answer_value(Datum::Text(VERSION.to_owned()), output);
         }
-        if is("SELECT @@SPID") || is("SELECT @@TRANCOUNT") {
-            return self.answer_value(Datum::Int(i64::from(is("SELECT @@SPID"))), output);
+        if equals("SELECT @@SPID") || equals("SELECT @@TRANCOUNT") {
+            return self.answer_value(Datum::Int(i64::from(equals("SELECT @@SPID"))), output);
         }
         if starts_with(&["USE"]) {
             let mut payload = self.begin_answer();
@@ -150,8 +151,9 @@
             return ClientEvent::Answered;
         }
         let parts = text.split([';', '\n']).map(str::trim).filter(|part| !part.is_empty());
-        let sets = |part: &str| part.get(..4).is_some_and(|verb| verb.eq_ignore_ascii_case("SET "));
-        if starts_with(&["IF", "@@TRANCOUNT", ">", "0"]) || parts.clone().all(sets) {
+        let is_set_statement =
+            |part: &str| part.get(..4).is_some_and(|verb| verb.eq_ignore_ascii_case("SET "));
+        if starts_with(&["IF", "@@TRANCOUNT", ">", "0"]) || parts.clone().all(is_set_statement) {
             return self.answer_without_row(output);
         }
         ClientEvent::Statement(text.into())
@@ -186,7 +188,7 @@
     /// Returns the first tokens of an answer.
     fn begin_answer(&mut self) -> BytesMut {
         let mut payload = BytesMut::new();
-        if std::mem::take(&mut self.open.acknowledges_reset) {
+        if std::mem::take(&mut self.open_request.acknowledges_reset) {
             put_environment(&mut payload, &Environment::Reset);
         }
         payload
@@ -195,7 +197,7 @@
     /// Appends the last tokens of an answer and encodes it.
     fn finish_answer(&mut self, mut payload: BytesMut, rows: u64, output: &mut BytesMut) {
         let done = Done { has_row_count: rows > 0, rows, ..Done::default() };
-        if self.open.is_call {
+        if self.open_request.is_call {
             put_done(&mut payload, DoneKind::InProc, Done { more: true, ..done });
             put_return_status(&mut payload, 0);
             put_done(&mut payload, DoneKind::Proc, Done::default());
@@ -254,7 +256,7 @@
     }
 
     fn write_ready(&mut self, output: &mut BytesMut) {
-        match self.open.test_value.take() {
+        match self.open_request.test_value.take() {
             Some(value) => drop(self.answer_value(value, output)),
             None => drop(self.answer_without_row(output)),
         }
@@ -273,7 +275,7 @@
     fn end_large_value(&mut self, _output: &mut BytesMut) {}
 
     fn write_fault(&mut self, fault: &Fault, output: &mut BytesMut) {
-        let kind = if self.open.is_call { DoneKind::Proc } else { DoneKind::Batch };
+        let kind = if self.open_request.is_call { DoneKind::Proc } else { DoneKind::Batch };
         let mut payload = self.begin_answer();
         fault.put_tds(kind, Severity::Error, &mut payload);
         self.put_packets(&payload, output);
--- a/src/net/frontend/tds/procedure_call.rs
+++ b/src/net/frontend/tds/procedure_call.rs
@@ -9,7 +9,7 @@
 /// only resets the session.
 ///
 /// # Errors
-/// When the procedure is not supported, or the call lacks its statement or a parameter.
+/// Returns an error if the procedure is not supported, or the call lacks its statement or a parameter.
 pub(super) fn statement_of(call: Rpc) -> Result<Option<String>, Fault> {
     if !call.executes_sql() {
         return match &call.procedure {
