--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -13,9 +13,9 @@
     }
 }
 
-/// The latest result of [`Clock::instant`], from the clock's start: longer than any wait of the proxy, and
-/// within the range of Tokio's timers.
-const MAX_AHEAD: Duration = Duration::from_secs(86_400 * 365);
+/// Largest time after the clock's start that [`Clock::instant`] returns: longer than any wait of the proxy,
+/// and within the range of Tokio's timers.
+const MAX_SINCE_START: Duration = Duration::from_secs(86_400 * 365);
 
 /// Records the current time as the start of a drain, unless the drain has begun already: deadlines that
 /// follow from the first start stay valid. Returns whether this call began the drain.
@@ -56,6 +56,6 @@
     /// Returns the instant of a timestamp, limited to the range from the clock's start to one year later.
     pub fn instant(&self, timestamp: Timestamp) -> Instant {
         let since_start = timestamp.0.saturating_sub(self.started_at_unix.as_micros() as i64).max(0);
-        self.started_at + Duration::from_micros(since_start as u64).min(MAX_AHEAD)
+        self.started_at + Duration::from_micros(since_start as u64).min(MAX_SINCE_START)
     }
 }
--- a/src/net/console/admin_state.rs
+++ b/src/net/console/admin_state.rs
@@ -15,11 +15,11 @@
     pub counters: Arc<Counters>,
     /// Whether the endpoint list holds a host that can serve.
     pub ready: watch::Receiver<bool>,
-    /// When the console quiesced the proxy; `None` if the proxy is not quiesced.
+    /// Time at which the console quiesced the proxy; `None` if the proxy is not quiesced.
     pub quiesced: Arc<watch::Sender<Option<Instant>>>,
     /// Notified when a drain begins, by SIGTERM or by the console, and when the console ends one.
     pub drain_changes: Arc<watch::Sender<()>>,
-    /// When the graceful shutdown began; `None` before.
+    /// Time at which the graceful shutdown began; `None` before.
     pub draining: watch::Receiver<Option<Instant>>,
     /// Mailbox for queries of the fleet's status; `None` if this proxy belongs to no fleet.
     pub fleet: Option<MembershipQueries>,
--- a/src/net/console/mod.rs
+++ b/src/net/console/mod.rs
@@ -28,12 +28,12 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long a client may take to send the complete head of its HTTP request. Every response is due within
+/// Time within which a client must send the complete head of its HTTP request. Every response is due within
 /// one second.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(800);
 /// The maximum duration of a connection, whatever the client does.
 const CONNECTION_TIMEOUT: Duration = Duration::from_millis(950);
-/// How long the next client waits while the maximum number of connections is open, before the oldest one is
+/// Time that the next client waits while the maximum number of connections is open, before the oldest one is
 /// closed. A complete call takes much less, so clients that send nothing cannot lock others out.
 const EVICTION_DELAY: Duration = Duration::from_millis(10);
 /// Pause in accepting after accept(2) has failed.
@@ -42,7 +42,7 @@
 /// Binds the console's address. Retries local faults for up to [`PROCESS_STARTUP_TIMEOUT`].
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// Returns an error if the address cannot be bound.
 pub(crate) async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let until = Instant::now() + PROCESS_STARTUP_TIMEOUT;
     let listener = retry_local_faults(until, || TcpListener::bind(address)).await;
--- a/src/net/console/tests.rs
+++ b/src/net/console/tests.rs
@@ -105,12 +105,12 @@
         let silent = tokio::spawn(exchange(address, b""));
         let incomplete = tokio::spawn(exchange(address, b"GET /admin/hea"));
         // Meanwhile a complete call is answered at once.
-        let (health, took) = exchange(address, b"GET /admin/health HTTP/1.1\r\nHost: p\r\n\r\n").await;
+        let (health, elapsed) = exchange(address, b"GET /admin/health HTTP/1.1\r\nHost: p\r\n\r\n").await;
         assert_eq!(status(&health), "503");
-        assert!(took < Duration::from_millis(200), "{took:?}");
+        assert!(elapsed < Duration::from_millis(200), "{elapsed:?}");
         for caller in [silent, incomplete] {
-            let (_, took) = caller.await.unwrap();
-            assert!(took < Duration::from_secs(1), "{took:?}");
+            let (_, elapsed) = caller.await.unwrap();
+            assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
         }
     }
 
@@ -119,12 +119,12 @@
         let (address, _) = console(true).await;
         let silent: Vec<_> = (0..40).map(|_| tokio::spawn(exchange(address, b""))).collect();
         tokio::time::sleep(Duration::from_millis(20)).await;
-        let (health, took) = exchange(address, b"GET /admin/health HTTP/1.1\r\nHost: p\r\n\r\n").await;
+        let (health, elapsed) = exchange(address, b"GET /admin/health HTTP/1.1\r\nHost: p\r\n\r\n").await;
         assert_eq!(status(&health), "200");
-        assert!(took < Duration::from_millis(700), "{took:?}");
+        assert!(elapsed < Duration::from_millis(700), "{elapsed:?}");
         for caller in silent {
-            let (_, took) = caller.await.unwrap();
-            assert!(took < Duration::from_millis(1_500), "{took:?}");
+            let (_, elapsed) = caller.await.unwrap();
+            assert!(elapsed < Duration::from_millis(1_500), "{elapsed:?}");
         }
     }
 
--- a/src/net/core/host_registry.rs
+++ b/src/net/core/host_registry.rs
@@ -22,7 +22,7 @@
     pub actor: HostActor,
     /// Number of attempts and health checks whose end the actor has not reported.
     pub outstanding: u32,
-    /// When the host was removed from the endpoint list; `None` while it is listed.
+    /// Time at which the host was removed from the endpoint list; `None` while it is listed.
     pub removed_at: Option<Instant>,
     /// The host's latest entry in the endpoint list.
     pub entry: EndpointEntry,
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Stores a host's new entry, and when the host was removed. Returns its handle; `None` if the host is
-    /// unknown.
+    /// Stores a host's new entry and, if the host is removed, the time of its removal. Returns its handle;
+    /// `None` if the host is unknown.
     pub fn update(&mut self, entry: &EndpointEntry, now: Instant) -> Option<&HostHandle> {
         let handle = self.hosts.get_mut(&entry.host)?;
         handle.entry = entry.clone();
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -88,8 +88,8 @@
             Err(error) => return Some(Failure { error, was_stable: false, silence: called_at.elapsed() }),
         };
         let opened_at = Instant::now();
-        let read = watch.forward_lists(&self.zones, &mut self.version, &self.events).await;
-        let error = read.err()?;
+        let result = watch.forward_lists(&self.zones, &mut self.version, &self.events).await;
+        let error = result.err()?;
         // A watch that ended was heard until then; one that fell silent brought nothing for the whole
         // timeout.
         let is_silent = matches!(error, DiscoveryError::Silent);
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -20,7 +20,7 @@
 pub(super) struct Watch {
     body: Incoming,
     stream: JsonStream,
-    /// When the last complete object or empty line was received.
+    /// Time at which the last complete object or empty line was received.
     last_received_at: Instant,
     _connection: AbortOnDrop,
 }
--- a/src/net/json_stream.rs
+++ b/src/net/json_stream.rs
@@ -51,7 +51,8 @@
     /// Returns the next complete item; `None` if more bytes are needed.
     ///
     /// # Errors
-    /// When there is something else than white space between objects, or an object is too long.
+    /// Returns an error if there is something else than white space between objects, or an object is too
+    /// long.
     pub fn next(&mut self) -> Result<Option<StreamItem>, JsonStreamError> {
         while let Some(byte) = self.buffer.get(self.scanned).copied() {
             self.scanned += 1;
--- a/src/net/local_faults.rs
+++ b/src/net/local_faults.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// How long a process retries local faults while it starts.
+/// Time for which a process retries local faults while it starts.
 pub(crate) const PROCESS_STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
 /// Backoff before the first retry. It doubles with each further retry.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(5);
--- a/src/net/memory.rs
+++ b/src/net/memory.rs
@@ -71,7 +71,7 @@
     /// Reserves the memory of one more connection.
     ///
     /// # Errors
-    /// When the budget has too little left.
+    /// Returns an error if the budget has too little left.
     pub fn reserve_connection(&self) -> Result<Reservation, BudgetExceeded> {
         self.reserve(Purpose::Connections, SOLE_ACCOUNT, CONNECTION_BYTES)
     }
@@ -79,7 +79,7 @@
     /// Returns an empty reservation for a client's buffers, to be resized as the buffers grow.
     ///
     /// # Errors
-    /// Never: zero bytes always fit.
+    /// Returns no error: zero bytes always fit.
     pub fn reserve_client_buffers(&self) -> Result<Reservation, BudgetExceeded> {
         self.reserve(Purpose::ClientBuffers, self.unidentified_clients(), 0)
     }
@@ -87,8 +87,8 @@
     /// Assigns a reservation to an account and resizes it.
     ///
     /// # Errors
-    /// When the budget has too little left. The reservation is not enlarged then, but may already be smaller
-    /// or belong to the new account.
+    /// Returns an error if the budget has too little left. The reservation is not enlarged then, but may
+    /// already be smaller or belong to the new account.
     pub fn resize_reservation(
         &self,
         reservation: &mut Reservation,
@@ -110,7 +110,7 @@
     /// Reserves the memory of a request whose statement has a length of `statement_bytes`.
     ///
     /// # Errors
-    /// When the budget has too little left.
+    /// Returns an error if the budget has too little left.
     pub fn reserve_request(
         &self,
         class: usize,
@@ -125,7 +125,7 @@
     /// of it on the same connection are answered.
     ///
     /// # Errors
-    /// When the budget has too little left.
+    /// Returns an error if the budget has too little left.
     pub fn reserve_pending_answer(&self, class: usize, tenant: usize) -> Result<Reservation, BudgetExceeded> {
         let bytes = pgwire::MAX_HOST_MESSAGE_BYTES as u64;
         self.reserve(Purpose::UpstreamBuffers, self.account(class, tenant), bytes)
@@ -141,7 +141,7 @@
     /// least weight, so that they never displace answers of ordinary length.
     ///
     /// # Errors
-    /// When the budget has too little left.
+    /// Returns an error if the budget has too little left.
     pub fn reserve_large_answer(&self, bytes: usize) -> Result<Reservation, BudgetExceeded> {
         self.reserve(Purpose::UpstreamBuffers, self.unidentified_clients(), bytes as u64)
     }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -85,7 +85,7 @@
     pub is_client_retry: bool,
     /// The time of the session's last write on the hosts' clock, if the client gives it.
     pub last_write_at: Option<Timestamp>,
-    /// How long the client waits for the answer.
+    /// Time for which the client waits for the answer.
     pub timeout: Duration,
     /// The id that the client gave the request, unique among the requests in flight.
     pub client_request_id: String,
@@ -112,7 +112,7 @@
     Served(Value),
     /// The request had no effect; a retry is harmless.
     Rejected {
-        /// How long the client should wait before it retries.
+        /// Time that the client should wait before it retries.
         retry_after: Option<TimeDelta>,
     },
     /// No host answered in time; the request may have had an effect.
@@ -121,7 +121,7 @@
     Invalid(InvalidRequest),
 }
 
-/// Why a well-formed statement is not a valid request to this proxy. The text is sent to the client.
+/// Reason why a well-formed statement is not a valid request to this proxy. The text is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
     /// The settings have no such class, or it accepts no more requests.
@@ -211,10 +211,10 @@
     /// The proxy's own id for the request.
     pub id: RequestId,
     pub request: Request,
-    /// When the last byte of the request was read.
+    /// Time at which the last byte of the request was read.
     pub arrived_at: Instant,
-    /// When the answer is due: early enough also for the requests that wait behind this one on the same
-    /// connection.
+    /// Time at which the answer is due: early enough also for the requests that wait behind this one on the
+    /// same connection.
     pub reply_due: Instant,
     /// Mailbox of the client actor, for the answer.
     pub client: mpsc::Sender<ClientMessage>,
@@ -246,9 +246,9 @@
     pub outcome: Outcome,
     /// Time from the core actor's command to the end of the attempt.
     pub latency: TimeDelta,
-    /// When writing the query began; `None` if it did not.
+    /// Time at which writing the query began; `None` if it did not.
     pub write_started_at: Option<Instant>,
-    /// When the last byte of the query was written; `None` if it was not.
+    /// Time at which the last byte of the query was written; `None` if it was not.
     pub written_at: Option<Instant>,
     /// The log position in the answer.
     pub position: Option<ReportedPosition>,
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -39,7 +39,7 @@
     /// Binds the addresses of the configuration.
     ///
     /// # Errors
-    /// When an address cannot be bound, or the reserves of the memory plan do not fit.
+    /// Returns an error if an address cannot be bound, or the reserves of the memory plan do not fit.
     pub async fn bind(config: Config) -> io::Result<Self> {
         let listeners = Listeners::bind(&config.listeners()).await?;
         let console = match config.console {
@@ -59,7 +59,7 @@
     /// Returns the address of the operators' console; `None` if it is not configured.
     ///
     /// # Errors
-    /// Those of getsockname(2).
+    /// Returns the errors of getsockname(2).
     pub fn console_address(&self) -> io::Result<Option<SocketAddr>> {
         self.console.as_ref().map(TcpListener::local_addr).transpose()
     }
@@ -67,7 +67,7 @@
     /// Returns the protocol and the address of each listener for clients.
     ///
     /// # Errors
-    /// Those of getsockname(2).
+    /// Returns the errors of getsockname(2).
     pub fn client_addresses(&self) -> io::Result<Vec<(Protocol, SocketAddr)>> {
         self.listeners.addresses()
     }
@@ -85,7 +85,7 @@
     /// Serves until [`Control::Drain`] was received and all requests are answered.
     ///
     /// # Errors
-    /// When the settings contradict one another, or an actor has failed.
+    /// Returns an error if the settings contradict one another, or an actor has failed.
     pub async fn serve(self, control: mpsc::Receiver<Control>) -> io::Result<()> {
         serve::start(self)?.run(control).await
     }
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -24,7 +24,7 @@
 
 /// Capacity of the core actor's mailbox, in events.
 const CORE_MAILBOX_CAPACITY: usize = 1024;
-/// How long a shutdown waits, after all clients are served, for the fleet to agree that this proxy has left.
+/// Time that a shutdown waits, after all clients are served, for the fleet to agree that this proxy has left.
 const FLEET_LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Gives the counters the names of the configured classes.
@@ -39,7 +39,7 @@
     discovery: watch::Sender<SocketAddr>,
     /// The configuration after the latest reload.
     reloaded: watch::Sender<Option<Config>>,
-    /// When the graceful shutdown began; `None` before.
+    /// Time at which the graceful shutdown began; `None` before.
     draining: watch::Sender<Option<Instant>>,
     /// Notified when a drain begins, by SIGTERM or by the console, and when the console ends one.
     drain_changes: Arc<watch::Sender<()>>,
@@ -81,7 +81,7 @@
 /// Starts the actors.
 ///
 /// # Errors
-/// When the settings contradict one another, or the system provides no random numbers.
+/// Returns an error if the settings contradict one another, or the system provides no random numbers.
 pub(super) fn start(proxy: Proxy) -> io::Result<Server> {
     let Proxy { config, listeners, console, peers, counters, budget } = proxy;
     let clock = Clock::start();
@@ -223,7 +223,7 @@
     /// Carries out commands until the acceptor ends after a graceful shutdown, then stops the other actors.
     ///
     /// # Errors
-    /// When the acceptor or the core has panicked.
+    /// Returns an error if the acceptor or the core has panicked.
     pub async fn run(mut self, mut control: mpsc::Receiver<Control>) -> io::Result<()> {
         let result = loop {
             tokio::select! {
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::task::unconstrained;
 
-/// How many times a call is made in one poll of its task while signals interrupt it.
+/// Maximum number of times that a call is made in one poll of its task while signals interrupt it.
 const MAX_INTERRUPTIONS: u32 = 16;
 
 /// A TCP connection.
@@ -28,7 +28,7 @@
     /// Connects, and sets TCP_NODELAY so that small writes are sent at once.
     ///
     /// # Errors
-    /// When the connection cannot be established.
+    /// Returns an error if the connection cannot be established.
     pub async fn connect(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -72,7 +72,7 @@
 /// Makes a call again while a signal interrupts it, [`MAX_INTERRUPTIONS`] times in all.
 ///
 /// # Errors
-/// Those of the call; `Interrupted` if it was interrupted each time.
+/// Returns the errors of the call; `Interrupted` if it was interrupted each time.
 fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 1..MAX_INTERRUPTIONS {
         match call() {
@@ -140,7 +140,7 @@
 /// runtime may not have polled the socket yet.
 ///
 /// # Errors
-/// `WouldBlock` when there is nothing to read, or the connection's error.
+/// Returns `WouldBlock` if there is nothing to read, or the connection's error.
 pub(crate) fn peek(stream: &TcpStream) -> io::Result<usize> {
     socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
 }
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -179,7 +179,7 @@
             }
             tokio::select! {
                 biased;
-                read = self.stream.read_buf(&mut self.read_buffer) => match read {
+                result = self.stream.read_buf(&mut self.read_buffer) => match result {
                     Ok(0) | Err(_) => return ConnectionStatus::Unusable,
                     Ok(bytes) => {
                         exchange.bytes_read += bytes;
--- a/src/net/upstream/connector.rs
+++ b/src/net/upstream/connector.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{watch, OwnedSemaphorePermit};
 use tokio::time::{timeout_at, Instant};
 
-/// Everything that a task needs to get a connection to a host.
+/// State that a task needs to get a connection to a host.
 #[derive(Debug)]
 pub(super) struct Connector {
     /// Idle connection, if the host's actor had one.
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -12,9 +12,9 @@
 /// Invariant: an answer passes through each stage at most once and in order; otherwise it is invalid.
 #[derive(Debug, Default)]
 pub(super) struct Exchange {
-    /// When writing the query began, which is before the host answers.
+    /// Time at which writing the query began, which is before the host answers.
     pub write_started_at: Option<Instant>,
-    /// When the query's last byte was written; `None` if it has not been.
+    /// Time at which the query's last byte was written; `None` if it has not been.
     pub written_at: Option<Instant>,
     /// Number of bytes of the answer that have been read.
     pub bytes_read: usize,
--- a/src/net/upstream/large.rs
+++ b/src/net/upstream/large.rs
@@ -84,8 +84,8 @@
     sender: &ChunkSender,
 ) -> Option<()> {
     while remaining > 0 {
-        let read = connection.read_chunk(remaining.min(CHUNK_BYTES));
-        let chunk = timeout(READ_TIMEOUT, read).await.ok()?.ok()?;
+        let next_chunk = connection.read_chunk(remaining.min(CHUNK_BYTES));
+        let chunk = timeout(READ_TIMEOUT, next_chunk).await.ok()?.ok()?;
         remaining = remaining.checked_sub(chunk.len()).filter(|_| !chunk.is_empty())?;
         if !sender.send(chunk).await {
             return None;
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -74,7 +74,7 @@
     pub statement: Statement,
     /// The query is not written once the client has disconnected.
     pub client_liveness: PeerLiveness,
-    /// When the core actor sent it.
+    /// Time at which the core actor sent it.
     pub sent_at: Instant,
     pub deadline: Instant,
     /// Time after which the query must not be written.
