--- a/crates/pgwire/src/statement.rs
+++ b/crates/pgwire/src/statement.rs
@@ -85,12 +85,12 @@
 
 impl Comment {
     fn from_pairs(pairs: &[Pair<'_>]) -> Result<Self, StatementError> {
-        for (n, (name, ..)) in pairs.iter().enumerate() {
-            if pairs[..n].iter().any(|(other, ..)| other == name) {
+        for (index, (name, ..)) in pairs.iter().enumerate() {
+            if pairs[..index].iter().any(|(other, ..)| other == name) {
                 return Err(StatementError::Duplicate((*name).to_owned()));
             }
         }
-        let find = |name: &str| pairs.iter().find(|(n, ..)| *n == name);
+        let find = |name: &str| pairs.iter().find(|(entry, ..)| *entry == name);
         let value = |name: &'static str| find(name).map(|(_, value, _)| *value);
         let required = |name| value(name).ok_or(StatementError::Missing(name));
         let identifier = |name| match required(name)? {
--- a/crates/tds/src/token.rs
+++ b/crates/tds/src/token.rs
@@ -31,8 +31,8 @@
 const SQL_TSQL: u8 = 1;
 /// The feature id that ends FEATUREEXTACK.
 const NO_MORE_FEATURES: u8 = 0xff;
-/// The maximum number of columns that is accepted: answers of ledger hosts have far fewer. Each
-/// column takes memory before the first row arrives.
+/// The maximum number of columns that is accepted: answers of ledger hosts have far fewer. Each column takes
+/// memory before the first row arrives.
 const MAX_COLUMNS: u16 = 1_024;
 
 /// The description of a column.
@@ -264,7 +264,7 @@
 /// Parses an NBCROW: a bitmap of the columns that are null, then the values of the others.
 fn parse_row_with_nulls(columns: &[Column], input: &mut &[u8]) -> ParseResult<Vec<Value>> {
     let nulls = take(columns.len().div_ceil(8)).parse_next(input)?;
-    let value = |(n, column): (usize, &Column)| match nulls[n / 8] >> (n % 8) & 1 {
+    let value = |(index, column): (usize, &Column)| match nulls[index / 8] >> (index % 8) & 1 {
         1 => Ok(Value::Null),
         _ => column.kind.parse_value(input),
     };
@@ -346,8 +346,8 @@
 pub fn put_row_with_nulls(output: &mut BytesMut, columns: &[Column], values: &[Value]) {
     output.put_u8(ROW_WITH_NULLS);
     let mut nulls = vec![0u8; columns.len().div_ceil(8)];
-    for (n, _) in values.iter().enumerate().filter(|(_, value)| **value == Value::Null) {
-        nulls[n / 8] |= 1 << (n % 8);
+    for (index, _) in values.iter().enumerate().filter(|(_, value)| **value == Value::Null) {
+        nulls[index / 8] |= 1 << (index % 8);
     }
     output.put_slice(&nulls);
     for (column, value) in columns.iter().zip(values).filter(|(_, value)| **value != Value::Null) {
--- a/src/net/frontend/fault.rs
+++ b/src/net/frontend/fault.rs
@@ -145,7 +145,7 @@
         })
     }
 
-    /// Returns the time after which the client may retry, in milliseconds; `None` if it is not told one.
+    /// Returns the time after which the client may retry, in milliseconds; `None` if it is not given one.
     fn retry_after_ms(&self) -> Option<i64> {
         match self {
             Self::Rejected(retry_after) => retry_after.map(|retry_after| (retry_after.0 / 1000).max(1)),
--- a/src/net/local_faults/tests.rs
+++ b/src/net/local_faults/tests.rs
@@ -27,30 +27,30 @@
             Ok(7)
         }
     };
-    let began = Instant::now();
-    let result = retry_local_faults(began + Duration::from_secs(1), call).await;
+    let started_at = Instant::now();
+    let result = retry_local_faults(started_at + Duration::from_secs(1), call).await;
     assert_eq!(result.expect("in time").expect("made"), 7);
-    assert!(began.elapsed() >= Duration::from_millis(5 + 10 + 20 + 40));
+    assert!(started_at.elapsed() >= Duration::from_millis(5 + 10 + 20 + 40));
 }
 
 #[tokio::test]
 async fn a_persistent_local_fault_is_returned_by_the_deadline_and_other_errors_at_once() {
-    let began = Instant::now();
-    let persistent = retry_local_faults(began + Duration::from_millis(200), || async {
+    let started_at = Instant::now();
+    let persistent = retry_local_faults(started_at + Duration::from_millis(200), || async {
         Err::<(), _>(error(libc::EMFILE))
     })
     .await;
     assert!(
         is_local_fault(&persistent.expect("returned").unwrap_err())
-            && began.elapsed() <= Duration::from_millis(220)
+            && started_at.elapsed() <= Duration::from_millis(220)
     );
-    let began = Instant::now();
-    let refused = retry_local_faults(began + Duration::from_secs(1), || async {
+    let started_at = Instant::now();
+    let refused = retry_local_faults(started_at + Duration::from_secs(1), || async {
         Err::<(), _>(error(libc::ECONNREFUSED))
     })
     .await;
     assert!(
         !is_local_fault(&refused.expect("returned").unwrap_err())
-            && began.elapsed() < Duration::from_millis(500)
+            && started_at.elapsed() < Duration::from_millis(500)
     );
 }
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -12,7 +12,7 @@
 pub(crate) const CHUNK_BYTES: usize = 64 * 1024;
 /// Number of chunks that may wait for the receiver.
 const MAX_QUEUED_CHUNKS: usize = 1;
-/// The most memory that one answer takes, in bytes: a chunk being read, those that wait, and one being
+/// Maximum memory that one answer takes, in bytes: a chunk being read, those that wait, and one being
 /// written.
 pub(crate) const MAX_BUFFERED_BYTES: usize = (MAX_QUEUED_CHUNKS + 2) * CHUNK_BYTES;
 
