--- a/crates/pgwire/src/statement.rs
+++ b/crates/pgwire/src/statement.rs
@@ -54,10 +54,10 @@
     Form,
     /// A required entry of the comment is missing or empty.
     #[error("the comment lacks `{0}`")]
-    Lacks(&'static str),
+    Missing(&'static str),
     /// An entry of the comment occurs more than once, so that its value is ambiguous.
     #[error("the comment holds `{0}` twice")]
-    Twice(String),
+    Duplicate(String),
     /// The value of an entry is invalid.
     #[error("the comment's `{0}` is not a sensible value")]
     Value(&'static str),
@@ -72,7 +72,8 @@
     /// Parses a complete statement.
     ///
     /// # Errors
-    /// When the statement has another form, or an entry of its comment is missing, duplicated or invalid.
+    /// Returns an error if the statement has another form, or an entry of its comment is missing, duplicated
+    /// or invalid.
     pub fn parse(text: &'a str) -> Result<Self, StatementError> {
         let statement = (alt((read, write)), pairs, eof);
         let mut statement = statement.map(|(start, pairs, _)| (start, pairs));
@@ -84,16 +85,16 @@
 
 impl Comment {
     fn from_pairs(pairs: &[Pair<'_>]) -> Result<Self, StatementError> {
-        for (n, (name, ..)) in pairs.iter().enumerate() {
-            if pairs[..n].iter().any(|(other, ..)| other == name) {
-                return Err(StatementError::Twice((*name).to_owned()));
+        for (index, (name, ..)) in pairs.iter().enumerate() {
+            if pairs[..index].iter().any(|(other, ..)| other == name) {
+                return Err(StatementError::Duplicate((*name).to_owned()));
             }
         }
-        let find = |name: &str| pairs.iter().find(|(n, ..)| *n == name);
+        let find = |name: &str| pairs.iter().find(|(entry, ..)| *entry == name);
         let value = |name: &'static str| find(name).map(|(_, value, _)| *value);
-        let required = |name| value(name).ok_or(StatementError::Lacks(name));
+        let required = |name| value(name).ok_or(StatementError::Missing(name));
         let identifier = |name| match required(name)? {
-            "" => Err(StatementError::Lacks(name)),
+            "" => Err(StatementError::Missing(name)),
             text if text.len() <= MAX_IDENTIFIER_BYTES && text.chars().all(is_identifier_char) => {
                 Ok(text.to_owned())
             }
@@ -111,7 +112,9 @@
             key: find("k").map(|_| identifier("k")).transpose()?,
             group: group.ok_or(StatementError::Value("cluster"))?,
             last_write_ms: value("after").map(|text| number("after", text)).transpose()?,
-            timeout_range: find("d").map(|(_, _, range)| range.clone()).ok_or(StatementError::Lacks("d"))?,
+            timeout_range: find("d")
+                .map(|(_, _, range)| range.clone())
+                .ok_or(StatementError::Missing("d"))?,
         })
     }
 }
--- a/crates/tds/src/packet.rs
+++ b/crates/tds/src/packet.rs
@@ -4,11 +4,11 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 /// The length of a packet's header in bytes.
-pub const HEADER: usize = 8;
+pub const HEADER_BYTES: usize = 8;
 /// The packet size until the login negotiates another one, in bytes, header included.
-pub const PACKET_SIZE: usize = 4096;
+pub const INITIAL_PACKET_BYTES: usize = 4096;
 /// The smallest and the largest packet size that can be negotiated, in bytes (2.2.6.4).
-pub const PACKET_SIZES: (usize, usize) = (512, 32_767);
+pub const NEGOTIABLE_PACKET_BYTES: (usize, usize) = (512, 32_767);
 
 /// The type of a message, which each of its packets carries (2.2.3.1.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,14 +66,14 @@
 /// The status bits of a message, without the end-of-message bit (2.2.3.1.2).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// The client has abandoned the message: the server discards it.
+    /// Whether the client has abandoned the message, so that the server discards it.
     pub ignore: bool,
-    /// The session is reset to its state after login before the request runs.
+    /// Whether the session is reset to its state after the login before the request runs.
     pub reset: bool,
 }
 
-// The bits of a packet's status byte (2.2.3.1.2).
-const END: u8 = 0x01;
+// The bits of the status byte of a packet (2.2.3.1.2).
+const END_OF_MESSAGE: u8 = 0x01;
 const IGNORE: u8 = 0x02;
 const RESET: u8 = 0x08;
 const RESET_KEEP_TRANSACTION: u8 = 0x10;
@@ -104,13 +104,13 @@
     /// Creates an assembler that accepts messages of at most `max_payload_bytes`.
     pub fn new(max_payload_bytes: usize) -> Self {
         let (kind, status, payload) = (None, Status::default(), BytesMut::new());
-        Self { max_payload_bytes, max_packet_bytes: PACKET_SIZE, kind, status, payload }
+        Self { max_payload_bytes, max_packet_bytes: INITIAL_PACKET_BYTES, kind, status, payload }
     }
 
-    /// Sets the negotiated packet size, in bytes. Packets of up to [`PACKET_SIZE`] are accepted even if it is
-    /// smaller.
+    /// Sets the negotiated packet size, in bytes. Packets of up to [`INITIAL_PACKET_BYTES`] are accepted even
+    /// if it is smaller.
     pub fn set_packet_size(&mut self, bytes: usize) {
-        self.max_packet_bytes = bytes.max(PACKET_SIZE);
+        self.max_packet_bytes = bytes.max(INITIAL_PACKET_BYTES);
     }
 
     /// Returns the capacity of the buffer that holds an incomplete message, in bytes.
@@ -127,7 +127,8 @@
     /// complete.
     ///
     /// # Errors
-    /// When a header is invalid or the message is too long. The rest of the stream is unreadable then.
+    /// Returns an error if a header is invalid or the message is too long. The rest of the stream is
+    /// unreadable then.
     pub fn next(&mut self, received: &mut BytesMut) -> Result<Option<Message>, WireError> {
         while let Some(packet) = self.next_packet(received)? {
             let kind = *self.kind.get_or_insert(packet.kind);
@@ -136,9 +137,9 @@
             }
             self.status.ignore |= packet.status & IGNORE != 0;
             self.status.reset |= packet.status & (RESET | RESET_KEEP_TRANSACTION) != 0;
-            received.advance(HEADER);
-            let content = received.split_to(packet.length - HEADER);
-            if packet.status & END == 0 {
+            received.advance(HEADER_BYTES);
+            let content = received.split_to(packet.length - HEADER_BYTES);
+            if packet.status & END_OF_MESSAGE == 0 {
                 self.payload.extend_from_slice(&content);
                 continue;
             }
@@ -160,12 +161,12 @@
     fn next_packet(&self, received: &BytesMut) -> Result<Option<Packet>, WireError> {
         let Some(first) = received.first() else { return Ok(None) };
         let kind = PacketType::from_code(*first).ok_or(WireError::Header)?;
-        let Some(header) = received.get(..HEADER) else { return Ok(None) };
+        let Some(header) = received.get(..HEADER_BYTES) else { return Ok(None) };
         let length = usize::from(u16::from_be_bytes([header[2], header[3]]));
-        if length < HEADER || length > self.max_packet_bytes {
+        if length < HEADER_BYTES || length > self.max_packet_bytes {
             return Err(WireError::Header);
         }
-        if self.payload.len() + length - HEADER > self.max_payload_bytes {
+        if self.payload.len() + length - HEADER_BYTES > self.max_payload_bytes {
             return Err(WireError::TooLong);
         }
         Ok((received.len() >= length).then_some(Packet { kind, status: header[1], length }))
@@ -179,25 +180,25 @@
 }
 
 /// Writes a message as packets of at most `size` bytes, header included (2.2.3.1).
-pub fn put_message(out: &mut BytesMut, kind: PacketType, status: Status, payload: &[u8], size: usize) {
-    let max_content = size.clamp(PACKET_SIZES.0, PACKET_SIZES.1) - HEADER;
+pub fn put_message(output: &mut BytesMut, kind: PacketType, status: Status, payload: &[u8], size: usize) {
+    let max_content = size.clamp(NEGOTIABLE_PACKET_BYTES.0, NEGOTIABLE_PACKET_BYTES.1) - HEADER_BYTES;
     let packets = payload.len().div_ceil(max_content).max(1);
-    out.reserve(payload.len() + packets * HEADER);
+    output.reserve(payload.len() + packets * HEADER_BYTES);
     for number in 0..packets {
         let content = &payload[number * max_content..payload.len().min((number + 1) * max_content)];
         let mut bits = 0;
         if number + 1 == packets {
-            bits |= END | if status.ignore { IGNORE } else { 0 };
+            bits |= END_OF_MESSAGE | if status.ignore { IGNORE } else { 0 };
         }
         if number == 0 && status.reset {
             bits |= RESET;
         }
-        out.put_u8(kind.code());
-        out.put_u8(bits);
-        out.put_u16((content.len() + HEADER) as u16);
-        out.put_u16(0);
-        out.put_u8((number + 1) as u8);
-        out.put_u8(0);
-        out.put_slice(content);
+        output.put_u8(kind.code());
+        output.put_u8(bits);
+        output.put_u16((content.len() + HEADER_BYTES) as u16);
+        output.put_u16(0);
+        output.put_u8((number + 1) as u8);
+        output.put_u8(0);
+        output.put_slice(content);
     }
 }
--- a/crates/tds/tests/hostile.rs
+++ b/crates/tds/tests/hostile.rs
@@ -20,7 +20,7 @@
 fn an_endless_message_is_rejected_at_the_limit() {
     let mut assembler = Assembler::new(10_000);
     let mut packet = vec![1, 0, 0x10, 0, 0, 0, 1, 0];
-    packet.resize(PACKET_SIZE, 7);
+    packet.resize(INITIAL_PACKET_BYTES, 7);
     let mut received = BytesMut::new();
     let results: Vec<_> = (0..3)
         .map(|_| {
@@ -63,9 +63,9 @@
     put_all_headers(&mut payload);
     payload.put_u16_le(0xd800);
     payload.put_u16_le(u16::from(b'a'));
-    assert_eq!(batch(&payload), Err(WireError::Malformed("a batch")));
+    assert_eq!(parse_batch(&payload), Err(WireError::Malformed("a batch")));
     payload.truncate(payload.len() - 1);
-    assert_eq!(batch(&payload), Err(WireError::Malformed("a batch")));
+    assert_eq!(parse_batch(&payload), Err(WireError::Malformed("a batch")));
 }
 
 #[test]
@@ -75,16 +75,16 @@
         put_all_headers(&mut payload);
         payload[..4].copy_from_slice(&lengths[0].to_le_bytes());
         payload[4..8].copy_from_slice(&lengths[1].to_le_bytes());
-        assert_eq!(batch(&payload), Err(WireError::Malformed("a batch")), "{lengths:?}");
+        assert_eq!(parse_batch(&payload), Err(WireError::Malformed("a batch")), "{lengths:?}");
     }
 }
 
 #[test]
 fn invalid_prelogin_options_are_rejected() {
     let valid = {
-        let mut out = BytesMut::new();
-        Prelogin::default().put(&mut out);
-        out
+        let mut output = BytesMut::new();
+        Prelogin::default().put(&mut output);
+        output
     };
     for (at, byte) in [(2, 200), (4, 200), (0, 1), (5, 0), (8, 200), (9, 7)] {
         let mut invalid = valid.clone();
@@ -95,10 +95,10 @@
 }
 
 fn login() -> BytesMut {
-    let mut out = BytesMut::new();
+    let mut output = BytesMut::new();
     let login = Login { host: "till".to_owned(), user: "sa".to_owned(), ..Login::default() };
-    login.put(&mut out);
-    out
+    login.put(&mut output);
+    output
 }
 
 #[rstest]
@@ -124,7 +124,7 @@
 fn a_second_call_in_one_message_is_rejected() {
     let mut payload = BytesMut::new();
     Rpc { procedure: Procedure::Number(SP_EXECUTESQL), options: 0, parameters: Vec::new() }.put(&mut payload);
-    assert!(rpc(&payload).is_ok());
+    assert!(parse_rpc(&payload).is_ok());
     payload.put_slice(&[0xff, 0xff, 0xff, 10, 0, 0, 0]);
-    assert_eq!(rpc(&payload), Err(WireError::Malformed("a procedure call")));
+    assert_eq!(parse_rpc(&payload), Err(WireError::Malformed("a procedure call")));
 }
--- a/crates/testbench/benches/messages.rs
+++ b/crates/testbench/benches/messages.rs
@@ -5,9 +5,9 @@
 use std::hint::black_box;
 use wheelpier_pgwire::{query, ready, single_value_result, BackendMessage, FrontendMessage, KvStatement};
 use wheelpier_tds::{
-    batch, put_all_headers, put_columns, put_done, put_message, put_row, put_text, rpc, Assembler, Column,
-    DataType, Done, DoneKind, PacketType, Parameter, Procedure, Rpc, Status, Tokens, Value, PACKET_SIZE,
-    SP_EXECUTESQL,
+    parse_batch, parse_rpc, put_all_headers, put_columns, put_done, put_message, put_row, put_text,
+    Assembler, Column, DataType, Done, DoneKind, PacketType, Parameter, Procedure, Rpc, Status, Tokens,
+    Value, INITIAL_PACKET_BYTES, SP_EXECUTESQL,
 };
 
 const READ: &str = "SELECT content FROM kv WHERE name = '7f3a9c21e0b4d655' \
@@ -15,7 +15,7 @@
 
 fn tds_message(kind: PacketType, payload: &[u8]) -> BytesMut {
     let mut buffer = BytesMut::new();
-    put_message(&mut buffer, kind, Status::default(), payload, PACKET_SIZE);
+    put_message(&mut buffer, kind, Status::default(), payload, INITIAL_PACKET_BYTES);
     buffer
 }
 
@@ -75,7 +75,7 @@
     group.bench_function("tds/read batch", |b| {
         b.iter_batched(
             || wire.clone(),
-            |wire| assemble(wire).map(|message| batch(&message.payload).is_ok()),
+            |wire| assemble(wire).map(|message| parse_batch(&message.payload).is_ok()),
             BatchSize::SmallInput,
         );
     });
@@ -83,7 +83,7 @@
     group.bench_function("tds/read call", |b| {
         b.iter_batched(
             || wire.clone(),
-            |wire| assemble(wire).map(|message| rpc(&message.payload).is_ok()),
+            |wire| assemble(wire).map(|message| parse_rpc(&message.payload).is_ok()),
             BatchSize::SmallInput,
         );
     });
--- a/src/counters/mod.rs
+++ b/src/counters/mod.rs
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-/// How a request ended.
+/// Final state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
     /// A host's answer was sent.
@@ -90,7 +90,7 @@
     }
 
     /// Counts a statement that was answered with an error because it is not a valid request.
-    pub fn malformed_statement(&self) {
+    pub fn statement_malformed(&self) {
         increment(&self.malformed_statements);
     }
 
@@ -193,7 +193,7 @@
     }
 
     /// Formats the metrics for the console: one line `gw.NAME=VALUE` each (see `docs/operate/console.md`).
-    pub fn figures(&self) -> String {
+    pub fn format_metrics(&self) -> String {
         let mut lines = String::new();
         self.write_class_metrics(&mut lines);
         let metrics = [
--- a/src/net/frontend/client/end.rs
+++ b/src/net/frontend/client/end.rs
@@ -13,7 +13,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{timeout, Instant};
 
-/// Why a connection ends.
+/// Reason why a connection ends.
 #[derive(Debug)]
 pub(super) enum ConnectionEnd {
     /// Without an error for the client.
@@ -93,7 +93,7 @@
 
     /// Writes a fatal error. The read buffer is released first, since others may wait for its memory.
     async fn write_fatal_error(&mut self, fault: &Fault) {
-        self.context.counters.malformed_statement();
+        self.context.counters.statement_malformed();
         self.record_rejection(fault);
         self.conversation.write_fatal(fault, &mut self.write_buffer);
         self.read_buffer = BytesMut::new();
@@ -119,7 +119,7 @@
             self.read_buffer.reserve(MAX_RETAINED_CAPACITY);
             match self.socket.read_buf(&mut self.read_buffer).await? {
                 0 => break,
-                read => remaining = remaining.saturating_sub(read),
+                length => remaining = remaining.saturating_sub(length),
             }
         }
         Ok(())
--- a/src/net/frontend/fault.rs
+++ b/src/net/frontend/fault.rs
@@ -8,7 +8,8 @@
 use crate::rejection_reason::RejectionReason;
 use bytes::{BufMut, BytesMut};
 use wheelpier_tds::{
-    numbers, put_done, put_error, put_message, Done, DoneKind, Notice, PacketType, Status, PACKET_SIZE,
+    numbers, put_done, put_error, put_message, Done, DoneKind, Notice, PacketType, Status,
+    INITIAL_PACKET_BYTES,
 };
 
 /// The fatal TLS alert `protocol_version` (RFC 8446, section 6), the only answer that a client which begins
@@ -21,7 +22,7 @@
 /// The lowest TDS error class that ends the connection.
 const FATAL_ERROR_CLASS: u8 = 20;
 
-/// Why a client gets no value, or why its connection ends.
+/// Reason why a client gets no value, or why its connection ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
     /// The request was rejected and had no effect; a retry is harmless, after this time if one is given.
@@ -133,8 +134,8 @@
             Self::NotReady => RejectionReason::NotReady,
             Self::Encoding => RejectionReason::InvalidEncoding,
             Self::Statement(StatementError::Form) | Self::Syntax(_) => RejectionReason::UnsupportedStatement,
-            Self::Statement(StatementError::Lacks(_)) => RejectionReason::MissingField,
-            Self::Statement(StatementError::Twice(_)) => RejectionReason::DuplicateField,
+            Self::Statement(StatementError::Missing(_)) => RejectionReason::MissingField,
+            Self::Statement(StatementError::Duplicate(_)) => RejectionReason::DuplicateField,
             Self::Statement(StatementError::Value(_)) => RejectionReason::InvalidValue,
             Self::Invalid(problem) => problem.reason(),
             Self::Unsupported(_) | Self::WrongProtocol(_) => RejectionReason::UnsupportedFeature,
@@ -144,7 +145,7 @@
         })
     }
 
-    /// Returns the time after which the client may retry, in milliseconds; `None` if it is not told one.
+    /// Returns the time after which the client may retry, in milliseconds; `None` if it is not given one.
     fn retry_after_ms(&self) -> Option<i64> {
         match self {
             Self::Rejected(retry_after) => retry_after.map(|retry_after| (retry_after.0 / 1000).max(1)),
@@ -214,7 +215,7 @@
             ForeignProtocol::Protocol(Protocol::Tds, _) => {
                 let mut payload = BytesMut::new();
                 self.put_tds(DoneKind::Batch, Severity::Fatal, &mut payload);
-                put_message(output, PacketType::Result, Status::default(), &payload, PACKET_SIZE);
+                put_message(output, PacketType::Result, Status::default(), &payload, INITIAL_PACKET_BYTES);
             }
         }
     }
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -15,9 +15,9 @@
 /// Parses a statement.
 ///
 /// # Errors
-/// When the statement has an unsupported form, names an unknown class, writes although its class reads or the
-/// other way round, or lacks a required field: a tenant if the settings have tenants, an idempotency key if
-/// its class needs one.
+/// Returns an error if the statement has an unsupported form, names an unknown class, writes although its
+/// class reads or the other way round, or lacks a required field: a tenant if the settings have tenants, an
+/// idempotency key if its class needs one.
 pub(super) fn parse(text: Bytes, names: &Names) -> Result<Request, Fault> {
     let statement = std::str::from_utf8(&text).map_err(|_| Fault::Encoding)?;
     let KvStatement { is_write, key, value_range, comment } =
@@ -30,10 +30,10 @@
         return Err(Fault::Invalid(InvalidRequest::ClassMismatch { class: class.name.clone(), verb }));
     }
     if class.needs_key && comment.key.is_none() {
-        return Err(Fault::Statement(StatementError::Lacks("k")));
+        return Err(Fault::Statement(StatementError::Missing("k")));
     }
     if comment.tenant.is_none() && names.has_tenants() {
-        return Err(Fault::Statement(StatementError::Lacks("t")));
+        return Err(Fault::Statement(StatementError::Missing("t")));
     }
     // A tenant without an entry in the settings has no quota: the router gives it full weight.
     let tenant = comment.tenant.as_deref().and_then(|name| names.tenant(name));
