--- a/tests/sockets/scenario/mod.rs
+++ b/tests/sockets/scenario/mod.rs
@@ -506,6 +506,16 @@
     out_of_fds: Arc<AtomicBool>,
 }
 
+/// Returns whether a socket listens at this IPv4 address, according to /proc/net/tcp (proc_net(5)).
+fn is_listening(address: SocketAddr) -> bool {
+    const LISTEN: &str = "0A";
+    let SocketAddr::V4(address) = address else { panic!("an IPv4 address") };
+    let local_address = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
+    let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+    let mut rows = table.lines().skip(1).map(|row| row.split_whitespace().collect::<Vec<_>>());
+    rows.any(|row| row[1] == local_address && row[3] == LISTEN)
+}
+
 /// Records the highest number of file descriptors of a process until it ends. Starts once the process runs
 /// the program: before its exec, a child still holds the descriptors of this process.
 fn track_descriptors(id: u32, max_fds: &AtomicUsize) {
@@ -613,6 +623,16 @@
         }
     }
 
+    /// Waits for the console's listener, which is bound after those for clients. Makes no connection, since the
+    /// console would count one as a call.
+    fn wait_until_console_listens(&self, console: SocketAddr) {
+        let until = Instant::now() + STEP_TIMEOUT;
+        while !is_listening(console) {
+            assert!(Instant::now() < until, "the console does not listen");
+            std::thread::sleep(Duration::from_millis(1));
+        }
+    }
+
     /// Waits for a log line that contains all these words and returns it.
     pub fn log(&self, words: &str) -> String {
         let until = Instant::now() + STEP_TIMEOUT;
@@ -738,6 +758,8 @@
     any_host: usize,
     /// Address of the operators' console.
     console: SocketAddr,
+    /// Whether the console was seen to listen.
+    console_listens: Cell<bool>,
     /// Response to the last call to the console.
     console_response: String,
     /// Connections to the console that send nothing.
@@ -856,6 +878,7 @@
             cancel_keys: HashMap::new(),
             any_host: 0,
             console,
+            console_listens: Cell::new(false),
             console_response: String::new(),
             silent_console_connections: Vec::new(),
             second_program: None,
@@ -863,10 +886,18 @@
         }
     }
 
+    /// Opens a connection to the console; before the first one, waits until the console listens.
+    fn connect_to_console(&self) -> TcpStream {
+        if !self.console_listens.replace(true) {
+            self.program.wait_until_console_listens(self.console);
+        }
+        TcpStream::connect(self.console).expect("the console listens")
+    }
+
     /// Makes a call to the console on a connection of its own, and returns the response.
     fn call_console(&self, args: &str) -> String {
         let method = if matches!(args, "quiesce" | "resume") { "POST" } else { "GET" };
-        let mut stream = TcpStream::connect(self.console).expect("the console listens");
+        let mut stream = self.connect_to_console();
         let call = format!("{method} /admin/{args} HTTP/1.1\r\nHost: proxy\r\nContent-Length: 0\r\n\r\n");
         stream.write_all(call.as_bytes()).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
@@ -884,8 +915,9 @@
         match (&who[..1], verb) {
             ("w", _) => std::thread::sleep(Duration::from_millis(verb.parse().unwrap())),
             ("s", "send") => {
-                let connect = |_| TcpStream::connect(self.console).expect("the console listens");
-                self.silent_console_connections.extend((0..args.parse().unwrap()).map(connect));
+                let count: usize = args.parse().unwrap();
+                let connections: Vec<TcpStream> = (0..count).map(|_| self.connect_to_console()).collect();
+                self.silent_console_connections.extend(connections);
             }
             ("o", "send") => self.console_response = self.call_console(args),
             ("n", "send") if args == "start" => {
