--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -279,7 +279,9 @@
                 "not admitted: another process of this name is a member");
         }
         Output::IncarnationChanged(me) => {
-            tracing::info!(event = "life", at_us, %me, "continuing as another incarnation");
+            // `me` is the new incarnation. The old one was (or may have been) removed, or its number is taken.
+            tracing::info!(event = "life", at_us, %me,
+                "current incarnation can no longer be a member: requesting admission under a new incarnation");
         }
         Output::SuspicionChanged(who, suspicion) => {
             tracing::info!(event = "advice", at_us, %me, %who, ?suspicion, "suspicion changed");
