--- a/src/net/core/attempts.rs
+++ b/src/net/core/attempts.rs
@@ -29,7 +29,10 @@
         let Forward { id, host, timeout, requirement, write_by } = forward;
         let now = Instant::now();
         let Some(request) = self.requests.get_mut(id) else {
-            return tracing::error!(request_id = id.0, "request forwarded after its end");
+            return tracing::error!(
+                request_id = id.0,
+                "the router forwarded a request that had already ended"
+            );
         };
         let attempt = request.attempt_hosts.len() as u32;
         request.attempt_hosts.push(host);
