--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -168,6 +168,6 @@
     handling.await;
     let elapsed = started_at.elapsed();
     if elapsed >= SLOW_EVENT {
-        tracing::warn!(event, elapsed_ms = elapsed.as_millis(), "event of the core actor took long");
+        tracing::warn!(event, elapsed_ms = elapsed.as_millis(), "the core actor was slow to handle an event");
     }
 }
