--- a/crates/testbench/src/fault_script.rs
+++ b/crates/testbench/src/fault_script.rs
@@ -2,7 +2,7 @@
 //! both on real processes and in virtual time, and the same checker verifies the histories of both.
 
 use crate::history::{check_rules, evicted_members, Event};
-use crate::members::{Fleet, FleetFault};
+use crate::members::{FleetFault, VirtualFleet};
 use crate::processes::Processes;
 use crate::TestbenchError;
 use serde::Deserialize;
@@ -176,7 +176,7 @@
 
     /// Runs the script in virtual time.
     pub fn run_virtually(&self, seed: u64) -> ScriptResult {
-        let mut fleet = Fleet::recorded(self.proxies, self.founders(), seed);
+        let mut fleet = VirtualFleet::recorded(self.proxies, self.founders(), seed);
         fleet.run_until_settled(60 * SECOND);
         fleet.run_until(fleet.now + 2 * SECOND);
         let steps = self.steps.iter().flat_map(|step| {
@@ -207,10 +207,10 @@
         sleep_until(began + Duration::from_millis(self.watched_ms)).await;
         let (ended, within, running) =
             (Instant::now(), Duration::from_millis(self.settled_within_ms), self.running());
-        while !fleet.agree(&running) && ended.elapsed() < within {
+        while !fleet.agree_on_view(&running) && ended.elapsed() < within {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        let settled_ms = fleet.agree(&running).then(|| ended.elapsed().as_millis() as u64);
+        let settled_ms = fleet.agree_on_view(&running).then(|| ended.elapsed().as_millis() as u64);
         Ok(ScriptResult { history: fleet.history(), settled_ms })
     }
 }
--- a/crates/testbench/src/members.rs
+++ b/crates/testbench/src/members.rs
@@ -74,11 +74,12 @@
     Deliver(usize, u64, Identity, MemberMessage),
     /// The timer of a process fires. Fields: the process and its start number.
     Timer(usize, u64),
-    FleetFault(FleetFault),
+    /// A fault is injected.
+    Fault(FleetFault),
 }
 
 /// A simulated fleet.
-pub struct Fleet {
+pub struct VirtualFleet {
     /// True time, in microseconds.
     pub now: i64,
     /// Names of the members.
@@ -125,7 +126,7 @@
     }
 }
 
-impl Fleet {
+impl VirtualFleet {
     /// Creates a fleet and starts all of its members. The first `seeds` members are the founders, and
     /// `persistent` tells whether members keep their state over a restart.
     pub fn new(members: usize, seeds: usize, persistent: bool, seed: u64) -> Self {
@@ -433,7 +434,7 @@
                     }
                 }
             }
-            Due::FleetFault(fault) => self.inject(fault),
+            Due::Fault(fault) => self.inject(fault),
         }
         // The check compares all pairs of members, so it is less frequent in large fleets.
         let every = (self.names.len() * self.names.len() / 8).max(64) as u64;
@@ -491,7 +492,7 @@
     /// Applies faults at their times and runs until `end`. All times are relative to now.
     pub fn play(&mut self, script: Vec<(i64, FleetFault)>, end: i64) {
         let begin = self.now;
-        script.into_iter().for_each(|(at, fault)| self.schedule(begin + at, Due::FleetFault(fault)));
+        script.into_iter().for_each(|(at, fault)| self.schedule(begin + at, Due::Fault(fault)));
         self.run_until(begin + end);
     }
 
--- a/crates/testbench/src/membership.rs
+++ b/crates/testbench/src/membership.rs
@@ -127,7 +127,7 @@
         )
         .await?;
         let all: Vec<usize> = (0..self.proxies).collect();
-        fleet.until("all found the fleet", MAX_WAIT, |fleet| fleet.agree(&all)).await;
+        fleet.wait_until("all found the fleet", MAX_WAIT, |fleet| fleet.agree_on_view(&all)).await;
         installation.begin().await;
         let span = (self.seconds as f64 * 7.0 / 6.0 * SECOND as f64) as i64;
         let spec = Rc::new(spec);
@@ -165,9 +165,15 @@
             let others: Vec<usize> = all.iter().copied().filter(|n| *n != victim).collect();
             killed.push((fleet.now(), fleet.latest_identity(victim)));
             fleet.kill(victim);
-            fleet.until("the view without the killed process", MAX_WAIT, |fleet| fleet.agree(&others)).await;
+            fleet
+                .wait_until("the view without the killed process", MAX_WAIT, |fleet| {
+                    fleet.agree_on_view(&others)
+                })
+                .await;
             fleet.start_process(victim)?;
-            fleet.until("the view with the restarted process", MAX_WAIT, |fleet| fleet.agree(all)).await;
+            fleet
+                .wait_until("the view with the restarted process", MAX_WAIT, |fleet| fleet.agree_on_view(all))
+                .await;
             // Gives the restarted member time for more than its first probes.
             sleep(Duration::from_millis(500)).await;
             victim = (victim + 3) % self.proxies;
@@ -229,7 +235,7 @@
     let members = (script.proxies, script.founders());
     let mut fleet = Processes::start_on(Processes::own_program()?, members, seed, None).await?;
     let all: Vec<usize> = (0..script.founders()).collect();
-    fleet.until("all found the fleet", MAX_WAIT, |fleet| fleet.agree(&all)).await;
+    fleet.wait_until("all found the fleet", MAX_WAIT, |fleet| fleet.agree_on_view(&all)).await;
     let result = script.run(&mut fleet).await?;
     let faults = script.violations(&result);
     if !faults.is_empty() {
--- a/crates/testbench/src/processes.rs
+++ b/crates/testbench/src/processes.rs
@@ -396,7 +396,7 @@
 
     /// Returns whether exactly these processes are in the latest view of each of them and all of them hold
     /// their leases.
-    pub fn agree(&self, indices: &[usize]) -> bool {
+    pub fn agree_on_view(&self, indices: &[usize]) -> bool {
         let first = self.latest_view(indices[0]).0;
         let names: Vec<&str> = first.iter().filter_map(|member| member.split('#').next()).collect();
         let all = names.len() == indices.len()
@@ -408,7 +408,12 @@
     ///
     /// # Panics
     /// Panics if it takes longer than `patience`, with [`Self::recent_output`].
-    pub async fn until(&self, what: &str, patience: Duration, condition: impl Fn(&Self) -> bool) -> Duration {
+    pub async fn wait_until(
+        &self,
+        what: &str,
+        patience: Duration,
+        condition: impl Fn(&Self) -> bool,
+    ) -> Duration {
         let began = Instant::now();
         while !condition(self) {
             assert!(began.elapsed() < patience, "not within {patience:?}: {what}\n{}", self.recent_output());
--- a/crates/testbench/src/scale.rs
+++ b/crates/testbench/src/scale.rs
@@ -1,6 +1,6 @@
 //! Measures the traffic and the delays of fleet membership by the number of members, in virtual time.
 
-use crate::members::{Fleet, FleetFault};
+use crate::members::{FleetFault, VirtualFleet};
 use crate::{table, TestbenchError};
 use plotters::prelude::*;
 use std::path::PathBuf;
@@ -112,7 +112,7 @@
     }
 
     fn measure(&self, members: usize) -> FleetResult {
-        let mut fleet = Fleet::new(members, members.min(5), false, self.seed);
+        let mut fleet = VirtualFleet::new(members, members.min(5), false, self.seed);
         let formed_ms = fleet.run_until_settled(300 * SECOND) / 1_000;
         fleet.play(Vec::new(), 5 * SECOND);
         let calm = self.measure_traffic(&mut fleet, members, Vec::new());
@@ -157,7 +157,12 @@
         }
     }
 
-    fn measure_traffic(&self, fleet: &mut Fleet, members: usize, faults: Vec<(i64, FleetFault)>) -> Traffic {
+    fn measure_traffic(
+        &self,
+        fleet: &mut VirtualFleet,
+        members: usize,
+        faults: Vec<(i64, FleetFault)>,
+    ) -> Traffic {
         let (bytes, messages) = (fleet.bytes, fleet.messages);
         fleet.play(faults, self.seconds * SECOND);
         let per_member = |sum: u64| sum as f64 / members as f64 / self.seconds as f64;
--- a/crates/testbench/tests/hostile.rs
+++ b/crates/testbench/tests/hostile.rs
@@ -70,7 +70,11 @@
 async fn a_million_invalid_messages_change_nothing() {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_wheelpier-testbench"));
     let fleet = Processes::start(program, 3, 7).await.unwrap();
-    fleet.until("all members are in the fleet", FORMATION_TIMEOUT, |fleet| fleet.agree(&[0, 1, 2])).await;
+    fleet
+        .wait_until("all members are in the fleet", FORMATION_TIMEOUT, |fleet| {
+            fleet.agree_on_view(&[0, 1, 2])
+        })
+        .await;
     let (view, before) = (fleet.latest_view(0).0, fleet.memory(0).unwrap());
     let (address, mut random) = (fleet.peer_address(0), ChaCha8Rng::seed_from_u64(7));
     let messages = sample_messages(address);
@@ -94,7 +98,7 @@
         "memory {before} KiB before, {at_half} after half, {after} after all\n{}",
         fleet_figures.join("\n")
     );
-    assert!(fleet.agree(&[0, 1, 2]), "{}", fleet.recent_output());
+    assert!(fleet.agree_on_view(&[0, 1, 2]), "{}", fleet.recent_output());
     assert_eq!(fleet.latest_view(0).0, view, "no view has changed");
     let dropped = |cause: &str| {
         let line = figures.lines().find_map(|line| line.strip_prefix(&format!("gw.fleet.dropped.{cause}=")));
--- a/crates/testbench/tests/members.rs
+++ b/crates/testbench/tests/members.rs
@@ -3,12 +3,12 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use wheelpier_emulator::{MS, SECOND};
-use wheelpier_testbench::members::{Fleet, FleetFault};
+use wheelpier_testbench::members::{FleetFault, VirtualFleet};
 
 #[rstest]
 fn founders_form_the_fleet_and_the_others_join(#[values(1, 2, 3, 5, 7, 20)] members: usize) {
     for seed in 0..3 {
-        let mut fleet = Fleet::new(members, members.min(5), false, seed);
+        let mut fleet = VirtualFleet::new(members, members.min(5), false, seed);
         let took = fleet.run_until_settled(20 * SECOND);
         println!("{members} members, seed {seed}: settled after {} ms in view {}", took / MS, fleet.epoch());
     }
@@ -19,7 +19,7 @@
 fn a_killed_member_is_evicted_in_time() {
     let mut took = Vec::new();
     for seed in 0..60 {
-        let mut fleet = Fleet::founded(7, false, seed);
+        let mut fleet = VirtualFleet::founded(7, false, seed);
         let (epoch, begin) = (fleet.epoch(), fleet.now);
         let victim = seed as usize % 7;
         let gone = fleet.names[victim].clone();
@@ -44,7 +44,7 @@
 #[case::two_members_without_a_direct_link(vec![FleetFault::Cut(0, 1), FleetFault::Cut(1, 0)])]
 fn healthy_members_stay(#[case] faults: Vec<FleetFault>) {
     for seed in 0..4 {
-        let mut fleet = Fleet::founded(5, false, seed);
+        let mut fleet = VirtualFleet::founded(5, false, seed);
         let epoch = fleet.epoch();
         let script = faults.iter().map(|fault| (0, fault.clone())).collect();
         fleet.play(script, 60 * SECOND);
@@ -55,7 +55,7 @@
 #[test]
 fn a_one_way_cut_between_any_two_of_five_evicts_nobody() {
     for (a, b) in (0..5).flat_map(|a| (0..5).map(move |b| (a, b))).filter(|(a, b)| a != b) {
-        let mut fleet = Fleet::founded(5, false, 7);
+        let mut fleet = VirtualFleet::founded(5, false, 7);
         let epoch = fleet.epoch();
         fleet.play(vec![(0, FleetFault::Cut(a, b))], 20 * SECOND);
         assert_eq!(fleet.epoch(), epoch, "from {a} to {b}");
@@ -69,7 +69,7 @@
 #[case::two_two_and_one(vec![vec![0, 1], vec![2, 3]], 0)]
 fn a_split_fleet_merges_again(#[case] sides: Vec<Vec<usize>>, #[case] most: u64) {
     for seed in 0..5 {
-        let mut fleet = Fleet::founded(5, false, seed);
+        let mut fleet = VirtualFleet::founded(5, false, seed);
         let epoch = fleet.epoch();
         let script = sides.iter().map(|side| (0, FleetFault::Split(side.clone()))).collect();
         fleet.play(script, 30 * SECOND);
@@ -86,7 +86,7 @@
 #[rstest]
 fn a_fleet_settles_after_a_pause_of_any_member(#[values(100, 900, 1_900, 2_100, 5_000, 20_000)] ms: i64) {
     for victim in 0..5 {
-        let mut fleet = Fleet::founded(5, false, victim as u64);
+        let mut fleet = VirtualFleet::founded(5, false, victim as u64);
         let epoch = fleet.epoch();
         fleet.play(vec![(0, FleetFault::Pause(victim, ms * MS))], ms * MS + 500 * MS);
         if ms <= 900 {
@@ -99,7 +99,7 @@
 #[test]
 fn a_fleet_settles_after_a_pause_of_its_majority() {
     for seed in 0..5 {
-        let mut fleet = Fleet::founded(5, false, seed);
+        let mut fleet = VirtualFleet::founded(5, false, seed);
         let script = (0..3).map(|n| (n * 100 * MS, FleetFault::Pause(n as usize, 8 * SECOND))).collect();
         fleet.play(script, 9 * SECOND);
         fleet.run_until_settled(15 * SECOND);
@@ -111,7 +111,7 @@
 #[rstest]
 fn a_fleet_settles_after_a_restart_faster_than_the_detection(#[values(false, true)] persistent: bool) {
     for victim in 0..5 {
-        let mut fleet = Fleet::founded(5, persistent, victim as u64);
+        let mut fleet = VirtualFleet::founded(5, persistent, victim as u64);
         let script = vec![(0, FleetFault::Kill(victim)), (300 * MS, FleetFault::Start(victim))];
         fleet.play(script, SECOND);
         fleet.run_until_settled(15 * SECOND);
@@ -121,7 +121,7 @@
 /// If votes are persistent, a fleet recovers even after all processes were killed at once.
 #[test]
 fn a_fleet_with_persistent_state_recovers_from_the_loss_of_all_processes() {
-    let mut fleet = Fleet::founded(5, true, 3);
+    let mut fleet = VirtualFleet::founded(5, true, 3);
     let epoch = fleet.epoch();
     let kills = (0..5).map(|n| (0, FleetFault::Kill(n)));
     let starts = (0..5).map(|n| ((1 + n as i64) * SECOND, FleetFault::Start(n)));
@@ -132,14 +132,14 @@
 
 #[test]
 fn fifty_members_can_join_at_once() {
-    let mut fleet = Fleet::new(55, 5, false, 9);
+    let mut fleet = VirtualFleet::new(55, 5, false, 9);
     let took = fleet.run_until_settled(30 * SECOND);
     println!("55 members settled after {} ms in view {}", took / MS, fleet.epoch());
 }
 
 #[test]
 fn a_leaving_member_is_removed_at_once_and_no_other_is() {
-    let mut fleet = Fleet::founded(5, false, 4);
+    let mut fleet = VirtualFleet::founded(5, false, 4);
     let epoch = fleet.epoch();
     fleet.play(vec![(0, FleetFault::Leave(2))], SECOND);
     assert_eq!((fleet.epoch(), fleet.left.len()), (epoch + 1, 1));
@@ -169,7 +169,7 @@
     /// during the run.
     #[test]
     fn any_script_ends_in_one_view(script in faults(), seed in 0..1_000u64) {
-        let mut fleet = Fleet::founded(5, true, seed);
+        let mut fleet = VirtualFleet::founded(5, true, seed);
         fleet.play(script, 21 * SECOND);
         let starts = (0..5).map(|n| (10 * MS, FleetFault::Start(n)));
         let heal = std::iter::once((0, FleetFault::Heal)).chain(starts);
@@ -182,7 +182,7 @@
 /// right after it was admitted, that it had had no lease for long, and was evicted for that again and again.
 #[test]
 fn members_that_were_kept_out_for_long_are_admitted_and_stay() {
-    let mut fleet = Fleet::founded(5, true, 953);
+    let mut fleet = VirtualFleet::founded(5, true, 953);
     let script = vec![
         (500 * MS, FleetFault::Loss(0.25)),
         (3_500 * MS, FleetFault::Heal),
@@ -206,7 +206,7 @@
 #[test]
 fn a_proposer_that_is_paused_at_any_step_blocks_nobody() {
     for ms in (0..3_000).step_by(10) {
-        let mut fleet = Fleet::founded(5, false, 1_000 + ms as u64);
+        let mut fleet = VirtualFleet::founded(5, false, 1_000 + ms as u64);
         fleet.play(vec![(0, FleetFault::Kill(4)), (ms * MS, FleetFault::Pause(0, 5_000 * MS))], 9 * SECOND);
         fleet.run_until_settled(30 * SECOND);
         assert!(fleet.settled().is_some_and(|view| view.members.len() == 4), "{ms} ms");
@@ -218,7 +218,7 @@
 #[test]
 fn false_reports_of_one_member_evict_nobody() {
     for seed in 0..20 {
-        let mut fleet = Fleet::founded(5, false, seed);
+        let mut fleet = VirtualFleet::founded(5, false, seed);
         let epoch = fleet.epoch();
         fleet.play(vec![(0, FleetFault::Lies(seed as usize % 5))], 30 * SECOND);
         assert_eq!(fleet.epoch(), epoch, "seed {seed}");
@@ -230,6 +230,6 @@
 /// every few joining members, and each view is sent to all members.
 #[test]
 fn many_joining_members_are_admitted_in_few_views() {
-    let fleet = Fleet::founded(300, false, 7);
+    let fleet = VirtualFleet::founded(300, false, 7);
     assert!(fleet.epoch() <= 8, "{} views", fleet.epoch());
 }
--- a/crates/testbench/tests/processes.rs
+++ b/crates/testbench/tests/processes.rs
@@ -16,7 +16,7 @@
     let program = PathBuf::from(env!("CARGO_BIN_EXE_wheelpier-testbench"));
     let fleet = Processes::start_on(program, (members, founders), seed, None).await.unwrap();
     let all: Vec<usize> = (0..founders).collect();
-    fleet.until("all found the fleet", PATIENCE, |fleet| fleet.agree(&all)).await;
+    fleet.wait_until("all found the fleet", PATIENCE, |fleet| fleet.agree_on_view(&all)).await;
     fleet
 }
 
@@ -41,9 +41,13 @@
 async fn the_history_distinguishes_a_kill_from_a_leave() {
     let mut fleet = founded(4, 4, 8).await;
     assert!(fleet.leave(2, PATIENCE).await, "{}", fleet.recent_output());
-    fleet.until("the three remaining processes agree", PATIENCE, |fleet| fleet.agree(&[0, 1, 3])).await;
+    fleet
+        .wait_until("the three remaining processes agree", PATIENCE, |fleet| fleet.agree_on_view(&[0, 1, 3]))
+        .await;
     fleet.kill(1);
-    fleet.until("the two remaining processes agree", PATIENCE, |fleet| fleet.agree(&[0, 3])).await;
+    fleet
+        .wait_until("the two remaining processes agree", PATIENCE, |fleet| fleet.agree_on_view(&[0, 3]))
+        .await;
     let history = fleet.history();
     let causes = |name: &str| -> Vec<&str> {
         let own = ["Founded", "Joined", "LeaseHeld", "Fenced", "Stood", "Free"];
