--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -55,7 +55,7 @@
     /// The rule that was broken.
     pub rule: Rule,
     /// A description of the violation.
-    pub what: String,
+    pub description: String,
 }
 
 /// One run of a proxy process, from its start to its end.
@@ -126,10 +126,10 @@
         Self { is_shared: true, drain_grace: spec.drain_grace + known_after, ..Self::default() }
     }
 
-    fn check(&mut self, rule: Rule, is_kept: bool, what: impl FnOnce() -> String) {
+    fn check(&mut self, rule: Rule, is_kept: bool, description: impl FnOnce() -> String) {
         *self.checks.entry(rule).or_default() += 1;
         if !is_kept {
-            self.breaches.push(Breach { rule, what: what() });
+            self.breaches.push(Breach { rule, description: description() });
         }
     }
 
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -78,7 +78,7 @@
             queued: VecDeque::new(),
             recent_work: VecDeque::new(),
             cores: spec.cores,
-            queue_limit: spec.queue,
+            queue_limit: spec.queue_limit,
         }
     }
 
--- a/crates/emulator/src/net/client.rs
+++ b/crates/emulator/src/net/client.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns whether no unprocessed bytes of an answer have been received.
-    pub fn silent(&self) -> bool {
+    pub fn has_no_unprocessed_bytes(&self) -> bool {
         self.read.is_empty() && !self.assembler.has_partial_message()
     }
 
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -111,7 +111,7 @@
     /// The number of cores of a host, which is the number of requests that it processes at a time.
     pub cores: usize,
     /// The number of requests that may queue at a host.
-    pub queue: usize,
+    pub queue_limit: usize,
     /// The fraction of its full capacity that a host has just after its start.
     pub slow_start_initial_fraction: f64,
     /// The time from a host's start until it has its full capacity.
@@ -130,9 +130,9 @@
     /// The time for which a group recognizes a repeated idempotency key.
     pub key_window: Micros,
     /// The minimum and maximum time until a group notices that its primary is silent or gone.
-    pub detect: (Micros, Micros),
+    pub detection_delay: (Micros, Micros),
     /// The minimum and maximum time from then until a replica becomes the primary.
-    pub elect: (Micros, Micros),
+    pub election_delay: (Micros, Micros),
     /// The minimum and maximum time until a draining primary has handed over its role.
     pub handover_delay: (Micros, Micros),
     /// The minimum and maximum time until discovery publishes a change.
@@ -168,7 +168,7 @@
             groups: 2,
             members: 5,
             cores: 5,
-            queue: 20,
+            queue_limit: 20,
             slow_start_initial_fraction: 0.15,
             slow_start_window: 18 * SECOND,
             slow_start_budget_multiple: 3.0,
@@ -177,8 +177,8 @@
             apply_utilization: (0.3, 0.59),
             when_behind: WhenBehind::Answer,
             key_window: 3 * SECOND,
-            detect: (1_300 * MS, 2_900 * MS),
-            elect: (SECOND, 4 * SECOND),
+            detection_delay: (1_300 * MS, 2_900 * MS),
+            election_delay: (SECOND, 4 * SECOND),
             handover_delay: (410 * MS, 960 * MS),
             discovery_delay: (500 * MS, 2 * SECOND),
             load_report_age: 150 * MS,
@@ -212,7 +212,7 @@
             groups: 3,
             members: 3,
             cores: 5,
-            queue: 85,
+            queue_limit: 85,
             slow_start_initial_fraction: 0.22,
             slow_start_window: 16 * SECOND,
             slow_start_budget_multiple: 2.5,
@@ -221,8 +221,8 @@
             apply_utilization: (0.33, 0.52),
             when_behind: WhenBehind::Answer,
             key_window: 3 * SECOND,
-            detect: (1_100 * MS, 2_900 * MS),
-            elect: (SECOND, 4 * SECOND),
+            detection_delay: (1_100 * MS, 2_900 * MS),
+            election_delay: (SECOND, 4 * SECOND),
             handover_delay: (450 * MS, 920 * MS),
             discovery_delay: (800 * MS, 2 * SECOND),
             load_report_age: 0,
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -668,7 +668,8 @@
             return;
         }
         let is_unnoticed = after.is_none();
-        let after = after.unwrap_or_else(|| self.draw(self.spec.detect) + self.draw(self.spec.elect));
+        let after = after
+            .unwrap_or_else(|| self.draw(self.spec.detection_delay) + self.draw(self.spec.election_delay));
         let (group, member, now) = (self.group(host), self.member(host), self.now);
         let state = &mut self.groups[group];
         state.lost_primary = is_unnoticed.then_some((member, now));
@@ -683,8 +684,9 @@
     fn regain_primary_role(&mut self, host: usize) {
         let (group, member, now) = (self.group(host), self.member(host), self.now);
         let state = &mut self.groups[group];
-        let is_unnoticed =
-            state.lost_primary.is_some_and(|(lost, at)| lost == member && now - at < self.spec.detect.0);
+        let is_unnoticed = state
+            .lost_primary
+            .is_some_and(|(lost, at)| lost == member && now - at < self.spec.detection_delay.0);
         if is_unnoticed && state.log.primary().is_none() {
             state.term += 1;
             state.log.elect(&[member], now);
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -46,7 +46,7 @@
 #[test]
 fn cores_and_queue_limit_the_requests_that_a_host_holds() {
     let mut world = world();
-    let capacity = (world.spec().cores + world.spec().queue) as u64;
+    let capacity = (world.spec().cores + world.spec().queue_limit) as u64;
     for ticket in 0..capacity {
         assert_eq!(world.arrive(START, ticket, 1, query(&ticket.to_string(), "daily-report")), []);
     }
--- a/crates/testbench/benches/proxy.rs
+++ b/crates/testbench/benches/proxy.rs
@@ -25,7 +25,7 @@
 
 /// Returns a specification of hosts that spend no time on requests.
 fn spec() -> Spec {
-    let mut spec = Spec { groups: 1, cores: 64, queue: 1_000, ..Spec::sapporo() };
+    let mut spec = Spec { groups: 1, cores: 64, queue_limit: 1_000, ..Spec::sapporo() };
     spec.classes.iter_mut().for_each(|class| class.work = (0, 1));
     // Keeps only the class whose reads any host may serve, the primary included.
     spec.classes.retain(|class| class.name == "daily-report");
--- a/crates/testbench/src/fleet.rs
+++ b/crates/testbench/src/fleet.rs
@@ -624,7 +624,9 @@
                 let sum = self.metrics.rules.entry(rule).or_default();
                 *sum = (sum.0 + tried, sum.1 + broken);
             }
-            self.metrics.breaches.extend(proxy.checker.breaches().iter().take(2).map(|b| b.what.clone()));
+            self.metrics
+                .breaches
+                .extend(proxy.checker.breaches().iter().take(2).map(|b| b.description.clone()));
         }
     }
 }
--- a/crates/testbench/src/load.rs
+++ b/crates/testbench/src/load.rs
@@ -151,7 +151,9 @@
         }
         let mut client = Client::connect(*wire, *address).await.map_err(|_| Failure::NotAccepted)?;
         let answer = client.ask(planned, spec, wait).await.map_err(|error| match error.kind() {
-            io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset if client.silent() => {
+            io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset
+                if client.has_no_unprocessed_bytes() =>
+            {
                 Failure::NotAccepted
             }
             _ => Failure::Lost,
--- a/crates/testbench/src/parity.rs
+++ b/crates/testbench/src/parity.rs
@@ -147,7 +147,7 @@
             resent => println!("{}: {resent} requests sent again on a new connection", outcome.wire),
         }
         for breach in outcome.verdict.breaches.iter().take(5) {
-            println!("{}: {}: {}", outcome.wire, breach.rule, breach.what);
+            println!("{}: {}: {}", outcome.wire, breach.rule, breach.description);
         }
     }
     println!("parity: worst difference {worst:.1}%, rules broken {broken}");
--- a/crates/testbench/src/soak/mod.rs
+++ b/crates/testbench/src/soak/mod.rs
@@ -306,11 +306,11 @@
     let mut findings = std::mem::take(&mut soak.checker.borrow_mut().findings);
     for breach in verdict.breaches {
         match breach.rule {
-            Rule::Key => findings.duplicated.push(breach.what),
-            Rule::Stale => findings.stale.push(breach.what),
+            Rule::Key => findings.duplicated.push(breach.description),
+            Rule::Stale => findings.stale.push(breach.description),
             // Checked by `SoakChecker`.
             Rule::Answer => {}
-            _ => findings.broken.push(format!("{}: {}", breach.rule, breach.what)),
+            _ => findings.broken.push(format!("{}: {}", breach.rule, breach.description)),
         }
     }
     for config in process_configs {
--- a/crates/testbench/src/soak/plan.rs
+++ b/crates/testbench/src/soak/plan.rs
@@ -221,7 +221,7 @@
     }
 
     fn with_former_primaries(self) -> Self {
-        let spec = Spec { detect: (SECOND, SECOND), elect: NO_PRIMARY_FOR, ..self.spec };
+        let spec = Spec { detection_delay: (SECOND, SECOND), election_delay: NO_PRIMARY_FOR, ..self.spec };
         Self { script: former_primary_script(&spec), spec, ..self }
     }
 
--- a/crates/testbench/src/starve.rs
+++ b/crates/testbench/src/starve.rs
@@ -168,7 +168,7 @@
     let head = ["class", "with", "offered", "in time", "refused", "failed", "p50 ms", "p99 ms"];
     println!("{}", table::lay_out(&head, &rows));
     for breach in alone.verdict.breaches.iter().chain(&crowded.verdict.breaches).take(5) {
-        println!("{}: {}", breach.rule, breach.what);
+        println!("{}: {}", breach.rule, breach.description);
     }
     for (name, outcome) in [("alone", alone), ("crowd", crowded)] {
         println!("{name}: {} requests sent again on a new connection", load::resent(&outcome.classes));
